--- a/tests/unit/test_foreign_writers.py
+++ b/tests/unit/test_foreign_writers.py
@@ -294,3 +294,10 @@
     document = {**build_progress(), "tasks": {"0.0.0": fields}}
     with pytest.raises(ProtocolError):
         read_progress_row(orjson.dumps(document))
+
+
+def test_a_progress_row_with_a_number_over_64_bits_is_refused():
+    """Guards against a leader that reads a number which it can't write again."""
+    document = {**build_progress(), "completed": [2.0**64]}
+    with pytest.raises(ProtocolError):
+        read_progress_row(orjson.dumps(document))
