--- a/pistachiodeal/agent/admission.py
+++ b/pistachiodeal/agent/admission.py
@@ -1,4 +1,4 @@
-"""Whether a request can be taken, and when to come back where it cannot."""
+"""Admission control: whether a request is accepted, and when to retry if not."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 
 class PolicySource(Protocol):
-    """Where the policies of services are found."""
+    """Looks up the policies of services."""
 
     def policy(self, service: str) -> ServicePolicy | None:
-        """Return the policy in force, None when unknown."""
+        """Return the policy in force, None if it is unknown."""
 
 
 class RequestAdmission:
-    """Judges requests by the runners' slots and the queues before them."""
+    """Admits requests by the runners' free slots and the length of the queue."""
 
     def __init__(
         self,
@@ -44,33 +44,33 @@
 
     @property
     def queues(self) -> dict[str, ServiceQueue]:
-        """Return the queues of services that have, or just had, runners."""
+        """Return the queues by service, of services that have or just had runners."""
         return self._queues
 
     def get_queue(self, service: str) -> ServiceQueue:
-        """Return the queue of a service, a new one if need be."""
+        """Return the queue of a service, creating it if there is none."""
         queue = self._queues.get(service)
         if queue is None:
             queue = self._queues[service] = ServiceQueue(self._window_s, self._clock)
         return queue
 
     def get_profile(self, service: str) -> Profile:
-        """Return the service's profile, the default one while it is unknown."""
+        """Return the service's profile, the default one if it is unknown."""
         policy = self._policies.policy(service)
         return (policy and policy.profile) or DEFAULT_PROFILE
 
     def count_slots(self, service: str) -> int:
-        """Return the slots of all usable runners."""
+        """Return the total number of slots of the service's usable runners."""
         runners = self._runners.list_runners(service)
         return sum(runner.announcement.slots for runner in runners if runner.usable)
 
     def find_refusal(self, pending: Pending) -> Refusal | None:
-        """Return why a request cannot be taken, or None."""
+        """Return a refusal if the request cannot be accepted, otherwise None."""
         code = self._judge(pending)
         return self.build_refusal(pending, code) if code else None
 
     def build_refusal(self, pending: Pending, code: str) -> Refusal:
-        """Return a refusal with an estimate of when to come back."""
+        """Return a refusal that says after what time a retry makes sense."""
         self._metrics.count(f"agent.refusals.{code}")
         service = pending.request.service
         return Refusal(
@@ -81,7 +81,7 @@
         )
 
     def build_load(self, service: str) -> ServiceLoad:
-        """Return the figures of one service."""
+        """Return the slots, queue length and mean latency of one service."""
         runners = self._runners.list_runners(service)
         queue = self._queues.get(service)
         mean = queue.service_time.mean if queue is not None else 0.0
@@ -94,7 +94,7 @@
         )
 
     def _judge(self, pending: Pending) -> str:
-        """Return the code of a refusal, empty when the request can be taken."""
+        """Return the code of a refusal, empty if the request can be accepted."""
         if self.draining:
             return "draining"
         service = pending.request.service
--- a/pistachiodeal/agent/announce.py
+++ b/pistachiodeal/agent/announce.py
@@ -1,4 +1,4 @@
-"""The local HTTP port where runners announce themselves."""
+"""HTTP API of the local port: announcements of runners, and the status document."""
 
 from __future__ import annotations
 
@@ -37,25 +37,25 @@
     @field_validator("address")
     @classmethod
     def check_address(cls, value: str) -> str:
-        """Check the numbers that the pattern lets through."""
+        """Check the ranges of the numbers, which the pattern does not."""
         if not is_address(value):
             raise ValueError("no such address")
         return value
 
     def build_runner(self, name: str) -> AnnouncedRunner:
-        """Return it as the runner's announcement."""
+        """Return the announcement as the runner table takes it."""
         size = Resources(self.cpu_milli, self.memory_mib, self.accelerators)
         return AnnouncedRunner(name, self.service, self.address, self.slots, size)
 
 
 class RunnerName(BaseModel):
-    """The name in the path."""
+    """Validates the runner's name in the path."""
 
     name: str = Field(pattern=NODE_PATTERN)
 
 
 class AnnounceApi:
-    """Answers the requests of the local port."""
+    """Handles the HTTP requests to the local port."""
 
     def __init__(
         self,
@@ -68,9 +68,10 @@
         self._build_status = build_status
 
     async def handle(self, request: WebRequest) -> WebResponse:
-        """Answer one request.
+        """Handle one request.
 
-        :raises RequestError: bad announcement, no room, or no such thing.
+        :raises RequestError: the announcement is invalid, the worker has no room
+            for the runner, or the path, runner or method does not exist.
         """
         if request.path == STATUS_PATH:
             _check_method(request, "GET")
--- a/pistachiodeal/agent/latency.py
+++ b/pistachiodeal/agent/latency.py
@@ -1,4 +1,4 @@
-"""Recent times of a service: their mean, and their quantiles for the guard."""
+"""Recent request times of a service: the mean, and percentiles for the guard."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 
 class RecentLatency:
-    """The times of the last seconds, at most :data:`MAX_SAMPLES` of them.
+    """Request times in a sliding window of at most :data:`MAX_SAMPLES` samples.
 
-    :param window_s: age at which a time is dropped, seconds.
+    :param window_s: age at which a sample is dropped, seconds.
     """
 
     def __init__(
@@ -25,7 +25,7 @@
         self._samples: deque[tuple[float, float]] = deque(maxlen=MAX_SAMPLES)
 
     def record(self, seconds: float) -> None:
-        """Add a time that was measured now."""
+        """Add a sample, measured now."""
         self._samples.append((self._clock(), seconds))
 
     def estimate(self, percentile: float) -> float:
@@ -47,7 +47,7 @@
 
 
 class ServiceTime:
-    """Moving mean of the time that runners take for one request."""
+    """Exponentially weighted mean of the runners' time per request."""
 
     def __init__(self) -> None:
         self._mean = 0.0
@@ -58,7 +58,7 @@
         return self._mean
 
     def record(self, seconds: float) -> None:
-        """Add the time of a request that was answered."""
+        """Add the time of a successful request."""
         if self._mean == 0.0:
             self._mean = seconds
             return
@@ -67,8 +67,8 @@
     def record_failure(self, seconds: float) -> None:
         """Add the time of a request that failed.
 
-        A runner that fails everything at once would look like the fastest and
-        draw work; so a failure may only make the mean larger.
+        A runner that fails every request at once would otherwise appear to be the
+        fastest and attract work, so a failure may only increase the mean.
         """
         if seconds > self._mean:
             self.record(seconds)
--- a/pistachiodeal/agent/queueing.py
+++ b/pistachiodeal/agent/queueing.py
@@ -1,4 +1,4 @@
-"""Requests that wait on the agent, the earliest deadline first."""
+"""Queue of requests that wait for a runner, earliest deadline first."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Origin(Protocol):
-    """The link that a request came from, and that gets its answer."""
+    """The link on which a request arrived and its answer is sent."""
 
     async def send(self, message: Message) -> None:
         """Send a message; raises LinkClosedError."""
@@ -24,13 +24,14 @@
 
 @dataclass(slots=True, eq=False)
 class Pending:
-    """A request without an answer so far.
-
-    :param refuse_at: when it is refused if it still waits; before the deadline,
-        so that the refusal gets back in time.
-    :param sequence: unique; keeps requests of equal urgency in order.
-    :param waiting: in the queue, handed to no runner.
-    :param withdrawn: the entry gave it up after it was handed on.
+    """A request that is not answered yet.
+
+    :param refuse_at: time at which it is refused if it still waits; before the
+        deadline, so that the refusal reaches the entry in time.
+    :param sequence: unique; orders requests with equal deadlines by arrival.
+    :param waiting: it is in the queue, and no runner has it.
+    :param withdrawn: the entry has withdrawn it.
+    :param handovers: number of times it was dispatched to a runner.
     """
 
     origin: Origin
@@ -45,12 +46,12 @@
 
     @property
     def key(self) -> tuple[int, int]:
-        """Return what names it: request ids are unique on one link only."""
+        """Return its unique key; request ids are unique only within one link."""
         return id(self.origin), self.request.request_id
 
 
 class ServiceQueue:
-    """Waiting requests of one service, the earliest deadline first."""
+    """The waiting requests of one service, earliest deadline first."""
 
     def __init__(self, window_s: float, clock: Callable[[], float]) -> None:
         self.filled = curio.Event()
@@ -63,32 +64,33 @@
         return len(self._waiting)
 
     def add(self, pending: Pending) -> None:
-        """Put a request in its place."""
+        """Insert a request by its deadline."""
         pending.waiting = True
         insort(self._waiting, (pending.refuse_at, pending.sequence, pending))
 
     def take(self) -> Pending:
-        """Remove and return the first one."""
+        """Remove and return the first request."""
         return self._remove(0)
 
     def take_late(self, now: float) -> Pending | None:
-        """Remove and return the first one if its time to be refused has come."""
+        """Remove and return the first request if its ``refuse_at`` has passed."""
         if self._waiting and self._waiting[0][0] <= now:
             return self._remove(0)
         return None
 
     def discard(self, pending: Pending) -> None:
-        """Remove one that waits."""
+        """Remove a waiting request."""
         self._remove(self._find(pending))
 
     def count_ahead(self, pending: Pending) -> int:
-        """Return how many go before this one."""
+        """Return the number of waiting requests ahead of this one."""
         return self._find(pending)
 
     def estimate_wait(self, ahead: int, slots: int) -> float:
-        """Return the seconds until a slot comes free for one with ``ahead`` before.
+        """Return the estimated wait for a slot, in seconds.
 
-        :param slots: slots of usable runners, all of them busy.
+        :param ahead: number of requests ahead in the queue.
+        :param slots: number of slots of usable runners, all of them busy.
         """
         return (ahead + 1) * self.service_time.mean / max(slots, 1)
 
@@ -104,7 +106,7 @@
 def create_pending(
     origin: Origin, request: Request, now: float, sequence: int
 ) -> Pending:
-    """Return a request as received now."""
+    """Create the pending request for a request received at ``now``."""
     budget = request.budget_ms / 1000
     deadline = now + budget
     margin = min(RETURN_MARGIN_S, budget / 4)
--- a/pistachiodeal/agent/requests.py
+++ b/pistachiodeal/agent/requests.py
@@ -1,4 +1,4 @@
-"""Callers' requests on the agent: admitted or refused, queued, handed to runners."""
+"""Callers' requests on the agent: admission, queueing and dispatch to runners."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class RequestHandler:
-    """The only authority on which requests this worker's runners get."""
+    """Decides which requests this worker's runners get; nothing else sends any."""
 
     def __init__(
         self,
@@ -60,15 +60,15 @@
 
     @property
     def open_count(self) -> int:
-        """Return the number of requests without an answer."""
+        """Return the number of unanswered requests."""
         return len(self._open)
 
     def count_open(self, origin: Origin) -> int:
-        """Return the number of requests of one link without an answer."""
+        """Return the number of unanswered requests of one link."""
         return sum(1 for pending in self._open.values() if pending.origin is origin)
 
     async def handle(self, origin: Origin, request: Request) -> None:
-        """Take a request, or refuse it at once; the answer goes to ``origin``."""
+        """Accept a request or refuse it at once; the answer is sent to ``origin``."""
         self._sequence += 1
         pending = create_pending(origin, request, self._clock(), self._sequence)
         if pending.key in self._open:
@@ -87,7 +87,7 @@
             await self._start_timer(queue)
 
     async def withdraw(self, origin: Origin, request_id: int) -> None:
-        """Refuse a request that waits; one that was handed on goes its way."""
+        """Refuse a waiting request; one already dispatched to a runner continues."""
         pending = self._open.get((id(origin), request_id))
         if pending is None:
             return
@@ -97,7 +97,7 @@
             await self._refuse(pending, "withdrawn")
 
     async def close_origin(self, origin: Origin) -> None:
-        """Drop what still waits from a link that is closed."""
+        """Drop the waiting requests of a closed link."""
         for pending in list(self._open.values()):
             if pending.origin is origin and pending.waiting:
                 self._queues[pending.request.service].discard(pending)
@@ -105,7 +105,7 @@
                 await self._finish(pending)
 
     async def note_change(self, runner: Runner) -> None:
-        """Act on a runner that came, left, or is usable again."""
+        """React to a runner that was added, was removed, or is usable again."""
         if runner.gone:
             while runner.parked:
                 await runner.parked.pop().put(None)
@@ -115,36 +115,39 @@
             await self._refuse_all(service, "no_runner")
 
     async def refuse_late(self, queue: ServiceQueue) -> None:
-        """Refuse the waiting requests that no slot can serve in time any more."""
+        """Refuse the waiting requests whose ``refuse_at`` has passed."""
         while pending := queue.take_late(self._clock()):
             await self._refuse(pending, "deadline")
 
     def figures(self) -> tuple[ServiceLoad, ...]:
-        """Return the load of each service that has runners here."""
+        """Return the load of each service that has runners on this worker."""
         return tuple(
             self._admission.build_load(service) for service in self._runners.services
         )
 
     def latency(self, service: str) -> float:
-        """Return the recent time of answers at the profile's percentile, seconds."""
+        """Return the recent latency at the profile's percentile, in seconds."""
         queue = self._queues.get(service)
         if queue is None:
             return 0.0
         return queue.latency.estimate(self._admission.get_profile(service).percentile)
 
     def start_draining(self) -> None:
-        """Refuse whatever is new from now on."""
+        """Refuse all new requests from now on."""
         self._admission.draining = True
 
     async def drain(self, timeout: float) -> bool:
-        """Refuse what is new, wait for what is open; False when time ran out."""
+        """Refuse new requests and wait for open ones; False after a timeout."""
         self.start_draining()
         if self._open:
             await curio.ignore_after(timeout, self._idle.wait)
         return not self._open
 
     async def stop(self) -> None:
-        """End all tasks, and tell the truth of what is still open."""
+        """Cancel all curio tasks, and answer open requests with their true outcome.
+
+        Waiting requests are refused; the outcome of dispatched ones is unknown.
+        """
         for pending in list(self._open.values()):
             if pending.waiting:
                 await self._refuse(pending, "draining")
@@ -179,7 +182,7 @@
         self._slot_tasks.add(task)
 
     async def _run_slot(self, runner: Runner, first: Pending) -> None:
-        """Serve one slot of a runner until the runner is gone."""
+        """Serve one slot of a runner until the runner is removed."""
         inbox: curio.Queue = curio.Queue()
         pending: Pending | None = first
         while pending is not None:
@@ -192,7 +195,7 @@
         await self._runners.retire_if_idle(runner)
 
     async def _take_next(self, runner: Runner) -> Pending | None:
-        """Return what the slot does next; the slot is free when that is nothing."""
+        """Return the slot's next request, or free the slot and return None."""
         service = runner.announcement.service
         queue = self._queues.get(service)
         if queue:
@@ -260,7 +263,7 @@
         await self._fail(pending, error.outcome, code, str(error))
 
     async def _put_back(self, pending: Pending) -> None:
-        """Queue a request again that reached no runner, or refuse it."""
+        """Requeue a request that did not reach its runner, or refuse it."""
         service = pending.request.service
         if pending.withdrawn:
             await self._refuse(pending, "withdrawn")
@@ -321,7 +324,7 @@
             await queue.filled.set()
 
     async def _watch(self, queue: ServiceQueue) -> None:
-        """Refuse late requests of one service; sleeps while none waits."""
+        """Refuse the late requests of one service; sleeps while none are waiting."""
         while True:
             await queue.filled.wait()
             while queue:
--- a/pistachiodeal/agent/runners.py
+++ b/pistachiodeal/agent/runners.py
@@ -1,4 +1,4 @@
-"""The runners that announced themselves to this agent."""
+"""The table of runners that have announced themselves to this agent."""
 
 from __future__ import annotations
 
@@ -25,18 +25,18 @@
 
 
 class RoomLedger(Protocol):
-    """The part of the ledger that the table needs."""
+    """The ledger, as far as the table uses it."""
 
     def reserve(self, name: str, size: Resources) -> bool:
-        """Reserve room, or change nothing and return False."""
+        """Reserve resources, or change nothing and return False."""
 
     def release(self, name: str) -> None:
-        """Give room back."""
+        """Release a reservation."""
 
 
 @dataclass(frozen=True, slots=True)
 class AnnouncedRunner:
-    """What a runner says of itself."""
+    """The contents of a runner's announcement."""
 
     name: str
     service: str
@@ -47,14 +47,14 @@
 
 @dataclass(slots=True, eq=False)
 class Runner:
-    """A runner and what is going on there.
+    """A runner and its current state.
 
-    :param heard_at: when it announced itself last.
-    :param busy: slots in use.
-    :param parked: inboxes of slot tasks without work.
+    :param heard_at: time of its latest announcement.
+    :param busy: number of slots in use.
+    :param parked: inboxes of idle slot tasks.
     :param usable: False after failures, until it announces itself again.
-    :param usable_at: no announcement makes it usable before this time.
-    :param gone: it left, expired or was replaced; it gets nothing new.
+    :param usable_at: earliest time at which an announcement makes it usable again.
+    :param gone: it was removed, expired or replaced, and gets no new requests.
     """
 
     announcement: AnnouncedRunner
@@ -70,14 +70,15 @@
 
     @property
     def has_room(self) -> bool:
-        """Tell whether a slot can take a request."""
+        """Return whether it has a free slot for a request."""
         return self.usable and not self.gone and self.busy < self.announcement.slots
 
 
 class RunnerTable:
-    """Runners by name; each has its size reserved in the ledger.
+    """Runners by name, each with its size reserved in the ledger.
 
-    :ivar on_change: awaited after a runner came, left, or is usable again.
+    :ivar on_change: awaited after a runner was added, was removed, or became
+        usable again.
     """
 
     def __init__(
@@ -98,7 +99,7 @@
 
     @property
     def ready(self) -> bool:
-        """Tell whether the ledger is known, so that runners can be taken."""
+        """Return whether the ledger is set, so that runners are accepted."""
         return self._ledger is not None
 
     @property
@@ -107,15 +108,15 @@
         return tuple(self._services)
 
     def list_runners(self, service: str) -> list[Runner]:
-        """Return a service's runners, not to be changed."""
+        """Return a service's runners; the caller must not modify the list."""
         return self._services.get(service, [])
 
     def open_for_runners(self, ledger: RoomLedger) -> None:
-        """Take runners from now on, with room from this ledger."""
+        """Accept runners from now on, with reservations in this ledger."""
         self._ledger = ledger
 
     async def announce(self, announcement: AnnouncedRunner) -> bool:
-        """Take an announcement; return True when the runner is new.
+        """Apply an announcement; return True if the runner is new or has changed.
 
         :raises RequestError: ``no_room``, ``too_many_runners`` or ``not_ready``.
         """
@@ -136,34 +137,36 @@
         return True
 
     async def remove(self, name: str) -> bool:
-        """Take a runner out; False when there is none of this name."""
+        """Remove a runner; False if there is none of this name."""
         runner = self._runners.get(name)
         if runner is None:
             return False
         self._take_out(runner)
         await self._tell(runner)
         await self.retire_if_idle(runner)
-        log.notice("agent: runner {} of {} left", name, runner.announcement.service)
+        log.notice("agent: runner {} of {} removed", name, runner.announcement.service)
         return True
 
     async def run(self) -> None:
-        """Drop silent runners until cancelled."""
+        """Remove expired runners periodically until cancelled."""
         self._swept_at = self._clock()
         while True:
             await curio.sleep(self._expiry_s / SWEEPS_PER_EXPIRY)
             await self.sweep()
 
     async def sweep(self) -> None:
-        """Drop runners whose announcement has expired."""
+        """Remove the runners whose announcement has expired."""
         now = self._clock()
         self._excuse_pause(now)
         for runner in list(self._runners.values()):
             if now - runner.heard_at > self._expiry_s:
-                log.warning("agent: runner {} is silent", runner.announcement.name)
+                log.warning(
+                    "agent: announcement of runner {} expired", runner.announcement.name
+                )
                 await self.remove(runner.announcement.name)
 
     async def retire_if_idle(self, runner: Runner) -> None:
-        """Give a gone runner's room back once nothing runs there any more."""
+        """Release the reservation of a removed runner once it has no open requests."""
         if not runner.gone or runner.busy:
             return
         name = runner.announcement.name
@@ -173,14 +176,15 @@
         await runner.client.close()
 
     def note_success(self, runner: Runner) -> None:
-        """Count an answer."""
+        """Reset the failure count and the backoff after a successful call."""
         runner.failures = 0
         runner.backoff_s = FIRST_BACKOFF_S
 
     def note_failure(self, runner: Runner, connected: bool) -> None:
-        """Count a failure; take the runner out of use when it is to blame.
+        """Count a failed call, and disable the runner if the limit is reached.
 
-        :param connected: False when not even a connection was made.
+        :param connected: False if no connection was made; this disables the runner
+            at once.
         """
         runner.failures += 1
         if connected and runner.failures < FAILURES_IN_A_ROW:
@@ -190,7 +194,7 @@
         runner.usable = False
         runner.usable_at = self._clock() + runner.backoff_s
         runner.backoff_s = min(runner.backoff_s * 2, MAX_BACKOFF_S)
-        log.warning("agent: runner {} fails, out of use", runner.announcement.name)
+        log.warning("agent: runner {} fails, disabling it", runner.announcement.name)
 
     async def close(self) -> None:
         """Close the connections to all runners."""
@@ -247,9 +251,9 @@
             await self.on_change(runner)
 
     def _excuse_pause(self, now: float) -> None:
-        # After a freeze of this process every runner looks silent although
-        # their announcements wait in its sockets; dropping them would refuse all
-        # requests for a second. Time that we slept through does not count.
+        # After this process was suspended, every runner seems to have expired
+        # although its announcements wait unread in the sockets. Removing them would
+        # refuse all requests for a second, so the suspended time is not counted.
         lost = now - self._swept_at - 2 * self._expiry_s / SWEEPS_PER_EXPIRY
         self._swept_at = now
         if lost > 0:
