--- a/pistachiodeal/agent/address_choice.py
+++ b/pistachiodeal/agent/address_choice.py
@@ -1,4 +1,4 @@
-"""Which entries an agent is linked to."""
+"""Selection of the entries that an agent keeps links to."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class AddressChoice:
-    """Chooses a few entries for requests, and the owners of held runs."""
+    """Selects a few entries for requests, and the owners of this worker's runs."""
 
     def __init__(
         self,
@@ -31,24 +31,24 @@
         self._clock = clock
 
     def choose(self, peers: Peers) -> set[str]:
-        """Return the addresses to be linked to now.
+        """Return the addresses of the entries that the agent should be linked to.
 
-        :param peers: the entries that are dialled or linked to, by address.
+        :param peers: the entries that are linked or being dialled, by address.
         """
         count = self._settings.entry_links
         agent = self._settings.node
         data_centre = self._settings.data_centre
         entries = self._directory.entries
         first = choose_entries(agent, data_centre, entries, count)
-        # A chosen entry that is dead or leaving goes on being dialled, while a
-        # substitute keeps the number of links that are of use.
+        # A selected entry that is down or shutting down is still dialled; a
+        # substitute keeps the number of usable links constant meanwhile.
         avoided = self._list_avoided(peers)
         second = choose_entries(agent, data_centre, entries, count, avoided)
         wanted = {entry.address for entry in (*first, *second)}
         wanted |= self._list_owner_addresses()
         if not any(peer.link for peer in peers.values()):
-            # All entries may have been replaced while this agent was cut off:
-            # then only the addresses from the settings still lead to one.
+            # All entries may have been replaced while this agent was partitioned
+            # from them; then only the addresses from the settings are of use.
             wanted |= self._choose_seeds(peers, count)
         return wanted
 
--- a/pistachiodeal/agent/directory.py
+++ b/pistachiodeal/agent/directory.py
@@ -1,4 +1,4 @@
-"""What an agent knows of entries and partition owners, and whom it links to."""
+"""The entries and partition owners known to an agent, and how entries are ranked."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 
 class AgentDirectory:
-    """Merges the directories of all linked entries.
+    """Merges the directories that all linked entries send.
 
-    An entry counts as present while any linked entry names it: a single entry
-    that is cut off from the table then can neither add nor hide others for good.
-    Of the owners of a partition the one with the highest epoch wins.
+    An entry counts as present while any linked entry lists it, so an entry that
+    is cut off from the table can neither add nor hide others permanently. Of
+    several owners of a partition, the one with the highest epoch wins.
 
-    :ivar on_epoch: called with a partition and its epoch when the epoch rose.
+    :ivar on_epoch: called with a partition and its new epoch when that increases.
     """
 
     def __init__(self) -> None:
@@ -30,7 +30,7 @@
 
     @property
     def entries(self) -> tuple[EntryAddress, ...]:
-        """Return all entries known, the last known ones when no link is open."""
+        """Return all known entries; without a link, the ones known last."""
         found: dict[str, EntryAddress] = {}
         for view in self._views.values():
             for entry in view:
@@ -38,20 +38,23 @@
         return tuple(found.values()) or self._last
 
     def note(self, source: str, directory: Directory) -> None:
-        """Take the directory that the entry ``source`` sent."""
+        """Replace the directory of the entry ``source`` by a newer one."""
         self._views[source] = directory.entries[:MAX_ENTRIES]
         for owner in directory.owners:
             self._note_owner(owner)
 
     def forget(self, source: str) -> None:
-        """Drop what ``source`` said; what was known last stays if nothing else is."""
+        """Remove the directory of ``source``.
+
+        If it was the only one, its entries are kept as the last known ones.
+        """
         known = self.entries
         self._views.pop(source, None)
         if not self._views:
             self._last = known
 
     def get_owner(self, partition: int) -> PartitionOwner | None:
-        """Return the owner of a partition, None when nobody is known to own it."""
+        """Return the owner of a partition, None if no owner is known."""
         owner = self._owners.get(partition)
         return owner if owner and owner.node else None
 
@@ -73,10 +76,10 @@
 def rank_entries(
     agent: str, data_centre: str, entries: Iterable[EntryAddress]
 ) -> list[EntryAddress]:
-    """Return entries, those of the own data centre first, each part by hash.
+    """Return entries, those of the agent's data centre first, each group by hash.
 
     Rendezvous hashing (Thaler and Ravishankar, "A Name-Based Mapping Scheme for
-    Rendezvous"): a change of one entry moves only the links to that entry.
+    Rendezvous"): adding or removing an entry moves only the links to that entry.
     """
 
     def weigh(entry: EntryAddress) -> tuple[bool, int]:
@@ -93,12 +96,12 @@
     count: int,
     avoided: Collection[str] = (),
 ) -> list[EntryAddress]:
-    """Return the ``count`` entries to be linked to.
+    """Return the ``count`` entries to link to.
 
-    One of several links goes to another data centre: entries there could not
-    spill work over to this worker if all links stayed at home.
+    If ``count`` is above 1, one of them is in another data centre; without that
+    link the entries there could not spill work over to this worker.
 
-    :param avoided: addresses that are not to be chosen now.
+    :param avoided: addresses that must not be chosen.
     """
     usable = (entry for entry in entries if entry.address not in avoided)
     ranked = rank_entries(agent, data_centre, usable)
--- a/pistachiodeal/agent/dispatch.py
+++ b/pistachiodeal/agent/dispatch.py
@@ -1,4 +1,4 @@
-"""What an agent does with the messages of its links."""
+"""Dispatches the messages that arrive on an agent's links."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class MessageDispatch:
-    """Hands each message of a link to the part that it is for."""
+    """Passes each message of a link to the component that handles it."""
 
     def __init__(
         self,
@@ -58,16 +58,17 @@
         self._metrics = metrics
 
     async def greet(self, link: Link) -> None:
-        """Tell an entry what this agent holds.
+        """Send the policies and a first report on a new link.
 
-        An entry that started in a store outage learns the policies from here.
+        An entry that started during a store outage gets the policies only from
+        agents.
         """
         for parts in _split(self._policies.all_parts()):
             await link.send(Policies(parts))
         await self._reporter.greet(link)
 
     async def receive(self, link: Link, message: Message) -> None:
-        """Act on a message; waits for nothing but a full outbox."""
+        """Handle a message; blocks only while a link's send buffer is full."""
         if isinstance(message, Request):
             await self._requests.handle(link, message)
         elif isinstance(message, Withdraw):
@@ -87,25 +88,25 @@
             self._metrics.count("agent.messages.unexpected")
 
     async def part(self, link: Link) -> None:
-        """Drop what waits from a closed link, and what its entry said."""
+        """Drop the waiting requests of a closed link, and its entry's directory."""
         await self._requests.close_origin(link)
         node = link.peer.node
         if all(other.peer.node != node for other in self._links.links):
             self._directory.forget(node)
 
     def count_open(self, link: Link) -> int:
-        """Return the number of requests that the link waits for."""
+        """Return the number of unanswered requests of the link."""
         return self._requests.count_open(link)
 
     async def _merge_policies(self, link: Link, message: Policies) -> None:
-        """Take newer policies, and pass them on to the other entries."""
+        """Apply newer policies, and forward them to the other entries."""
         changed = self._policies.merge(message.parts)
         for parts in _split(self._policies.parts(changed)):
             await self._links.send_to_all(Policies(parts), but=link)
 
 
 def _split(parts: Iterable[PolicyPart]) -> Iterator[tuple[PolicyPart, ...]]:
-    """Cut into messages that stay far below the limit of a frame."""
+    """Split parts into messages that stay far below the frame size limit."""
     left = iter(parts)
     while piece := tuple(islice(left, PARTS_PER_MESSAGE)):
         yield piece
--- a/pistachiodeal/agent/evidence.py
+++ b/pistachiodeal/agent/evidence.py
@@ -1,4 +1,4 @@
-"""Exchange of what was learnt of interference with the entries."""
+"""Exchange of interference measurements with the entries."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 
 
 class EvidenceModel(Protocol):
-    """The part of the interference model that the exchange needs."""
+    """The interference model, as far as the exchange uses it."""
 
     def take_evidence(self) -> tuple[PairEvidence, ...]:
-        """Return what is new since the last call."""
+        """Return the measurements added since the last call."""
 
     def merge(self, pairs: Iterable[PairEvidence], now: float) -> None:
-        """Take in what others learnt."""
+        """Merge measurements of other workers."""
 
 
 class EvidenceExchange:
-    """Sends new evidence on one link now and then, merges what comes."""
+    """Sends new measurements on one link periodically, and merges received ones."""
 
     def __init__(
         self,
@@ -42,13 +42,13 @@
         self._unsent: list[PairEvidence] = []
 
     async def run(self) -> None:
-        """Exchange evidence until cancelled."""
+        """Send measurements periodically until cancelled."""
         while True:
             await curio.sleep(EXCHANGE_S)
             await self.send()
 
     async def send(self) -> None:
-        """Send what is new; what could not be sent is kept for the next time."""
+        """Send new measurements; if sending fails, keep them for the next time."""
         self._unsent.extend(self._model.take_evidence())
         del self._unsent[:-MAX_PAIRS]
         if not self._unsent:
@@ -57,5 +57,5 @@
             self._unsent.clear()
 
     def receive(self, message: Evidence) -> None:
-        """Merge what an entry gathered from all agents."""
+        """Merge the measurements that an entry has collected from all agents."""
         self._model.merge(message.pairs, self._clock())
--- a/pistachiodeal/agent/links.py
+++ b/pistachiodeal/agent/links.py
@@ -1,4 +1,4 @@
-"""Links to entries: to a subset for requests, and to the owners of held runs."""
+"""Links to entries: to a subset for requests, and to the owners of runs."""
 
 from __future__ import annotations
 
@@ -34,23 +34,23 @@
 
 
 class LinkHandler(Protocol):
-    """What is done with links and the messages that come by them."""
+    """Callbacks for opened and closed links and for their messages."""
 
     async def greet(self, link: Link) -> None:
-        """Act on a link that is open now."""
+        """Handle a link that has opened."""
 
     async def receive(self, link: Link, message: Message) -> None:
-        """Act on a message."""
+        """Handle a message."""
 
     async def part(self, link: Link) -> None:
-        """Act on a link that is closed now."""
+        """Handle a link that has closed."""
 
     def count_open(self, link: Link) -> int:
-        """Return the number of requests that the link waits for."""
+        """Return the number of unanswered requests of the link."""
 
 
 class LinkKeeper:
-    """Keeps the links that are wanted, one task for each."""
+    """Maintains links to the selected entries, with one curio task per link."""
 
     def __init__(
         self,
@@ -78,11 +78,11 @@
         return [peer.link for peer in peers if peer.link and not peer.link.closed]
 
     def set_handler(self, handler: LinkHandler) -> None:
-        """Set who acts on messages; to be called before :meth:`run`."""
+        """Set the handler of links and messages; call it before :meth:`run`."""
         self._handler = handler
 
     async def run(self) -> None:
-        """Keep links until cancelled."""
+        """Maintain links until cancelled."""
         try:
             while True:
                 await self.review()
@@ -93,24 +93,24 @@
                 await self._end(peer)
 
     async def review(self) -> None:
-        """Dial what is wanted, and leave what is not."""
+        """Dial selected entries without a link, and retire links to all others."""
         wanted = self.choose_addresses()
         for address in wanted:
             await self._want(address)
         settled = any(self._is_in_use(a) for a in wanted)
         for peer in list(self._peers.values()):
             surplus = peer.address not in wanted and (settled or peer.link is None)
-            # An entry that was told goodbye counts this link as leaving, also
-            # if it is wanted again meanwhile: only a new link undoes that.
+            # An entry that has received a goodbye treats the link as closing, even
+            # if the entry is selected again; only a new link changes that.
             if surplus or peer.leaving_since is not None:
                 await self._leave(peer)
 
     def choose_addresses(self) -> set[str]:
-        """Return the addresses to be linked to now."""
+        """Return the addresses of the entries that should be linked."""
         return self._choice.choose(self._peers)
 
     async def send_to_owner(self, partition: int, message: Message) -> bool:
-        """Send to a partition's owner; False when there is no link to it now."""
+        """Send to a partition's owner; False if there is no link to it."""
         owner = self._directory.get_owner(partition)
         if owner is None:
             return False
@@ -120,35 +120,35 @@
         return False
 
     async def send_to_any(self, message: Message) -> bool:
-        """Send on one link, each time another; False when there is none."""
+        """Send on one link, chosen at random; False if there is none."""
         links = self.links
         return bool(links) and await self.send(random.choice(links), message)
 
     async def send_to_all(self, message: Message, but: Link | None = None) -> None:
-        """Send on all links, one excepted."""
+        """Send on all links except ``but``."""
         for link in self.links:
             if link is not but:
                 await self.send(link, message)
 
     async def note_goodbye(self, link: Link) -> None:
-        """Look for a substitute for an entry that is leaving."""
+        """Select a substitute for an entry that is shutting down."""
         for peer in self._peers.values():
             if peer.link is link:
                 peer.avoid_until = self._clock() + AVOID_AFTER_GOODBYE_S
         await self._changed.set()
 
     async def note_directory(self) -> None:
-        """Look again at which links are wanted."""
+        """Select entries again after a change of the directory."""
         await self._changed.set()
 
     async def say_goodbye(self, reason: str) -> None:
-        """Tell all entries that this agent takes nothing new."""
+        """Inform all entries that this agent accepts no new work."""
         self._draining = True
         await self.send_to_all(Goodbye(reason))
 
     async def send(self, link: Link, message: Message) -> bool:
-        """Send on one link; False when it takes nothing."""
-        # One link that takes nothing may not hold up what goes to the others.
+        """Send on one link; False if it is closed or its buffer stays full."""
+        # The time limit keeps a blocked link from delaying messages to others.
         async with curio.ignore_after(SEND_S):
             try:
                 await link.send(message)
@@ -168,7 +168,7 @@
             peer.task = await curio.spawn(self._keep, peer, daemon=True)
 
     async def _leave(self, peer: EntryPeer) -> None:
-        """Say goodbye on a link, and end it once its answers are sent."""
+        """Send a goodbye on a link, and close it once its requests are answered."""
         now = self._clock()
         if peer.link is None or self._handler is None:
             await self._end(peer)
@@ -188,20 +188,20 @@
             await peer.task.cancel()
 
     async def _keep(self, peer: EntryPeer) -> None:
-        """Keep one link, for ever: dial, serve, and dial again."""
+        """Maintain the link to one entry until cancelled: dial, serve, redial."""
         await curio.sleep(peer.pauses.take())
         while True:
             opened_at = self._clock()
             try:
                 await self._dial(peer)
             except LinkSilentError as error:
-                log.warning("agent: link replaced, {}", error)
+                log.warning("agent: replacing a silent link: {}", error)
                 continue
             except (PistachiodealError, OSError) as error:
-                log.info("agent: link ended, {}", error)
+                log.info("agent: link ended: {}", error)
             except Exception as error:
                 log.error("agent: link to {} failed: {!r}", peer.address, error)
-                log.debug("agent: trace of {}", peer.address, exc_info=True)
+                log.debug("agent: traceback for {}", peer.address, exc_info=True)
             if self._clock() - opened_at >= STABLE_S:
                 peer.pauses.reset()
             await self._changed.set()
--- a/pistachiodeal/agent/outbox.py
+++ b/pistachiodeal/agent/outbox.py
@@ -1,4 +1,4 @@
-"""Messages to owners of partitions, sent until they are acknowledged."""
+"""Messages to partition owners, resent until they are acknowledged."""
 
 from __future__ import annotations
 
@@ -24,20 +24,20 @@
 
 
 class OwnerRoute(Protocol):
-    """A way to the owner of a partition."""
+    """Sends messages to the owners of partitions."""
 
     async def send_to_owner(self, partition: int, message: Notification) -> bool:
-        """Send a message; False when there is no link to the owner now."""
+        """Send a message; False if there is no link to the owner."""
 
 
 @dataclass(slots=True)
 class Notice:
-    """A message that an owner has to get.
+    """A message to an owner, with its state of delivery.
 
-    :param pause: time until it is sent again, seconds.
-    :param next_at: when it is sent next, monotonic clock, seconds.
-    :param save_until: until when the object store is tried, same clock.
-    :param unsaved: checkpoint that the object store hasn't taken yet.
+    :param pause: time until the next resend, seconds.
+    :param next_at: time of the next send, monotonic clock, seconds.
+    :param save_until: end of the attempts to write ``unsaved``, same clock.
+    :param unsaved: checkpoint that is not yet written to the object store.
     """
 
     partition: int
@@ -50,19 +50,19 @@
 
     @property
     def droppable(self) -> bool:
-        """Tell whether an owner that misses it asks again and gets the same."""
+        """Return whether an owner that misses it asks again and gets the same."""
         if isinstance(self.message, StartRefused):
             return True
         return self.message.state == UNKNOWN_RUN
 
 
 class Outbox:
-    """Sends each end of a run to its owner until it is acknowledged.
+    """Sends the end of each run to its owner until it is acknowledged.
 
-    A refusal has no acknowledgement; it is sent until a link has taken it.
+    A refusal is not acknowledged; it is sent until a link has accepted it.
 
-    :param kept: most messages held; over it, one that its owner gets anew by
-        asking again is dropped for each that is added.
+    :param kept: maximum number of messages. Beyond it, each added message
+        displaces one that its owner can obtain by asking again.
     """
 
     def __init__(
@@ -76,16 +76,16 @@
 
     @property
     def empty(self) -> bool:
-        """Tell whether every owner knows all it has to."""
+        """Return whether no message waits for delivery."""
         return not self._notices
 
     @property
     def unsaved_bytes(self) -> int:
-        """Return the size of the checkpoints that wait for the object store."""
+        """Return the total size of checkpoints not yet in the object store."""
         return sum(len(notice.unsaved or b"") for notice in self._notices.values())
 
     def partitions(self) -> set[int]:
-        """Return the partitions whose owners have something to be told."""
+        """Return the partitions with undelivered messages."""
         return {notice.partition for notice in self._notices.values()}
 
     def put(
@@ -95,7 +95,7 @@
         unsaved: bytes | None = None,
         unsaved_key: str = "",
     ) -> None:
-        """Add a message, in place of an earlier one of the same attempt."""
+        """Add a message, replacing an earlier one of the same attempt."""
         now = self._clock()
         key = (message.task_id, message.attempt)
         if key not in self._notices and len(self._notices) >= self._kept:
@@ -106,7 +106,7 @@
         )
 
     def hasten(self, task_id: str, attempt: int) -> bool:
-        """Send the end of an attempt again now; False when there is none."""
+        """Make the message of an attempt due now; False if there is none."""
         notice = self._notices.get((task_id, attempt))
         if notice is None:
             return False
@@ -114,11 +114,11 @@
         return True
 
     def drop(self, task_id: str, attempt: int) -> None:
-        """Send this no more: it was acknowledged, or superseded."""
+        """Remove the message of an attempt: it was acknowledged or superseded."""
         self._notices.pop((task_id, attempt), None)
 
     async def send_due(self) -> None:
-        """Send what is due, a bounded number at a time."""
+        """Send due messages, at most :data:`SEND_BATCH` per call."""
         now = self._clock()
         due = [pair for pair in self._notices.items() if pair[1].next_at <= now]
         for key, notice in due[:SEND_BATCH]:
@@ -136,7 +136,10 @@
             if self._clock() < notice.save_until:
                 self._postpone(notice)
                 return False
-            log.warning("agent: checkpoint of {} lost", notice.message.task_id)
+            log.warning(
+                "agent: checkpoint of {} not stored in time, discarding it",
+                notice.message.task_id,
+            )
         notice.unsaved = None
         return True
 
@@ -167,5 +170,5 @@
 def create_outbox(
     route: OwnerRoute, objects: ObjectStore, clock: Clock, kept: int = NOTICES_KEPT
 ) -> Outbox:
-    """Make an empty outbox."""
+    """Create an empty outbox."""
     return Outbox(route, objects, clock, kept)
--- a/pistachiodeal/agent/owner_messages.py
+++ b/pistachiodeal/agent/owner_messages.py
@@ -1,4 +1,4 @@
-"""Messages from owners of partitions, carried out in order for each task."""
+"""Handling of messages from partition owners, in order for each task."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class OwnerMessages:
-    """Takes what owners send, and does what they ask for."""
+    """Handles the starts, stops, renewals and acknowledgements of owners."""
 
     def __init__(
         self,
@@ -51,7 +51,7 @@
         self._metrics = metrics
 
     async def receive(self, message: TaskMessage) -> None:
-        """Take a message from an owner; what it asks for is done in the background."""
+        """Accept a message from an owner; it is executed in the background."""
         if isinstance(message, Renew):
             await self._renewer.take(message)
             return
@@ -83,9 +83,10 @@
             await self._ender.stop(held)
 
     def _answer_unknown(self, stop: Stop) -> None:
-        """Say that an attempt never ran here, and never will.
+        """Report that an attempt never ran on this worker, and never will.
 
-        Its Start may still be on the way by another link; it is barred.
+        Its Start may still be in transit on another link, so it is rejected from
+        now on.
         """
         if self._outbox.hasten(stop.task_id, stop.attempt):
             return
--- a/pistachiodeal/agent/peers.py
+++ b/pistachiodeal/agent/peers.py
@@ -1,4 +1,4 @@
-"""Entries as an agent sees them: their links, and the pauses between dials."""
+"""The state of an agent's link to each entry, and the backoff between dials."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 class Pauses:
-    """Growing pauses between dials, with jitter.
+    """Exponential backoff between dials, with jitter.
 
-    After an entry's death, or a store outage, all agents dial at the same
-    moment; without jitter they would do so again and again in one wave.
+    After the failure of an entry or a store outage, all agents dial at the same
+    time. Without jitter, their retries would stay synchronised.
     """
 
     def __init__(self, choose: Callable[[float, float], float] | None = None) -> None:
@@ -26,11 +26,11 @@
         self._limit = FIRST_PAUSE_S
 
     def reset(self) -> None:
-        """Start with short pauses again."""
+        """Return to the shortest delay."""
         self._limit = FIRST_PAUSE_S
 
     def take(self) -> float:
-        """Return the next pause, in seconds."""
+        """Return the next delay, in seconds."""
         pause = self._choose(0.0, self._limit)
         self._limit = min(self._limit * 2, MAX_PAUSE_S)
         return pause
@@ -38,11 +38,12 @@
 
 @dataclass(slots=True, eq=False)
 class EntryPeer:
-    """One entry's address, and the state of the link to it.
+    """The address of an entry, and the state of the link to it.
 
-    :param failures: dials that failed in a row.
-    :param avoid_until: the entry said goodbye; another one is chosen until then.
-    :param leaving_since: when the link was found to be no longer wanted.
+    :param failures: number of consecutive failed dials.
+    :param avoid_until: time until which a substitute is selected, because the
+        entry sent a goodbye; monotonic clock, seconds.
+    :param leaving_since: when the agent began to retire the link, same clock.
     """
 
     address: str
--- a/pistachiodeal/agent/reporting.py
+++ b/pistachiodeal/agent/reporting.py
@@ -1,4 +1,4 @@
-"""Reports to the entries: the agent's heartbeat, and what its worker can take."""
+"""Periodic reports to entries: the agent's heartbeat and its worker's free capacity."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 
 
 class Capacity(Protocol):
-    """The part of the ledger that reports need."""
+    """The ledger, as far as reports use it."""
 
     @property
     def capacity(self) -> Resources:
-        """Return what the worker has in all."""
+        """Return the worker's total capacity."""
 
 
 class TaskView(Protocol):
-    """The part of the task keeper that reports need."""
+    """The task manager, as far as reports use it."""
 
     @property
     def ledger(self) -> Capacity:
@@ -34,30 +34,32 @@
 
     @property
     def room(self) -> Resources:
-        """Return what may be promised to tasks now."""
+        """Return the resources available to new tasks."""
 
     def note_beat(self, beat: int, sent_at: float) -> None:
-        """Remember when a beat was sent."""
+        """Record when a beat is sent."""
 
     def refs(self, partitions: set[int]) -> tuple[TaskRef, ...]:
-        """Return the runs of these partitions."""
+        """Return references to the runs of these partitions."""
 
 
 class LinkSender(Protocol):
-    """The part of the link keeper that reports need."""
+    """The link manager, as far as reports use it."""
 
     @property
     def links(self) -> list[Link]:
         """Return the open links."""
 
     async def send(self, link: Link, message: Message) -> bool:
-        """Send on one link; False when it takes nothing."""
+        """Send on one link; False if it is closed or blocked."""
 
 
 class Reporter:
-    """Sends a report on every link, each time with the next beat.
+    """Sends a report on every link periodically, each round with a new beat.
 
-    :ivar draining: say that this worker takes nothing new.
+    A beat is the sequence number of a heartbeat; owners grant leases for it.
+
+    :ivar draining: report that this worker accepts no new work.
     """
 
     def __init__(
@@ -77,14 +79,14 @@
         self._directory = directory
         self._links = links
         self._clock = clock
-        # Beats of an earlier agent on this worker may still come back with a
-        # late Renew or Start. Had this one the same numbers, such a message
-        # would extend a lease from a beat that was never sent; so numbers
-        # start from the host's clock, which is past all earlier ones.
+        # A late Renew or Start may still answer a beat of an earlier agent process
+        # on this worker. If this process reused that number, the message would
+        # extend a lease from a beat that it never answered. So beats start from
+        # the host's monotonic clock, which is past all earlier beats.
         self._beat = int(clock() * BEATS_PER_SECOND)
 
     async def run(self) -> None:
-        """Report until cancelled."""
+        """Send reports until cancelled."""
         while True:
             await self.report()
             await curio.sleep(self._report_s)
@@ -96,11 +98,11 @@
             await self._links.send(link, self._build_report(beat, link))
 
     async def greet(self, link: Link) -> None:
-        """Send a report on a link that is new, ahead of the next round."""
+        """Send a report on a new link, without waiting for the next round."""
         await self._links.send(link, self._build_report(self._take_beat(), link))
 
     def _take_beat(self) -> int:
-        """Return the next beat; leases granted with it count from now."""
+        """Return the next beat; leases granted for it start now."""
         self._beat += 1
         self._tasks.note_beat(self._beat, self._clock())
         return self._beat
