--- a/pistachiodeal/agent/eviction.py
+++ b/pistachiodeal/agent/eviction.py
@@ -1,4 +1,4 @@
-"""How a run ends: checkpoint, then a stop that the worker confirms."""
+"""Termination of runs: a checkpoint, then a stop that the worker confirms."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 
 class RunEnder:
-    """Stops runs, with a checkpoint or without, step by step.
+    """Stops runs, with or without a checkpoint.
 
-    Each step may fail or its answer may be lost. A run counts as ended only when
-    the worker said so; until then it stays in phase ``stopping``, and the keeper
-    asks again.
+    Each step may fail, or its response may be lost. A run counts as ended only
+    when the worker has reported its end; until then it stays in phase
+    ``stopping``, and the stop is retried.
     """
 
     def __init__(
@@ -43,10 +43,10 @@
         self._clock = clock
 
     async def evict(self, held: HeldRun) -> bool:
-        """Make a checkpoint, store it, then stop; False when it goes on running.
+        """Take and store a checkpoint, then stop; False if the run continues.
 
-        Without a stored checkpoint the work done would be lost, so the run is
-        left alone.
+        Without a stored checkpoint the completed work would be lost, so the run
+        is not stopped then.
         """
         if held.phase is not Phase.RUNNING:
             return False
@@ -60,11 +60,11 @@
         return True
 
     async def stop_lapsing(self, held: HeldRun, margin: float) -> None:
-        """Stop a run at a checkpoint because its lease is about to end.
+        """Stop a run at a checkpoint because its lease is about to expire.
 
-        No renewals mean a store outage or a lost owner. The object store may be
-        out too: then the checkpoint waits in memory and is stored later. A
-        renewal that came meanwhile, or a failed checkpoint, leaves it running.
+        Missing renewals mean a store outage or a lost owner. If the object store
+        is down too, the checkpoint is kept in memory and stored later. The run
+        continues if its lease was renewed meanwhile or the checkpoint failed.
 
         :param margin: time before the end of the lease, seconds.
         """
@@ -78,12 +78,14 @@
             if self._outbox.unsaved_bytes + len(data) > UNSAVED_BYTES:
                 return
             held.checkpoint = data
-        log.notice("agent: lease of {} ends, stopped at a checkpoint", held.task_id)
+        log.notice(
+            "agent: lease of {} expires, stopping it at a checkpoint", held.task_id
+        )
         self._metrics.count("task.lapsed")
         await self.stop(held)
 
     async def stop(self, held: HeldRun) -> None:
-        """Ask the worker to stop it; the answer says how it truly ended."""
+        """Ask the worker to stop a run; the response says how the run ended."""
         if held.ended:
             return
         held.stop_asked = True
@@ -100,7 +102,7 @@
             self.finish(held, run)
 
     def finish(self, held: HeldRun, run: Run) -> None:
-        """Note the end of a run, as the worker has reported it."""
+        """Apply the end of a run that the worker has reported."""
         if held.ended:
             return
         if run.state not in (RunState.STOPPED, RunState.EXPIRED):
@@ -108,7 +110,7 @@
         self.end(held, run.state, run.result)
 
     def end(self, held: HeldRun, state: str, result: str = "") -> None:
-        """Give a run's room back and tell its owner; it is over for certain."""
+        """Release the reservation of a run that has ended, and notify its owner."""
         now = self._clock()
         held.resumes = state not in (RunState.FINISHED, RunState.FAILED)
         self._table.end(held, now)
@@ -119,24 +121,24 @@
         held.checkpoint = None
 
     async def forget(self, task_id: str, attempt: int) -> None:
-        """Let the worker drop an attempt; a later look at its runs tries again."""
+        """Ask the worker to drop an attempt; a later poll retries a failure."""
         try:
             await self._runtime.forget(task_id, attempt)
         except WorkerFencedError:
             raise
         except WorkerError as error:
-            log.debug("agent: {}/{} not forgotten: {}", task_id, attempt, error)
+            log.debug("agent: forget of {}/{} failed: {}", task_id, attempt, error)
 
     async def delete_checkpoint(self, held: HeldRun) -> None:
-        """Remove the checkpoint of a run that ended by itself after it was made.
+        """Delete the checkpoint of a run that finished after taking it.
 
-        Its owner was not told of it, and so would leave it behind for ever.
+        Its owner does not know of that checkpoint, so nothing else deletes it.
         """
         if not held.resumes and held.resume_key == build_checkpoint_key(held):
             try:
                 await self._objects.delete(held.resume_key)
             except StoreError as error:
-                log.debug("agent: {} left behind: {}", held.resume_key, error)
+                log.debug("agent: delete of {} failed: {}", held.resume_key, error)
 
     async def _take_checkpoint(self, held: HeldRun) -> bytes | None:
         if held.phase is not Phase.RUNNING:
@@ -146,7 +148,7 @@
         except WorkerFencedError:
             raise
         except WorkerError as error:
-            log.info("agent: no checkpoint of {}: {}", held.task_id, error)
+            log.info("agent: checkpoint of {} failed: {}", held.task_id, error)
             return None
         return None if held.phase is not Phase.RUNNING else data
 
@@ -167,10 +169,10 @@
 
 
 def build_ended(held: HeldRun, state: str, result: str, now: float) -> TaskEnded:
-    """Return the message that tells an owner how a run ended.
+    """Return the message that reports the end of a run to its owner.
 
-    Its checkpoint is the latest stored one, which for a run that made none is
-    the one it was started from.
+    It names the latest stored checkpoint; for a run that stored none, that is
+    the checkpoint from which it was started.
     """
     run_s = max(0.0, now - held.started_at) if held.started_at else 0.0
     return TaskEnded(
--- a/pistachiodeal/agent/guarding.py
+++ b/pistachiodeal/agent/guarding.py
@@ -1,4 +1,4 @@
-"""The child that lets the guard decide, and carries out what it decides."""
+"""Control loop that runs the guard periodically and carries out its actions."""
 
 from __future__ import annotations
 
@@ -24,38 +24,38 @@
 
 
 class ServiceFigures(Protocol):
-    """Late figures of the services on this worker."""
+    """Recent load and latency of the services on this worker."""
 
     def figures(self) -> tuple[ServiceLoad, ...]:
-        """Return the services that have runners here."""
+        """Return the load of each service that has runners on this worker."""
 
     def latency(self, service: str) -> float:
         """Return the recent latency at the promised percentile, seconds."""
 
 
 class TaskControl(Protocol):
-    """What the guard may do to tasks."""
+    """The operations on tasks that the guard loop needs."""
 
     @property
     def held(self) -> Iterable[HeldRun]:
-        """Return the runs that are here."""
+        """Return the records of the runs on this worker."""
 
     @property
     def capacity(self) -> Resources:
-        """Return what the worker has in all."""
+        """Return the worker's total capacity."""
 
     def runs(self) -> list[RunView]:
-        """Return the runs as the guard sees them."""
+        """Return the running runs as input for the guard."""
 
     async def throttle(self, task_id: str, share: float) -> None:
-        """Let a run use this share of its size."""
+        """Limit a run to this share of its size."""
 
     async def evict(self, task_id: str) -> None:
         """Stop a run at a checkpoint."""
 
 
 class Guarding:
-    """Tells the guard what goes on, and does what it decides."""
+    """Passes measurements to the guard and carries out the actions it returns."""
 
     def __init__(
         self,
@@ -79,13 +79,13 @@
         self._clock = clock
 
     async def run(self) -> None:
-        """Decide for ever, once in each period."""
+        """Run the guard once per period until cancelled."""
         while True:
             await self.act()
             await curio.sleep(self._settings.period_s)
 
     async def act(self) -> None:
-        """Note what runs, let the guard decide, and carry it out."""
+        """Record which kinds of task run, call the guard, carry out its actions."""
         now = self._clock()
         shares = sum_kinds(self._keeper.held, self._keeper.capacity)
         self._timeline.note(now, shares)
@@ -99,7 +99,7 @@
                 await self._keeper.evict(action.task_id)
 
     def _read_services(self, now: float) -> list[ServiceReading]:
-        """Return a reading of each service that has a promise and had requests."""
+        """Return a reading of each latency-critical service with recent requests."""
         readings = []
         for load in self._figures.figures():
             policy = self._policies.policy(load.service)
@@ -119,10 +119,11 @@
 def build_reading(
     profile: Profile, service: str, now: float, latency_s: float, service_s: float
 ) -> ServiceReading:
-    """Return a service's latency beside what its profile promises.
+    """Return a service's latency together with the bound that its profile promises.
 
-    :param latency_s: at the promised percentile, waiting included, seconds.
-    :param service_s: mean time at the runners alone, seconds.
+    :param latency_s: latency at the promised percentile, including the wait in
+        the queue, seconds.
+    :param service_s: mean service time of the runners alone, seconds.
     """
     return ServiceReading(
         service,
@@ -136,7 +137,7 @@
 
 
 def build_view(held: HeldRun, profile: Profile) -> RunView:
-    """Return a run as the guard sees it, with what its profile says."""
+    """Return a run as input for the guard, with the limits from its profile."""
     return RunView(
         held.task_id,
         held.kind,
@@ -153,15 +154,16 @@
 def sum_kinds(runs: Iterable[HeldRun], capacity: Resources) -> Mapping[str, float]:
     """Return the share of the worker's processors that each kind of task uses.
 
-    Measured use goes before what was reserved, as declared sizes are often wrong.
+    Measured use takes precedence over the reserved size, because declared sizes
+    are often wrong.
     """
     shares: dict[str, float] = {}
     for held in runs:
         if held.phase not in (Phase.RUNNING, Phase.STOPPING):
             continue
         reserved = held.size.cpu_milli * held.share
-        # Measurements lag: one from before a throttle would show the task at its
-        # old speed, and the guard would press the same task again.
+        # Measurements lag. One from before a throttle shows the task's earlier use,
+        # and the guard would throttle the same task again.
         used = reserved if held.recent is None else held.recent.cpu_milli
         used = min(used, reserved) if held.share < 1.0 else used
         share = used / max(capacity.cpu_milli, 1)
@@ -180,7 +182,7 @@
     metrics: Metrics,
     clock: Callable[[], float] = time.monotonic,
 ) -> Guarding:
-    """Make the child that guards the services of one worker."""
+    """Create the guard loop of one worker."""
     return Guarding(
         keeper=keeper,
         figures=figures,
--- a/pistachiodeal/agent/held_runs.py
+++ b/pistachiodeal/agent/held_runs.py
@@ -1,4 +1,4 @@
-"""The runs that this worker holds, and the ledger that holds their room."""
+"""Records of the runs on this worker, and the table that holds them."""
 
 from __future__ import annotations
 
@@ -13,35 +13,35 @@
 
 
 class Phase(StrEnum):
-    """What the agent knows of a run."""
+    """The state of a run as far as the agent knows it."""
 
-    STARTING = "starting"  # reserved; the worker was not asked yet
-    UNCERTAIN = "uncertain"  # the worker was asked, and its answer was lost
+    STARTING = "starting"  # resources reserved; no start sent to the worker yet
+    UNCERTAIN = "uncertain"  # start sent; the worker's response is missing
     RUNNING = "running"
-    STOPPING = "stopping"  # the worker was asked to stop it, or will be again
+    STOPPING = "stopping"  # stop requested; repeated until the worker confirms
     ENDED = "ended"
 
 
 @dataclass(slots=True)
 class HeldRun:
-    """An attempt that is on this worker, or was and is not acknowledged.
+    """An attempt on this worker, kept until its owner acknowledges its end.
 
     :param lease_until: end of the lease, monotonic clock, seconds.
     :param lease_s: length of the lease, seconds.
-    :param from_beat: only grants for this beat or a later one concern this run;
-        earlier reports didn't name it.
-    :param resume_key: object from which the next attempt goes on.
-    :param min_run_s: how long it is left alone before an eviction, seconds.
-    :param evictions: how often the task was evicted in earlier attempts.
+    :param from_beat: only grants for this beat or a later one renew this run;
+        earlier reports did not list it.
+    :param resume_key: key of the checkpoint from which the next attempt resumes.
+    :param min_run_s: time that it runs before it may be evicted, seconds.
+    :param evictions: number of evictions of the task in earlier attempts.
     :param started_at: when the worker confirmed the start, 0 before.
-    :param share: part of its size that it may use, 1 unless throttled.
-    :param used: largest use seen.
-    :param recent: latest use seen, None before the first measurement.
+    :param share: share of its size that it may use, 1 unless throttled.
+    :param used: largest measured use.
+    :param recent: latest measured use, None before the first measurement.
     :param changed_at: when the phase last changed, monotonic clock, seconds.
-    :param checkpoint: state that waits for the object store.
-    :param request: what the worker was asked, while its answer is not known.
-    :param stop_asked: it has to end; stopped again until the worker confirms it.
-    :param resumes: a later attempt goes on from its checkpoint.
+    :param checkpoint: checkpoint data not yet written to the object store.
+    :param request: the start request, while the worker's response is missing.
+    :param stop_asked: a stop was requested; repeated until the worker confirms it.
+    :param resumes: a later attempt may resume from its checkpoint.
     """
 
     task_id: str
@@ -70,12 +70,12 @@
 
     @property
     def name(self) -> str:
-        """Return the name of its reservation."""
+        """Return the name of the run's reservation in the ledger."""
         return f"task/{self.task_id}"
 
     @property
     def tag(self) -> RunTag:
-        """Return what the worker is to keep with it."""
+        """Return the tag that the worker stores with the run."""
         return RunTag(
             self.partition,
             self.epoch,
@@ -88,20 +88,21 @@
 
     @property
     def ended(self) -> bool:
-        """Tell whether it is over for certain."""
+        """Return whether the run has certainly ended."""
         return self.phase is Phase.ENDED
 
     def enter(self, phase: Phase, now: float) -> None:
-        """Go on to a phase; an ended run stays ended."""
+        """Change to a phase; an ended run stays ended."""
         if not self.ended:
             self.phase = phase
             self.changed_at = now
 
     def accepts(self, grant: LeaseGrant, beat: int) -> bool:
-        """Tell whether a grant for a beat's report renews this run's lease.
+        """Return whether a grant that answers the report ``beat`` renews this run.
 
-        Not while the fate of its start is unknown: the worker refuses a start
-        whose lease has passed, and this makes its fate certain in the end.
+        The lease is not renewed while the outcome of the start is unknown: the
+        worker refuses a start whose lease has expired, so the outcome becomes
+        certain once the lease has ended.
         """
         return (
             self.phase is Phase.RUNNING
@@ -113,10 +114,11 @@
 
 @dataclass(slots=True)
 class HeldRunTable:
-    """The runs on this worker by task, and the ledger that holds their room.
+    """The runs on this worker by task, and the ledger with their reservations.
 
-    :param closed: no task is started any more; the agent drains.
-    :param accept_from: no task is started before, monotonic clock, seconds.
+    :param closed: no more tasks are started; the agent is draining.
+    :param accept_from: time before which no task is started, monotonic clock,
+        seconds.
     """
 
     ledger: Ledger
@@ -125,19 +127,19 @@
     accept_from: float = float("inf")
 
     def accepts(self, now: float) -> bool:
-        """Tell whether tasks may be started at all."""
+        """Return whether tasks may be started."""
         return not self.closed and now >= self.accept_from
 
     def end(self, held: HeldRun, now: float) -> None:
-        """Give the room of a run back, which is over for certain."""
+        """Mark a run as ended and release its reservation."""
         held.enter(Phase.ENDED, now)
         self.ledger.release(held.name)
 
 
 def create_held_run(start: Start, lease_until: float, latest_beat: int) -> HeldRun:
-    """Make the record of a run that is about to be started.
+    """Create the record of a run that is about to be started.
 
-    :param lease_until: monotonic clock, seconds.
+    :param lease_until: end of the lease, monotonic clock, seconds.
     """
     return HeldRun(
         start.task_id,
@@ -158,11 +160,11 @@
 
 
 def adopt_run(run: Run, now: float) -> HeldRun:
-    """Make the record of a run that an earlier agent has started.
+    """Create the record of a run that an earlier agent process has started.
 
-    The worker does not say when its lease ends. Half a lease from now is taken
-    for it, so that without renewals a checkpoint is made in time; the worker
-    itself goes by the true end.
+    The worker does not report when the lease ends. The agent assumes half a lease
+    from now, so that a checkpoint is taken in time if no renewal arrives; the
+    worker itself enforces the actual end.
     """
     tag = read_tag(run.tag, run.task_id)
     return HeldRun(
--- a/pistachiodeal/agent/leases.py
+++ b/pistachiodeal/agent/leases.py
@@ -1,4 +1,4 @@
-"""Leases on the agent: beats, epochs, barred attempts and renewals."""
+"""Leases on the agent: heartbeats, epochs, rejected attempts and renewals."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 
 
 class LeaseBook:
-    """Says until when a lease lasts, and which owner of a partition is the latest.
+    """Computes the ends of leases, and tracks the highest epoch of each partition.
 
-    A lease counts from the moment the agent sent the beat that it answers, so
-    that an answer held up on the way, or sent by an owner that was frozen
-    between two lines, brings an end that has passed already.
+    A lease starts when the agent sent the beat that the grant answers. A grant
+    that was delayed in transit, or sent by an owner whose process was suspended,
+    therefore yields an end that has already passed.
     """
 
     def __init__(self, beats_kept: int = BEATS_KEPT) -> None:
@@ -38,13 +38,14 @@
 
     @property
     def latest_beat(self) -> int:
-        """Return the latest beat that was noted, 0 before the first."""
+        """Return the latest recorded beat, 0 before the first."""
         return self._latest_beat
 
     def note_beat(self, beat: int, sent_at: float) -> None:
-        """Remember when a beat was sent; called before it is sent.
+        """Record when a beat is sent; called before sending it.
 
-        A beat that isn't above the latest is ignored: the first time counts.
+        A beat that is not above the latest is ignored, so that the first time of
+        sending counts.
 
         :param sent_at: monotonic clock, seconds.
         """
@@ -56,9 +57,9 @@
             self._sent_at.popitem(last=False)
 
     def find_end(self, beat: int, lease_ms: int) -> float | None:
-        """Return the end of a lease granted with a beat; None for an unknown beat.
+        """Return the end of a lease granted for a beat, None if the beat is unknown.
 
-        :param lease_ms: length, milliseconds.
+        :param lease_ms: length of the lease, milliseconds.
         :returns: monotonic clock, seconds.
         """
         sent_at = self._sent_at.get(beat)
@@ -67,11 +68,11 @@
         return sent_at + min(max(lease_ms, 0) / 1000, MAX_LEASE_S)
 
     def epoch(self, partition: int) -> int:
-        """Return the highest epoch seen of a partition, 0 for none."""
+        """Return the highest known epoch of a partition, 0 if none is known."""
         return self._epochs.get(partition, 0)
 
     def note_epoch(self, partition: int, epoch: int) -> bool:
-        """Remember an epoch; False when a higher one was seen before."""
+        """Record an epoch; return False if a higher one is known already."""
         if not 0 <= partition < MAX_PARTITIONS:
             return False
         if epoch < self.epoch(partition):
@@ -81,10 +82,11 @@
 
 
 class BarredAttempts:
-    """Attempts of which an owner was told that they never will run here.
+    """Attempts that, as their owner was informed, will never run on this worker.
 
-    A Start can arrive after that, by another link. Memory is bounded: when an
-    entry is dropped, every Start with a beat of its time or before is refused.
+    A Start of such an attempt can still arrive later, on another link. The number
+    of attempts is bounded: after one is dropped, every Start whose beat is not
+    above the beat recorded with it is refused.
     """
 
     def __init__(self, kept: int = BARRED_KEPT) -> None:
@@ -93,7 +95,7 @@
         self._floor = 0
 
     def bar(self, task_id: str, attempt: int, beat: int) -> None:
-        """Refuse this and lower attempts of a task from now on.
+        """Reject this and all lower attempts of a task from now on.
 
         :param beat: the latest beat.
         """
@@ -104,16 +106,16 @@
             self._floor = max(self._floor, dropped_beat)
 
     def covers(self, task_id: str, attempt: int, beat: int) -> bool:
-        """Tell whether a Start of this attempt with this beat is to be refused."""
+        """Return whether a Start of this attempt with this beat must be refused."""
         barred, _ = self._attempts.get(task_id, (0, 0))
         return attempt <= barred or beat <= self._floor
 
 
 class Renewer:
-    """Passes renewed leases on to the worker, all that wait in one call.
+    """Renews leases at the worker, all pending ones in a single call.
 
     :param held: the runs on this worker by task.
-    :param retry_s: pause after a renewal that failed, seconds.
+    :param retry_s: pause after a failed renewal, seconds.
     """
 
     def __init__(
@@ -134,7 +136,7 @@
         self._wanted = curio.Event()
 
     async def take(self, renew: Renew) -> None:
-        """Work out the new ends of the leases that an owner has granted."""
+        """Compute new lease ends from an owner's grants and queue the renewals."""
         grants = {grant.partition: grant for grant in renew.grants}
         for held in self._held.values():
             grant = grants.get(held.partition)
@@ -146,9 +148,9 @@
             await self._wanted.set()
 
     async def run(self) -> None:
-        """Renew for ever.
+        """Renew leases until cancelled.
 
-        :raises WorkerFencedError: another agent has this worker.
+        :raises WorkerFencedError: another agent has attached to this worker.
         """
         while True:
             await self._wanted.wait()
@@ -156,7 +158,7 @@
             await self.pass_on()
 
     async def pass_on(self) -> None:
-        """Renew what waits, once; what fails waits on."""
+        """Send the pending renewals once; failed ones stay pending."""
         now = self._clock()
         leases = {task: end for task, end in self._waiting.items() if end > now}
         self._waiting = {}
--- a/pistachiodeal/agent/ledger.py
+++ b/pistachiodeal/agent/ledger.py
@@ -1,4 +1,4 @@
-"""The ledger of what a worker has given away."""
+"""The ledger of a worker's reserved resources."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 class Ledger:
     """Reservations by name against a worker's capacity.
 
-    No method awaits. A caller reserves before its first await, because two
-    that check first and write after an await both find the same room free.
+    No method awaits. A caller must reserve before its first await: two callers
+    that check, await and then reserve would both find the same resources free.
     """
 
     def __init__(self, capacity: Resources) -> None:
@@ -21,22 +21,22 @@
 
     @property
     def capacity(self) -> Resources:
-        """Return what the worker has in all."""
+        """Return the worker's total capacity."""
         return self._capacity
 
     @property
     def free(self) -> Resources:
-        """Return what is left; a field is negative when too much was found running."""
+        """Return the unreserved resources; a field is negative if overcommitted."""
         return self._free
 
     def holds(self, name: str) -> bool:
-        """Tell whether there is a reservation of this name."""
+        """Return whether there is a reservation of this name."""
         return name in self._sizes
 
     def reserve(self, name: str, size: Resources) -> bool:
-        """Reserve ``size``, or return False and leave everything as it was.
+        """Reserve ``size``; return False and change nothing if it does not fit.
 
-        A name that is held already is resized if there is room for the rest.
+        An existing reservation of that name is resized if the difference fits.
         """
         if not _is_amount(size):
             return False
@@ -49,15 +49,15 @@
         return True
 
     def adopt(self, name: str, size: Resources) -> None:
-        """Count what runs already, room or not.
+        """Reserve resources that are already in use, even if they do not fit.
 
-        A reservation is only enlarged by this. When it takes a field of
-        ``free`` below zero nothing more is accepted until enough has ended.
+        An existing reservation is only enlarged. If a field of ``free`` becomes
+        negative, nothing more is accepted until enough reservations are released.
         """
         self._set(name, size.enlarge(self._sizes.get(name, NOTHING)))
 
     def release(self, name: str) -> None:
-        """Give a reservation back, if there is one."""
+        """Release a reservation if it exists."""
         size = self._sizes.pop(name, None)
         if size is not None:
             self._free = self._free + size
@@ -69,7 +69,7 @@
 
 
 def create_ledger(capacity: Resources) -> Ledger:
-    """Make a ledger in which nothing is reserved."""
+    """Create a ledger without reservations."""
     return Ledger(capacity)
 
 
--- a/pistachiodeal/agent/run_tags.py
+++ b/pistachiodeal/agent/run_tags.py
@@ -1,4 +1,4 @@
-"""What the worker keeps with each run, for an agent that finds it running."""
+"""Tags that the worker stores with runs, read by an agent that adopts them."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 import orjson
 
-UNKNOWN_LEASE_S = 60.0  # for a run whose tag can't be read
+UNKNOWN_LEASE_S = 60.0  # assumed for a run whose tag is unreadable
 
 
 @dataclass(frozen=True, slots=True)
 class RunTag:
-    """What the worker keeps with a run for the next agent.
+    """Data of a run that a restarted agent needs, stored by the worker.
 
     :param lease_s: length of its lease, seconds.
-    :param min_run_s: how long it is left alone before an eviction, seconds.
-    :param resume_key: object from which the next attempt goes on.
+    :param min_run_s: time that it runs before it may be evicted, seconds.
+    :param resume_key: key of the checkpoint from which the next attempt resumes.
     """
 
     partition: int
@@ -28,12 +28,12 @@
 
 
 def write_tag(tag: RunTag) -> str:
-    """Return a tag as text."""
+    """Return a tag encoded as JSON."""
     return orjson.dumps(tag).decode()
 
 
 def read_tag(text: str, task_id: str) -> RunTag:
-    """Return what a tag says; the partition comes from the task's id if it is bad."""
+    """Decode a tag; if it is unreadable, take the partition from the task's id."""
     try:
         return RunTag(**orjson.loads(text))
     except (ValueError, TypeError):
--- a/pistachiodeal/agent/serial.py
+++ b/pistachiodeal/agent/serial.py
@@ -1,4 +1,4 @@
-"""Actions in order for each key, and keys side by side."""
+"""An executor that runs the actions of a key in order, and keys concurrently."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 
 class SerialWork:
-    """Runs actions in order for each key, and keys side by side in a pool.
+    """Runs the actions of each key in order, and different keys concurrently.
 
-    :param limit: most actions that wait.
+    :param limit: maximum number of waiting actions.
     """
 
     def __init__(self, limit: int) -> None:
@@ -24,15 +24,15 @@
 
     @property
     def full(self) -> bool:
-        """Tell whether no more is taken."""
+        """Return whether no more actions are accepted."""
         return self._count >= self._limit
 
     def holds(self, key: str) -> bool:
-        """Tell whether something of this key waits or goes on."""
+        """Return whether an action of this key is waiting or running."""
         return key in self._waiting
 
     async def put(self, key: str, action: Action) -> bool:
-        """Add an action; False, and nothing added, when it is full."""
+        """Add an action; if the limit is reached, add nothing and return False."""
         if self.full:
             return False
         self._count += 1
@@ -45,12 +45,12 @@
         return True
 
     async def put_once(self, key: str, action: Action) -> None:
-        """Add an action unless something of its key waits or goes on."""
+        """Add an action unless one of the same key is waiting or running."""
         if not self.holds(key):
             await self.put(key, action)
 
     async def restart(self) -> None:
-        """Take up what waits after the pool was cancelled in the midst of it."""
+        """Schedule the waiting actions again after the pool was cancelled."""
         self._ready = curio.Queue()
         self._waiting = {key: left for key, left in self._waiting.items() if left}
         self._count = sum(map(len, self._waiting.values()))
@@ -58,7 +58,7 @@
             await self._ready.put(key)
 
     async def work(self) -> None:
-        """Do one action after the other, for ever; several tasks run this."""
+        """Run actions until cancelled; each task of the pool runs this method."""
         while True:
             key = await self._ready.get()
             action = self._waiting[key].popleft()
--- a/pistachiodeal/agent/starting.py
+++ b/pistachiodeal/agent/starting.py
@@ -1,4 +1,4 @@
-"""Starts of runs, each under a lease, and refusals."""
+"""Starts of runs, each under a lease, and refusals of starts."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 class RunStarter:
     """Starts runs, each under a lease, or refuses them.
 
-    A refusal says that the attempt runs nowhere and never will, so it is only
-    given when that is certain.
+    A refusal states that the attempt is not running and never will, so it is sent
+    only when that is certain.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
         self._clock = clock
 
     async def start(self, start: Start) -> None:
-        """Start an attempt; a repeated Start changes nothing."""
+        """Start an attempt; a repeated Start has no further effect."""
         earlier = self._table.runs.get(start.task_id)
         if earlier is not None and earlier.attempt == start.attempt:
             self._outbox.hasten(start.task_id, start.attempt)
@@ -59,14 +59,15 @@
         if code:
             self.refuse(start, code)
             return
-        # An attempt above one that has ended shows that its end is journaled.
+        # A higher attempt shows that the owner has journaled the end of the earlier.
         if earlier is not None:
             self._outbox.drop(earlier.task_id, earlier.attempt)
         held = create_held_run(start, self._find_end(start), self._book.latest_beat)
         self._table.runs[start.task_id] = held
         code, checkpoint = await self._load_checkpoint(start.checkpoint)
-        # The load can outlast the lease, above all when this process is frozen in
-        # it; the worker would refuse, but only this frees the room at once.
+        # The load can outlast the lease, above all if this process is suspended
+        # meanwhile. The worker would refuse the start, but only this check releases
+        # the reservation at once.
         if not code and self._clock() >= held.lease_until:
             code = "lease_expired"
         if code:
@@ -76,11 +77,11 @@
         await self.ask_worker(held)
 
     async def ask_worker(self, held: HeldRun) -> None:
-        """Ask the worker to start a run, or ask again after a lost answer.
+        """Ask the worker to start a run, or repeat it after a lost response.
 
-        When the answer is lost the start may still be on its way. The phase is
-        then ``uncertain`` until the worker lists the run, or lists it not after
-        the end of the lease, with which it refuses a start that comes late.
+        If the response is lost, the start may still be in transit. The phase is
+        then ``uncertain`` until the worker lists the run, or does not list it after
+        the end of the lease: from then on the worker refuses a late start.
         """
         if held.request is None or held.ended or held.stop_asked:
             return
@@ -91,37 +92,41 @@
         except WorkerFencedError:
             raise
         except WorkerRefusedError as error:
-            log.info("agent: worker refused {}: {}", held.task_id, error)
+            log.info("agent: worker refused start of {}: {}", held.task_id, error)
             if certain:
                 self.abandon(held, "worker_refused")
         except WorkerError as error:
-            log.info("agent: start of {} is uncertain: {}", held.task_id, error)
+            log.info(
+                "agent: outcome of start of {} is unknown: {}", held.task_id, error
+            )
         else:
             self.note_started(held)
 
     def note_started(self, held: HeldRun) -> None:
-        """Note that the worker runs it."""
+        """Mark an uncertain run as running."""
         if held.phase is Phase.UNCERTAIN:
             held.request = None
             held.started_at = self._clock()
             held.enter(Phase.RUNNING, held.started_at)
 
     def abandon(self, held: HeldRun, code: str) -> None:
-        """Drop a run that certainly was not started, and never will be."""
+        """Drop a run that certainly was not started and never will be."""
         self._table.end(held, self._clock())
         if self._table.runs.get(held.task_id) is held:
             del self._table.runs[held.task_id]
         self.refuse(held, code)
 
     def refuse(self, refused: Start | HeldRun, code: str) -> None:
-        """Tell the owner that an attempt never runs here, and hold to it."""
-        log.info("agent: {}/{} refused, {}", refused.task_id, refused.attempt, code)
+        """Refuse an attempt, and reject any later Start of it."""
+        log.info(
+            "agent: start of {}/{} refused: {}", refused.task_id, refused.attempt, code
+        )
         self._barred.bar(refused.task_id, refused.attempt, self._book.latest_beat)
         message = StartRefused(refused.task_id, refused.attempt, code, "")
         self._outbox.put(refused.partition, message)
 
     def _reserve(self, start: Start, earlier: HeldRun | None) -> str:
-        """Return why a start is refused, or reserve its room and return nothing."""
+        """Return a refusal code, or reserve the resources and return an empty text."""
         code = self._check_owner(start) or self._check_attempt(start, earlier)
         if code:
             return code
@@ -149,7 +154,7 @@
         return "" if earlier.ended else "busy"
 
     def _find_end(self, start: Start) -> float:
-        """Return the end of the lease; it is past for a beat that is not known."""
+        """Return the end of the lease; for an unknown beat it has already passed."""
         end = self._book.find_end(start.beat, start.lease_ms)
         return float("-inf") if end is None else end
 
@@ -164,7 +169,7 @@
 
 
 def build_request(start: Start, held: HeldRun, checkpoint: bytes | None) -> RunRequest:
-    """Return what to ask the worker for."""
+    """Build the start request for the worker."""
     return RunRequest(
         start.task_id,
         start.attempt,
--- a/pistachiodeal/agent/task_parts.py
+++ b/pistachiodeal/agent/task_parts.py
@@ -1,4 +1,4 @@
-"""The parts that decide about tasks, put together."""
+"""Creates and connects the components that run batch tasks."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskParts:
-    """What a task keeper is made of; all parts share one table of runs."""
+    """The components of a task manager, which share one table of runs."""
 
     table: HeldRunTable
     book: LeaseBook
@@ -45,7 +45,7 @@
     metrics: Metrics,
     clock: Clock,
 ) -> TaskParts:
-    """Make the parts around a table without runs."""
+    """Create the components around an empty table of runs."""
     table = HeldRunTable(ledger)
     book = LeaseBook()
     barred = BarredAttempts()
--- a/pistachiodeal/agent/tasks.py
+++ b/pistachiodeal/agent/tasks.py
@@ -1,4 +1,4 @@
-"""Tasks on this worker: starts, renewals, stops, and what became of them."""
+"""Management of the batch tasks on this worker: starts, renewals, stops and ends."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class TaskKeeper:
-    """Decides what runs on this worker and tells the owners what became of it."""
+    """Decides which batch tasks run on this worker, and reports their ends."""
 
     def __init__(
         self,
@@ -63,32 +63,34 @@
 
     @property
     def ledger(self) -> Ledger:
-        """Return the ledger, which runners share; a new one after `attach`."""
+        """Return the ledger, shared with the runners; `attach` replaces it."""
         return self._table.ledger
 
     @property
     def room(self) -> Resources:
-        """Return what may be promised to tasks now; nothing while none is accepted."""
+        """Return the resources available to new tasks, none if none are accepted."""
         accepts = self._table.accepts(self._clock())
         return self._table.ledger.free if accepts else Resources()
 
     @property
     def capacity(self) -> Resources:
-        """Return what the worker has in all."""
+        """Return the worker's total capacity."""
         return self._table.ledger.capacity
 
     @property
     def held(self) -> Iterable[HeldRun]:
-        """Return the runs that are here, or whose end is not acknowledged."""
+        """Return the records of current runs and of ends not yet acknowledged."""
         return self._table.runs.values()
 
     async def attach(self) -> None:
-        """Fence earlier agents and count what runs, before anything is accepted.
+        """Fence earlier agents, and adopt the runs found on the worker.
 
-        Runners announce themselves anew to a new agent. Until they had the time
-        for it, tasks are refused, or a task would get a runner's room.
+        Runners have to announce themselves again to a new agent. Tasks are refused
+        until the runners have had the time for it; otherwise a task could get the
+        resources that a running runner uses.
 
-        :raises WorkerError: try again; nothing is accepted until then.
+        :raises WorkerError: attaching failed; nothing is accepted until a retry
+            succeeds.
         """
         capacity = await self._runtime.attach()
         runs = await self._runtime.list()
@@ -98,12 +100,13 @@
         for run in sorted(runs, key=lambda run: run.attempt):
             self._watcher.adopt(run, now)
         self._table.accept_from = now + self._settings.announce.expiry_s
-        log.notice("agent: worker attached, {} runs found", len(runs))
+        log.notice("agent: attached to the worker, {} runs found", len(runs))
 
     async def run(self) -> None:
-        """Do the work until cancelled.
+        """Manage tasks until cancelled.
 
-        :raises WorkerFencedError: another agent has this worker; stop.
+        :raises WorkerFencedError: another agent has attached to this worker; this
+            agent must stop.
         """
         await self._work.restart()
         for held in self._table.runs.values():
@@ -118,14 +121,14 @@
         )
 
     def stop_accepting(self) -> None:
-        """Refuse every start from now on."""
+        """Refuse all starts from now on."""
         self._table.closed = True
 
     async def drain(self) -> None:
-        """Stop all runs at checkpoints, and return when their owners know.
+        """Stop all runs at checkpoints; return when their owners have acknowledged.
 
-        For a worker that leaves for good; the caller bounds the time, half of
-        which is for checkpoints that fail at first.
+        Used if the worker is decommissioned. The caller limits the total time;
+        failed checkpoints are retried during the first half of ``drain_s``.
         """
         self.stop_accepting()
         try_until = self._clock() + self._settings.drain_s / 2
@@ -139,19 +142,19 @@
             await curio.sleep(self._settings.runtime.poll_s)
 
     def note_beat(self, beat: int, sent_at: float) -> None:
-        """Remember when a beat was sent; call it before sending.
+        """Record when a beat is sent; call it before sending.
 
-        Beats must not start anew at a restart of the agent, or an old beat is
-        taken for a fresh one: start from the clock, not from 0.
+        Beats must keep increasing across restarts of the agent, or an old beat is
+        mistaken for a new one; so they start from the clock, not from 0.
         """
         self._book.note_beat(beat, sent_at)
 
     def note_epoch(self, partition: int, epoch: int) -> None:
-        """Remember a partition's epoch from a directory."""
+        """Record a partition's epoch from a directory."""
         self._book.note_epoch(partition, epoch)
 
     def refs(self, partitions: set[int]) -> tuple[TaskRef, ...]:
-        """Return the runs of these partitions that run, or may run, here."""
+        """Return references to the runs of these partitions that may be running."""
         return tuple(
             TaskRef(held.task_id, held.attempt, held.epoch)
             for held in self._table.runs.values()
@@ -159,12 +162,12 @@
         )
 
     def partitions(self) -> set[int]:
-        """Return the partitions whose owners this agent has to reach."""
+        """Return the partitions whose owners this agent needs links to."""
         running = {held.partition for held in self._table.runs.values()}
         return running | self._outbox.partitions()
 
     def runs(self) -> list[RunView]:
-        """Return what runs, as the guard sees it."""
+        """Return the running runs as input for the guard."""
         return [
             build_view(held, self._policies.find_profile(held.profile) or DEFAULT)
             for held in self._table.runs.values()
@@ -172,24 +175,24 @@
         ]
 
     async def receive(self, message: TaskMessage) -> None:
-        """Take a message from an owner; what it asks for is done in the background."""
+        """Accept a message from an owner; it is executed in the background."""
         await self._messages.receive(message)
 
     async def throttle(self, task_id: str, share: float) -> None:
-        """Let a run use this share of its size from now on."""
+        """Limit a run to this share of its size from now on."""
         await self._work.put(task_id, partial(self._throttle, task_id, share))
 
     async def evict(self, task_id: str) -> None:
-        """Stop a run at a checkpoint; without one it goes on running."""
+        """Stop a run at a checkpoint; if that fails, the run continues."""
         held = self._table.runs.get(task_id)
         if held is not None:
             await self._work.put_once(held.task_id, partial(self._ender.evict, held))
 
     async def _leave(self, held: HeldRun, try_until: float) -> None:
-        """Stop a run at a checkpoint, or without one after ``try_until``."""
+        """Stop a run at a checkpoint; after ``try_until``, stop it without one."""
         await self._ender.stop_lapsing(held, float("inf"))
-        # One refused or lost checkpoint would otherwise cost all the work done: the
-        # task would be seen to start from nothing elsewhere. It is tried again.
+        # The checkpoint is retried, because a single refused or lost one would
+        # discard all completed work: the task would restart from nothing elsewhere.
         if held.phase is Phase.RUNNING and self._clock() < try_until:
             return
         await self._ender.stop(held)
@@ -224,7 +227,7 @@
     ledger_factory: Callable[[Resources], Ledger] = create_ledger,
     clock: Clock = time.monotonic,
 ) -> TaskKeeper:
-    """Make a keeper that accepts nothing until it is attached."""
+    """Create a task manager, which accepts nothing until it is attached."""
     parts = create_task_parts(
         runtime,
         objects,
--- a/pistachiodeal/agent/watching.py
+++ b/pistachiodeal/agent/watching.py
@@ -1,4 +1,4 @@
-"""Polls the worker: which runs it lists, and what they use."""
+"""Polls the worker for its runs and their resource use."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class RunWatcher:
-    """Compares the runs that are held here with what the worker shows."""
+    """Reconciles the agent's records of runs with the runs that the worker lists."""
 
     def __init__(
         self,
@@ -54,16 +54,16 @@
         self._unheld: set[tuple[str, int]] = set()
 
     async def poll(self) -> None:
-        """Look at the runs for ever.
+        """Poll the list of runs until cancelled.
 
-        :raises WorkerFencedError: another agent has this worker.
+        :raises WorkerFencedError: another agent has attached to this worker.
         """
         while True:
             await self.check_runs()
             await curio.sleep(self._settings.poll_s)
 
     async def poll_usage(self) -> None:
-        """Read what the runs use for ever."""
+        """Poll the resource use of the runs until cancelled."""
         while True:
             await curio.sleep(self._settings.usage_s)
             try:
@@ -71,15 +71,16 @@
             except WorkerFencedError:
                 raise
             except WorkerError as error:
-                log.debug("agent: reading of usage failed: {}", error)
+                log.debug("agent: reading the resource use failed: {}", error)
             else:
                 self.note_usage(samples)
 
     def note_usage(self, samples: Iterable[UsageSample]) -> None:
-        """Take over late measurements; one from before a run is another's.
+        """Apply measurements of resource use.
 
-        A run that uses more than was reserved gets the rest counted, too, or
-        declared sizes that are far too small would let the worker be overfilled.
+        A measurement from before a run's start belongs to an earlier run and is
+        ignored. If a run uses more than its reservation, the reservation grows;
+        otherwise declared sizes that are far too small would overcommit the worker.
         """
         for sample in samples:
             held = self._table.runs.get(sample.subject)
@@ -91,7 +92,7 @@
                 self._table.ledger.adopt(held.name, held.used)
 
     def adopt(self, run: Run, now: float) -> HeldRun:
-        """Hold a run that was found on the worker, and count what it takes."""
+        """Add a run that was found on the worker, and reserve its resources."""
         held = adopt_run(run, now)
         self._book.note_epoch(held.partition, held.epoch)
         self._table.runs[run.task_id] = held
@@ -102,14 +103,14 @@
         return held
 
     def _lose(self, held: HeldRun) -> None:
-        """Note that the worker has no trace of a run that it had."""
-        log.warning("agent: worker lost {}/{}", held.task_id, held.attempt)
+        """Handle a run that the worker no longer lists."""
+        log.warning("agent: worker no longer lists {}/{}", held.task_id, held.attempt)
         del self._table.runs[held.task_id]
         self._barred.bar(held.task_id, held.attempt, self._book.latest_beat)
         self._ender.end(held, UNKNOWN_RUN)
 
     async def check_runs(self) -> None:
-        """Compare what is held here with what the worker lists, once."""
+        """Reconcile the records with the worker's list of runs, once."""
         asked_at = self._clock()
         try:
             listed = {
@@ -118,7 +119,7 @@
         except WorkerFencedError:
             raise
         except WorkerError as error:
-            log.debug("agent: list of runs failed: {}", error)
+            log.debug("agent: listing the runs failed: {}", error)
             return
         for held in list(self._table.runs.values()):
             run = listed.pop((held.task_id, held.attempt), None)
@@ -154,10 +155,10 @@
             await self._work.put_once(held.task_id, lapse)
 
     async def _check_unheld(self, listed: dict[tuple[str, int], Run]) -> None:
-        """Deal with runs that are listed and not held.
+        """Handle listed runs that the agent has no record of.
 
-        A list may be older than an end that was acknowledged while it was on its
-        way; only what two lists in a row show is taken for real.
+        A list may predate an end that was acknowledged while the list was in
+        transit, so the agent acts only on runs that two consecutive lists show.
         """
         seen_twice = self._unheld & listed.keys()
         self._unheld = set(listed)
@@ -166,5 +167,5 @@
             if run.state is not RunState.RUNNING:
                 await self._work.put(run.task_id, partial(self._ender.forget, *key))
             elif run.task_id not in self._table.runs:
-                log.error("agent: unknown run {} found, stopping it", run.task_id)
+                log.error("agent: stopping unknown run {}", run.task_id)
                 self.adopt(run, self._clock()).stop_asked = True
