--- a/pistachiodeal/agent/__init__.py
+++ b/pistachiodeal/agent/__init__.py
@@ -1,1 +1,1 @@
-"""The agent: runs beside a worker and decides what that worker takes on."""
+"""The agent process: admits the requests and batch tasks that one worker runs."""
--- a/pistachiodeal/agent/app.py
+++ b/pistachiodeal/agent/app.py
@@ -1,4 +1,4 @@
-"""The agent process: its parts, how they start, and how they stop."""
+"""The agent process: creates its components, and starts and stops them."""
 
 from __future__ import annotations
 
@@ -40,9 +40,9 @@
 
 
 class AgentApp:
-    """One agent; :meth:`run` returns the exit status.
+    """An agent with all its components; :meth:`run` returns the exit status.
 
-    :ivar leave: the worker leaves for good, so that a stop evicts its tasks.
+    :ivar leave: the worker is decommissioned, so a stop also evicts its tasks.
     """
 
     def __init__(self, settings: AgentSettings, leave: bool = False) -> None:
@@ -93,19 +93,19 @@
         return self._server.port
 
     async def run(self, watch: SignalWatch) -> int:
-        """Run until a signal, or until the agent may not go on."""
+        """Run until a signal arrives or a component fails fatally."""
         drainer = await curio.spawn(self._drain_on_signal, watch, daemon=True)
         try:
             await self._supervisor.run()
         except PistachiodealError as error:
-            log.critical("agent: stopped, {}", error)
+            log.critical("agent: stopped by a fatal error: {}", error)
             return exit_codes.FAILURE
         finally:
             await drainer.cancel()
         return exit_codes.FAILURE if self._cut else exit_codes.OK
 
     async def close(self) -> None:
-        """Close what is left open."""
+        """Close open requests and the connections to runners."""
         await self._requests.stop()
         await self._runners.close()
 
@@ -119,7 +119,10 @@
     async def _cut_on_signal(self, watch: SignalWatch) -> None:
         await watch.wait()
         self._cut = True
-        log.error("agent: stopped at once, {} requests cut", self._requests.open_count)
+        log.error(
+            "agent: second signal, stopping with {} requests open",
+            self._requests.open_count,
+        )
         await self._supervisor.stop()
 
     async def _run_tasks(self) -> None:
@@ -128,7 +131,10 @@
         await self._tasks.run()
 
     async def _attach(self) -> None:
-        """Take the worker over; without it nothing can be accepted."""
+        """Attach to the worker, retrying until it succeeds.
+
+        Nothing is accepted before that.
+        """
         failures = 0
         while True:
             try:
@@ -138,7 +144,7 @@
                 raise
             except WorkerError as error:
                 failures += 1
-                log.error("agent: cannot attach, {}", error)
+                log.error("agent: attaching to the worker failed: {}", error)
             await curio.sleep(compute_pause(failures))
         self._runners.open_for_runners(self._tasks.ledger)
         await self._attached.set()
@@ -212,7 +218,7 @@
 async def open_agent(
     settings: AgentSettings, leave: bool = False
 ) -> AsyncIterator[AgentApp]:
-    """Make an agent whose port is bound; closes it at the end."""
+    """Create an agent whose port is bound, and close it on exit."""
     app = AgentApp(settings, leave)
     try:
         yield app
--- a/pistachiodeal/agent/cli.py
+++ b/pistachiodeal/agent/cli.py
@@ -23,7 +23,7 @@
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """Run an agent until it is told to stop; return the exit status."""
+    """Run an agent until a signal stops it; return the exit status."""
     arguments = _build_parser().parse_args(argv)
     try:
         settings = load_settings(arguments.settings, AgentSettings)
@@ -34,7 +34,7 @@
     try:
         status: int = curio.run(_run, settings, arguments.leave)
     except (PistachiodealError, OSError) as error:
-        log.error("agent: ended, {!r}", error)
+        log.error("agent: ended by an error: {!r}", error)
         return exit_codes.FAILURE
     return status
 
--- a/pistachiodeal/agent/composition.py
+++ b/pistachiodeal/agent/composition.py
@@ -1,4 +1,4 @@
-"""Parts of the agent, made from its settings."""
+"""Creates components of the agent from its settings."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def create_identity(settings: AgentSettings) -> Identity:
-    """Make the identity under which this start of the agent dials entries."""
+    """Create the identity that this agent process presents to entries."""
     return Identity(
         role=AGENT_ROLE,
         node=settings.node,
@@ -35,7 +35,7 @@
     policies: PolicyCache,
     metrics: Metrics,
 ) -> TaskKeeper:
-    """Make the task keeper, with clients of the worker and the object store."""
+    """Create the task manager with its clients of the worker and the object store."""
     runtime = settings.runtime
     return create_task_keeper(
         create_worker_runtime(runtime.worker, timeout=runtime.timeout_s),
--- a/pistachiodeal/agent/draining.py
+++ b/pistachiodeal/agent/draining.py
@@ -1,4 +1,4 @@
-"""A graceful stop of the agent, which cuts off no request in flight."""
+"""Graceful shutdown of the agent, which lets requests in flight finish."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 
 class Drainer:
-    """Takes nothing new, finishes what is open; the worker's tasks go on.
+    """Accepts no new work and waits for open requests; batch tasks keep running.
 
-    Their leases end by themselves, or a restarted agent takes them over.
+    The tasks end with their leases unless a restarted agent adopts them.
 
-    :param limit: seconds until open requests are cut.
+    :param limit: seconds after which requests that are still open are abandoned.
     """
 
     def __init__(
@@ -43,13 +43,13 @@
 
     @property
     def draining(self) -> bool:
-        """Tell whether nothing new is taken any more."""
+        """Return whether the agent accepts no new work."""
         return self._draining
 
     async def drain(self, leave: bool) -> bool:
-        """Drain; False when requests were cut at the limit.
+        """Drain; return False if requests were still open at the time limit.
 
-        :param leave: the worker leaves for good, so evict its tasks too.
+        :param leave: the worker is decommissioned, so its tasks are evicted too.
         """
         started = time.monotonic()
         self._draining = True
@@ -60,14 +60,17 @@
         await self._links.say_goodbye("draining")
         await self._reporter.report()
         leaving = await curio.spawn(self._leave_worker, leave, daemon=True)
-        # Requests that entries sent before they read the goodbye are still on
-        # their way. If the links were closed under them the callers would be
-        # told "unknown"; for this long they get a refusal instead.
+        # Requests that entries sent before they read the goodbye are still in
+        # transit. If the links closed now, their callers would get the outcome
+        # "unknown"; during this grace period they get a refusal instead.
         await curio.sleep(min(GOODBYE_GRACE_S, self._limit))
         left = self._limit - (time.monotonic() - started)
         drained = await self._requests.drain(max(left, 0.0))
         if not drained:
-            log.error("agent: {} requests cut", self._requests.open_count)
+            log.error(
+                "agent: drain timed out, {} requests abandoned",
+                self._requests.open_count,
+            )
         await leaving.join()
         await self._requests.stop()
         return drained
@@ -75,10 +78,10 @@
     async def _leave_worker(self, leave: bool) -> None:
         if not leave:
             return
-        log.notice("agent: the worker leaves for good, evicting its tasks")
+        log.notice("agent: the worker is decommissioned, evicting its tasks")
         done = False
         async with curio.ignore_after(self._limit):
             await self._tasks.drain()
             done = True
         if not done:
-            log.error("agent: tasks were left running, their leases will end")
+            log.error("agent: drain timed out, tasks run until their leases expire")
--- a/pistachiodeal/agent/status.py
+++ b/pistachiodeal/agent/status.py
@@ -1,4 +1,4 @@
-"""The status document for operators."""
+"""The agent's status document for operators."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusParts:
-    """Where the figures come from."""
+    """The components that the status document describes."""
 
     settings: AgentSettings
     tasks: TaskKeeper
@@ -29,7 +29,7 @@
 def build_status(
     parts: StatusParts, *, attached: bool, draining: bool
 ) -> dict[str, Any]:
-    """Return what operators see of this process."""
+    """Return the status document of this process."""
     ledger = parts.tasks.ledger
     return {
         "node": parts.settings.node,
