--- a/tests/unit/fake_agent_tasks.py
+++ b/tests/unit/fake_agent_tasks.py
@@ -1,4 +1,4 @@
-"""Fakes of the worker and the way to the owners, and a keeper between them."""
+"""Fakes of the worker and of the route to owners, with a task manager between."""
 
 from __future__ import annotations
 
@@ -43,7 +43,11 @@
 
 
 class FakeRuntime:
-    """Faults by operation: an error, ``after`` the effect, or a ``late`` effect."""
+    """A worker runtime with injected faults by operation.
+
+    A fault is an error raised ``before`` or ``after`` the effect, an effect that is
+    ``late``, or the worker's answer ``refused`` or ``fenced``.
+    """
 
     def __init__(self) -> None:
         self.runs: dict[tuple[str, int], Run] = {}
@@ -120,7 +124,7 @@
 
 
 class Bench:
-    """A keeper between fakes that works on demand; also the route to owners."""
+    """A task manager between fakes, driven by the test; also the route to owners."""
 
     def __init__(self) -> None:
         self.now = 1000.0
@@ -155,7 +159,7 @@
         return self.linked
 
     async def settle(self, *messages: Any) -> None:
-        """Receive messages, and do all that they ask for."""
+        """Receive messages, and run all actions that they cause."""
         for message in messages:
             await self.keeper.receive(message)
         pool = await curio.spawn(self.keeper._work.work)
@@ -166,13 +170,13 @@
         await pool.cancel()
 
     async def check(self) -> None:
-        """Look at the runs a moment later, and do what follows from it."""
+        """Poll the runs a moment later, and run all actions that this causes."""
         self.now += 0.01
         await self.keeper._watcher.check_runs()
         await self.settle()
 
     async def send(self, later: float = 0) -> list[Any]:
-        """Send what is due, and return it."""
+        """Send the due messages, and return them."""
         self.now += later
         self.sent.clear()
         await self.keeper._outbox.send_due()
@@ -180,7 +184,7 @@
 
 
 def run_bench(case: Any) -> None:
-    """Run a test with a keeper that is attached and takes tasks."""
+    """Run a test with a task manager that is attached and accepts tasks."""
 
     async def main() -> None:
         bench = Bench()
@@ -191,6 +195,6 @@
 
 
 def build_start(**changes: Any) -> Start:
-    """Return a start in partition 3 at epoch 5."""
+    """Return a Start in partition 3 at epoch 5."""
     start = Start(TASK, 1, 3, 5, 1, 60_000, "k", "p", SIZE, "{}", "", 0, 0)
     return replace(start, **changes)
--- a/tests/unit/test_agent_app.py
+++ b/tests/unit/test_agent_app.py
@@ -1,4 +1,4 @@
-"""What an agent tells entries, and what it does with what they tell it."""
+"""Messages between an agent and entries: reports, policies and signals."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class FakeTasks:
-    """A task keeper with one run in partition 7."""
+    """A task manager with one run in partition 7."""
 
     def __init__(self, log: list[Any]) -> None:
         self._log = log
@@ -49,7 +49,7 @@
 
 
 class FakeLinks:
-    """Two links whose messages end up in one log."""
+    """Two links that record their messages in one log."""
 
     def __init__(self, log: list[Any]) -> None:
         self._log = log
@@ -85,10 +85,10 @@
 
 
 def test_a_beat_is_remembered_before_it_is_sent() -> None:
-    """Symptom: a task runs on when its lease has run out for its owner.
+    """Guards against a task that keeps running after its lease ended for its owner.
 
-    Sequence: the agent is frozen between sending a report and noting the time.
-    Cause: the lease was counted from the note, which came after the sending.
+    If the time is recorded after sending, an agent that is suspended in between
+    counts the lease from too late a time.
     """
     log: list[Any] = []
     curio.run(create_reporter(log, FakeLinks(log)).report)
@@ -97,14 +97,14 @@
     assert sent_at == 5.0
     assert {report.beat for report in reports} == {beat}
     assert [report.tasks for report in reports] == [(), (TaskRef("t", 1, 4),)]
-    assert reports[0].free == Resources(0, 500), "overfull is no room, not less"
+    assert reports[0].free == Resources(0, 500), "overcommitted is reported as 0"
 
 
 def test_a_restarted_agent_uses_no_beat_again() -> None:
-    """Symptom: a frozen owner's old message extends a lease.
+    """Guards against a lease extended by an old message of a suspended owner.
 
-    Sequence: the agent restarts; a start with its earlier beat arrives late.
-    Cause: beats began at 1 again, so the old number named a fresh beat.
+    If beats begin at 1 again after a restart, a late Start that answers an earlier
+    beat matches a new one.
     """
     log: list[Any] = []
     earlier = create_reporter(log, FakeLinks([]), now=5.0)
@@ -116,10 +116,10 @@
 
 
 def test_policies_are_told_to_new_links_and_passed_on_once() -> None:
-    """Symptom: an entry serves an older profile than one already in force.
+    """Guards against an entry that serves an older profile than the one in force.
 
-    Sequence: it starts while the table is down; only agents know the newest.
-    Cause: agents took policies in and told nobody.
+    An entry that starts while the table is down can get the newest profile only
+    from agents, so agents have to forward policies.
     """
 
     async def main() -> None:
--- a/tests/unit/test_agent_directory.py
+++ b/tests/unit/test_agent_directory.py
@@ -1,4 +1,4 @@
-"""What agents make of directories that differ, and whom they link to."""
+"""Merging of differing directories, and the choice of entries to link to."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 def test_the_highest_epoch_of_a_partition_wins() -> None:
-    """Symptom: reports of runs go to an entry that lost the partition.
+    """Guards against reports of runs sent to an entry that lost the partition.
 
-    Sequence: a new owner takes over, then the old one, thawed, sends its view.
-    Cause: the directory that came last was believed.
+    After a takeover the earlier owner, resumed from a suspension, sends its old
+    directory; the latest arrival must not win.
     """
     directory = AgentDirectory()
     epochs: list[tuple[int, int]] = []
--- a/tests/unit/test_agent_eviction.py
+++ b/tests/unit/test_agent_eviction.py
@@ -1,4 +1,4 @@
-"""Eviction on the agent: every crash or outage between two of its steps."""
+"""Eviction on the agent, with faults and outages between its steps."""
 
 from __future__ import annotations
 
@@ -25,10 +25,10 @@
 
 @pytest.mark.parametrize("fault", ["", "after", "before"])
 def test_stop_is_confirmed_before_it_is_told(fault):
-    """Symptom: an evicted task runs in two places.
+    """Guards against an evicted task that runs on two workers.
 
-    Sequence: checkpoint, stop; the stop or its answer is lost; it is requeued.
-    Cause: a stop that was asked for counted as done.
+    If a requested stop counts as done, the task is requeued although the stop or
+    its response was lost.
     """
 
     async def case(bench: Bench) -> None:
@@ -46,10 +46,9 @@
 
 @pytest.mark.parametrize("down", ["worker", "store"])
 def test_eviction_without_a_checkpoint_leaves_the_task_running(down):
-    """Symptom: hours of work are lost to an eviction.
+    """Guards against an eviction that loses hours of work.
 
-    Sequence: the checkpoint fails, or can't be stored; the task is stopped.
-    Cause: the stop did not depend on the checkpoint.
+    The task must not be stopped if its checkpoint fails or cannot be stored.
     """
 
     async def case(bench: Bench) -> None:
@@ -65,10 +64,10 @@
 
 
 def test_finish_between_checkpoint_and_stop():
-    """Symptom: a finished task runs again from its last checkpoint.
+    """Guards against a finished task that runs again from its last checkpoint.
 
-    Sequence: checkpoint stored; the task finishes; the stop is answered.
-    Cause: the answer's state was not looked at.
+    The task finishes between checkpoint and stop; the state in the response to the
+    stop shows it.
     """
 
     async def case(bench: Bench) -> None:
@@ -86,10 +85,10 @@
 
 
 def test_lease_ends_in_an_outage_of_all_stores():
-    """Symptom: after an outage the work since the last checkpoint is lost.
+    """Guards against the loss of work since the last checkpoint in an outage.
 
-    Sequence: no renewals; the worker ends the run; or the object store is out.
-    Cause: no checkpoint was made while it could be, or it was dropped.
+    Without renewals the worker ends the run, so a checkpoint is taken before. If
+    the object store is down too, the checkpoint is kept until it can be stored.
     """
 
     async def case(bench: Bench) -> None:
@@ -139,10 +138,10 @@
 
 
 def test_drain_does_without_a_checkpoint_after_half_its_time():
-    """Symptom: a worker that leaves runs into the limit, its tasks left running.
+    """Guards against a drain that times out with tasks still running.
 
-    Sequence: drain asked for; every checkpoint refused; half the limit passes.
-    Cause: tries for a checkpoint without a bound of their own.
+    If every checkpoint is refused, the retries need a time limit of their own, half
+    that of the drain.
     """
 
     async def case(bench: Bench) -> None:
--- a/tests/unit/test_agent_guarding.py
+++ b/tests/unit/test_agent_guarding.py
@@ -1,4 +1,4 @@
-"""The guard's child: what it is fed, and what becomes of its decisions."""
+"""The guard loop: the guard's input, and how its actions are carried out."""
 
 from __future__ import annotations
 
@@ -75,10 +75,9 @@
 
 
 def test_use_above_the_reserved_size_is_counted():
-    """Symptom: a worker swaps, though its ledger shows room.
+    """Guards against a worker that swaps although its ledger shows free memory.
 
-    Sequence: a task of a far too small declared size; usage shows the true one.
-    Cause: only declared sizes were counted.
+    A task uses far more than its declared size; the measured use has to count.
     """
 
     async def case(bench: Bench) -> None:
--- a/tests/unit/test_agent_held_runs.py
+++ b/tests/unit/test_agent_held_runs.py
@@ -1,4 +1,4 @@
-"""Which grants renew the lease of a run that an agent holds."""
+"""Which grants renew the lease of a run on this worker."""
 
 from __future__ import annotations
 
@@ -22,31 +22,31 @@
 
 
 def test_a_grant_of_the_owner_renews_a_run():
-    """A later owner has adopted the run, so its grants count too."""
+    """Grants of a later owner, which has adopted the run, count too."""
     assert build_run().accepts(build_grant(), BEAT)
     assert build_run().accepts(build_grant(EPOCH + 1), BEAT + 1)
 
 
 def test_a_grant_of_an_earlier_owner_renews_nothing():
-    """Symptom: a task runs in two places.
+    """Guards against a task that runs on two workers.
 
-    Sequence: an owner is replaced; its successor starts the task here under a higher
-    epoch, and counts its lease from its own grants. The old owner, which has not heard
-    of it, goes on granting. Cause: the run took a grant of an epoch below its own.
+    A new owner starts the task here under a higher epoch and counts the lease from
+    its own grants. The earlier owner, unaware of it, continues to grant; a grant of
+    an epoch below the run's own must not count.
     """
     assert not build_run().accepts(build_grant(EPOCH - 1), BEAT)
 
 
 def test_a_grant_for_another_partition_renews_nothing():
-    """Symptom: a run outlives its owner's lease. Sequence: the agent holds runs of two
-    owners, and one of them is gone. Cause: the other one's grants counted for all.
+    """Guards against a run that outlives its owner's lease: of two owners with runs on
+    the worker one fails, and the grants of the other count for all runs.
     """
     assert not build_run().accepts(build_grant(partition=PARTITION + 1), BEAT)
 
 
 def test_a_grant_for_a_report_that_did_not_name_the_run_renews_nothing():
-    """Symptom: a run that its owner has given up goes on. Sequence: the owner answers
-    a report from before the run was started. Cause: any grant counted for it.
+    """Guards against a run that continues after its owner gave it up: the owner
+    answers a report from before the run's start, and that grant counts for the run.
     """
     assert not build_run().accepts(build_grant(), BEAT - 1)
 
@@ -55,7 +55,7 @@
     "phase", [Phase.STARTING, Phase.UNCERTAIN, Phase.STOPPING, Phase.ENDED]
 )
 def test_only_a_run_that_is_known_to_run_is_renewed(phase: Phase):
-    """Symptom: the fate of a start stays unknown for ever. Sequence: its answer is
-    lost, and its lease renewed. Cause: the worker refuses it only past its lease.
+    """Guards against a start whose outcome stays unknown forever: its response is
+    lost and its lease renewed, but the worker refuses it only after the lease ended.
     """
     assert not build_run(phase).accepts(build_grant(), BEAT)
--- a/tests/unit/test_agent_links.py
+++ b/tests/unit/test_agent_links.py
@@ -1,4 +1,4 @@
-"""Links of an agent: replaced, substituted and left without losing answers."""
+"""Links of an agent: replaced, substituted and retired without losing answers."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 
 
 class Bench:
-    """A link keeper whose network is this object; also its handler."""
+    """A link manager with this object as its network and its handler."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.now = 10.0
@@ -113,10 +113,10 @@
 
 
 def test_a_silent_link_is_replaced_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Symptom: a target gets no requests although new connections work.
+    """Guards against a target without requests although new connections work.
 
-    Sequence: something between the two ends forgets the connection.
-    Cause: the old connection was waited for before a new one was made.
+    A middlebox drops the state of the connection; the agent must open a new one
+    without waiting for the old one.
     """
 
     async def main() -> None:
@@ -133,10 +133,10 @@
 def test_a_surplus_link_is_left_after_its_answers(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Symptom: requests end ``unknown`` when entries are added or removed.
+    """Guards against outcomes ``unknown`` when entries are added or removed.
 
-    Sequence: the subset changes while requests of an old link are open.
-    Cause: links that were not wanted any more were closed at once.
+    The subset changes while a link that is no longer needed has open requests; the
+    link must not close before they are answered.
     """
 
     async def main() -> None:
@@ -184,10 +184,10 @@
 def test_without_any_link_the_settings_lead_back(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Symptom: an agent that was cut off never comes back.
+    """Guards against an agent that never reconnects after a network partition.
 
-    Sequence: all entries are replaced while it is cut off.
-    Cause: it dialled only the entries of the last directory.
+    All entries are replaced during the partition; if the agent dials only entries of
+    its last directory, it reaches none.
     """
     bench = Bench(monkeypatch)
     bench.note_entries("e1", "e2")
--- a/tests/unit/test_agent_requests.py
+++ b/tests/unit/test_agent_requests.py
@@ -1,4 +1,4 @@
-"""Requests on the agent: every one gets one truthful answer."""
+"""Requests on the agent: each gets exactly one answer with its true outcome."""
 
 from __future__ import annotations
 
@@ -66,7 +66,7 @@
 
 
 class Bench:
-    """A desk with fake runners, a fake clock and one link."""
+    """A request handler with fake runners, a fake clock and one link."""
 
     def __init__(self, queue_limit: int = 4) -> None:
         self.now = 100.0
@@ -130,10 +130,10 @@
 
 
 def test_a_late_request_is_refused_before_its_deadline() -> None:
-    """Symptom: a caller gets ``unknown`` for a request that no runner ever saw.
+    """Guards against an outcome ``unknown`` for a request that no runner received.
 
-    Sequence: it waits behind a slow one until the entry gives up on it.
-    Cause: the agent refused waiting requests at the deadline, not before it.
+    It waits behind a slow one. If the agent refuses it only at the deadline, the
+    entry has given up before the refusal arrives.
     """
 
     async def main() -> None:
@@ -142,7 +142,7 @@
         await bench.ask(1)
         await bench.ask(2, 500)
         bench.now += 0.49
-        await curio.sleep(0.006)  # one tick of the timer, which nothing else wakes
+        await curio.sleep(0.006)  # one tick of the timer; nothing else refuses it
         await settle()
         assert bench.link.codes == ["deadline"]
         await runner.answer(0)
@@ -153,10 +153,10 @@
 
 
 def test_a_request_that_waited_out_a_freeze_is_not_handed_on() -> None:
-    """Symptom: a request runs long after its caller was told that it did not.
+    """Guards against a request that runs long after its caller got a refusal.
 
-    Sequence: the agent is frozen past the deadline, a slot comes free at waking.
-    Cause: the slot took the next request before the timer had refused it.
+    The agent is suspended past the deadline and a slot becomes free when it resumes;
+    the slot must not take the request before the timer has refused it.
     """
 
     async def main() -> None:
@@ -198,10 +198,10 @@
 
 
 def test_failures_say_what_is_known() -> None:
-    """Symptom: half an answer reaches a caller, or a run is called ``not_run``.
+    """Guards against partial answers, and against ``not_run`` for what may have run.
 
-    Sequence: the runner dies before its answer, in mid-answer, or unreachable.
-    Cause: the three were told apart by time-outs, not by how far the call got.
+    A runner fails before its answer, during it, or is unreachable. How far the call
+    got tells these apart; timeouts do not.
     """
 
     async def main() -> None:
@@ -239,10 +239,10 @@
 
 
 def test_two_links_with_the_same_ids_get_their_own_answers() -> None:
-    """Symptom: a caller gets the answer to another caller's request.
+    """Guards against a caller that gets the answer to another caller's request.
 
-    Sequence: two entries use the same request id, the answers come crosswise.
-    Cause: open requests were named by the id without the link.
+    Two entries use the same request id and the answers arrive in reverse order; open
+    requests need the link in their key.
     """
 
     async def main() -> None:
--- a/tests/unit/test_agent_runners.py
+++ b/tests/unit/test_agent_runners.py
@@ -1,4 +1,4 @@
-"""Runners announce themselves, hold room on the worker, and drop out."""
+"""Runners: announcement, reservation on the worker, expiry and removal."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class Bench:
-    """A table behind its HTTP handler, on a fake clock."""
+    """A runner table behind its HTTP API, with a fake clock."""
 
     def __init__(self) -> None:
         self.now = 50.0
@@ -76,10 +76,10 @@
 
 
 def test_a_leaving_runner_keeps_its_room_while_it_works() -> None:
-    """Symptom: a worker holds more than it can while a runner stops.
+    """Guards against an overcommitted worker while a runner stops.
 
-    Sequence: the runner says it leaves with requests open, a task is placed.
-    Cause: its room was given back at the announcement, not at the last answer.
+    A runner is removed with requests open, then a task is placed. The runner's
+    reservation must last until its last answer.
     """
     bench = Bench()
     bench.open()
@@ -94,11 +94,10 @@
 
 
 def test_a_replaced_runner_does_not_give_its_successors_room_back() -> None:
-    """Symptom: the ledger shows room that a running runner uses.
+    """Guards against a ledger that shows resources of a running runner as free.
 
-    Sequence: a runner restarts under its name at another port; then the last
-    request of the old one ends.
-    Cause: the end of the old one released the reservation both have by name.
+    A runner restarts under the same name at another port, then the last request of
+    the old one ends. Both share a reservation by name, which must not be released.
     """
     bench = Bench()
     bench.open()
@@ -123,10 +122,10 @@
 
 
 def test_silent_runners_expire_but_not_by_our_own_freeze() -> None:
-    """Symptom: after a pause of the agent all requests are refused for a second.
+    """Guards against requests refused for a second after the agent was suspended.
 
-    Sequence: the agent is frozen for longer than an announcement holds.
-    Cause: announcements waited unread in its sockets, and looked missing.
+    If the suspension is longer than the expiry of announcements, those that wait
+    unread in the sockets seem to be missing.
     """
     bench = Bench()
     bench.open()
--- a/tests/unit/test_agent_tasks.py
+++ b/tests/unit/test_agent_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks on the agent: what is said to owners, and when."""
+"""Tasks on the agent: which messages owners get, and when."""
 
 from __future__ import annotations
 
@@ -23,11 +23,10 @@
 
 
 def test_lost_answer_of_a_start_that_took_effect():
-    """Symptom: a task runs twice.
+    """Guards against a task that runs twice.
 
-    Sequence: the worker starts a task and its answer is lost; the agent says
-    refused; the owner starts the task elsewhere.
-    Cause: a lost answer read as a refusal.
+    The worker starts a task and its response is lost. If the agent treats that as a
+    refusal, the owner starts the task elsewhere.
     """
 
     async def case(bench: Bench) -> None:
@@ -42,11 +41,10 @@
 
 
 def test_lost_start_is_refused_only_when_its_lease_is_over():
-    """Symptom: a task runs after its owner was told that it never will.
+    """Guards against a task that runs after its owner received a refusal.
 
-    Sequence: a start is held up; the list does not show it; the agent says
-    refused; the start arrives at the worker.
-    Cause: a list is no fence; only the end of the lease is.
+    A start is delayed, so the worker's list does not show it, and arrives later. A
+    list without it proves nothing; only the end of the lease does.
     """
 
     async def case(bench: Bench) -> None:
@@ -65,11 +63,10 @@
 
 
 def test_cancel_of_an_uncertain_start_stops_the_run_that_appears():
-    """Symptom: a cancelled task runs on.
+    """Guards against a cancelled task that keeps running.
 
-    Sequence: the answer of a start is lost; a cancel finds no run at the
-    worker; the start takes effect after it.
-    Cause: the cancel was forgotten once the worker knew no such run.
+    The response to a start is lost, a cancel finds no run at the worker, and then
+    the start takes effect; the cancel must still apply.
     """
 
     async def case(bench: Bench) -> None:
@@ -88,11 +85,10 @@
 
 
 def test_freeze_while_the_checkpoint_is_loaded():
-    """Symptom: a task starts after its owner has given it up.
+    """Guards against a task that starts after its owner has given it up.
 
-    Sequence: the agent is frozen while it loads the checkpoint, past the end
-    of the lease, and wakes up.
-    Cause: it went on with its next line without a look at the clock.
+    The agent is suspended while it loads the checkpoint, past the end of the lease;
+    it must check the clock before it goes on.
     """
 
     async def case(bench: Bench) -> None:
@@ -132,11 +128,10 @@
 
 
 def test_start_that_arrives_after_the_answer_to_its_stop():
-    """Symptom: a task that was requeued runs in two places.
+    """Guards against a requeued task that runs on two workers.
 
-    Sequence: Start goes out on a slow link, Stop on a fast one; the answer is
-    ``unknown_run``; the Start arrives.
-    Cause: nothing was remembered of an attempt that never was here.
+    The Start is sent on a slow link and the Stop on a fast one. The Stop is answered
+    with ``unknown_run``, then the Start arrives and must be rejected.
     """
 
     async def case(bench: Bench) -> None:
@@ -164,11 +159,11 @@
 
 
 def test_restarted_agent_counts_what_runs_before_it_accepts():
-    """Symptom: a worker holds more than it has.
+    """Guards against an overcommitted worker after a restart of its agent.
 
-    Sequence: an agent is replaced while tasks run, also of a size that it
-    would not accept now; the new one takes a task, or a stale owner's.
-    Cause: an empty ledger, and epochs that were forgotten.
+    Tasks run meanwhile, also of a size that would be refused now. With an empty
+    ledger or without epochs, the new agent would accept a task that does not fit, or
+    one of an earlier owner.
     """
 
     async def case(bench: Bench) -> None:
@@ -217,11 +212,10 @@
 
 
 def test_list_that_is_older_than_an_acknowledged_end():
-    """Symptom: a run that ended long ago is held for ever, and its room with it.
+    """Guards against an ended run that keeps its reservation forever.
 
-    Sequence: a list is asked for; the run ends, is acknowledged and
-    forgotten; the list arrives and shows it running.
-    Cause: an old list taken for the present.
+    While a list of runs is in transit, the run ends, is acknowledged and removed.
+    The list, which still shows it as running, must not bring it back.
     """
 
     async def case(bench: Bench) -> None:
@@ -271,10 +265,10 @@
 
 
 def test_fenced_agent_stops():
-    """Symptom: two agents give away one worker's room.
+    """Guards against two agents that assign the resources of one worker.
 
-    Sequence: a second agent attaches; the first goes on.
-    Cause: an error of the session treated like any other of the worker's.
+    After a second agent attaches, the first must stop, and not treat the fencing
+    error like any other error of the worker.
     """
 
     async def case(bench: Bench) -> None:
--- a/tests/unit/test_fuzz_leases.py
+++ b/tests/unit/test_fuzz_leases.py
@@ -1,4 +1,4 @@
-"""Leases and epochs under any order of beats, grants, freezes and lost answers."""
+"""Leases and epochs under any order of beats, grants, pauses and lost responses."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class LeaseMachine(RuleBasedStateMachine):
-    """No lease outlives what its owner may count on; no epoch goes back."""
+    """No lease ends later than its owner granted, and no epoch decreases."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/tests/unit/test_fuzz_ledger.py
+++ b/tests/unit/test_fuzz_ledger.py
@@ -1,4 +1,4 @@
-"""Starts, stops and ends in any interleaving of their awaits, with faults at each."""
+"""Starts, stops and ends of runs in any interleaving, with a fault at any call."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class TaskMachine(RuleBasedStateMachine):
-    """Never more than the worker holds; a run that was told over never runs."""
+    """The worker is never overcommitted; a run reported as ended never runs."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -52,7 +52,7 @@
         self.kernel.run(shutdown=True)
 
     def run(self, function, *arguments) -> None:
-        """Do a step, and let every task go on until it waits."""
+        """Run a step, and let every curio task run until it blocks."""
 
         async def main() -> None:
             await function(*arguments)
@@ -63,7 +63,7 @@
 
     @rule(task=TASKS, size=SIZES, again=st.booleans())
     def start(self, task: str, size: Resources, again: bool) -> None:
-        """Start what its owner may start; sometimes a Start that is long over."""
+        """Send a Start that is valid, or sometimes one of an ended attempt."""
         attempt = self.attempts.setdefault(task, 1)
         if (task, attempt) in self.over and not again:
             self.attempts[task] = attempt = attempt + 1
@@ -102,10 +102,13 @@
 
     @rule(pick=PICK)
     def arrive_late(self, pick: int) -> None:
-        """Let a call whose answer was given up take effect; a late start won't."""
+        """Let a call take effect after its caller gave it up.
+
+        A start whose lease has ended meanwhile expires at once.
+        """
         if self.runtime.late:
-            # A late call may be refused (a stop of what was forgotten since); its
-            # caller is gone, so the refusal reaches nobody.
+            # A late call may be refused, such as a stop of a run that was removed
+            # meanwhile. Its caller no longer waits, so the refusal is dropped.
             with suppress(WorkerRefusedError):
                 self.runtime.late.pop(pick % len(self.runtime.late))()
             self.expire()
