--- a/pistachiodeal/agent/admission.py
+++ b/pistachiodeal/agent/admission.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from pistachiodeal.agent.queueing import Pending, ServiceQueue
+from pistachiodeal.agent.queueing import PendingRequest, ServiceQueue
 from pistachiodeal.agent.runners import RunnerTable
 from pistachiodeal.metrics import Metrics
 from pistachiodeal.model.policies import Profile, ServicePolicy
@@ -64,12 +64,12 @@
         runners = self._runners.list_runners(service)
         return sum(runner.announcement.slots for runner in runners if runner.usable)
 
-    def find_refusal(self, pending: Pending) -> Refusal | None:
+    def find_refusal(self, pending: PendingRequest) -> Refusal | None:
         """Return a refusal if the request cannot be accepted, otherwise None."""
-        code = self._judge(pending)
+        code = self._find_refusal_code(pending)
         return self.build_refusal(pending, code) if code else None
 
-    def build_refusal(self, pending: Pending, code: str) -> Refusal:
+    def build_refusal(self, pending: PendingRequest, code: str) -> Refusal:
         """Return a refusal that says after what time a retry makes sense."""
         self._metrics.count(f"agent.refusals.{code}")
         service = pending.request.service
@@ -93,7 +93,7 @@
             latency_us=round(mean * 1_000_000),
         )
 
-    def _judge(self, pending: Pending) -> str:
+    def _find_refusal_code(self, pending: PendingRequest) -> str:
         """Return the code of a refusal, empty if the request can be accepted."""
         if self.draining:
             return "draining"
--- a/pistachiodeal/agent/app.py
+++ b/pistachiodeal/agent/app.py
@@ -12,16 +12,16 @@
 from pistachiodeal import exit_codes
 from pistachiodeal.agent.announce import LIMITS, AnnounceApi
 from pistachiodeal.agent.composition import create_identity, create_tasks
-from pistachiodeal.agent.directory import AgentDirectory
+from pistachiodeal.agent.directory import MergedDirectory
 from pistachiodeal.agent.dispatch import MessageDispatch
 from pistachiodeal.agent.draining import Drainer
-from pistachiodeal.agent.evidence import EvidenceExchange
-from pistachiodeal.agent.guarding import Guarding, create_guarding
-from pistachiodeal.agent.links import LinkKeeper
+from pistachiodeal.agent.guard_loop import GuardLoop, create_guard_loop
+from pistachiodeal.agent.interference_exchange import InterferenceExchange
+from pistachiodeal.agent.links import LinkManager
 from pistachiodeal.agent.reporting import Reporter
 from pistachiodeal.agent.requests import RequestHandler
 from pistachiodeal.agent.runners import RunnerTable
-from pistachiodeal.agent.status import StatusParts, build_status
+from pistachiodeal.agent.status import StatusSources, build_status
 from pistachiodeal.config.agent import AgentSettings
 from pistachiodeal.control.guard import create_guard
 from pistachiodeal.exceptions import PistachiodealError, WorkerError, WorkerFencedError
@@ -49,12 +49,12 @@
         self.leave = leave
         self._settings = settings
         self._attached = curio.Event()
-        self._cut = False
+        self._abandoned_requests = False
         self._metrics = create_metrics(settings.statsd)
         self._policies = create_policy_cache()
-        self._directory = AgentDirectory()
+        self._directory = MergedDirectory()
         self._runners = RunnerTable(settings.announce.expiry_s)
-        self._links = LinkKeeper(
+        self._links = LinkManager(
             settings, create_identity(settings), self._directory, self._list_partitions
         )
         self._requests = RequestHandler(
@@ -63,13 +63,13 @@
             self._metrics,
             window_s=settings.guard.window_s,
         )
-        self._runners.on_change = self._requests.note_change
+        self._runners.on_change = self._requests.handle_runner_change
         self._tasks = create_tasks(settings, self._links, self._policies, self._metrics)
-        self._directory.on_epoch = self._tasks.note_epoch
+        self._directory.on_epoch = self._tasks.record_epoch
         self._reporter = Reporter(
             settings.report_s,
             tasks=self._tasks,
-            list_loads=self._requests.figures,
+            list_loads=self._requests.list_loads,
             directory=self._directory,
             links=self._links,
         )
@@ -81,8 +81,10 @@
             reporter=self._reporter,
         )
         model = create_interference_model()
-        self._evidence = EvidenceExchange(model, self._links.send_to_any)
-        self._guarding = self._create_guarding(model)
+        self._interference_exchange = InterferenceExchange(
+            model, self._links.send_to_any
+        )
+        self._guard_loop = self._create_guard_loop(model)
         self._links.set_handler(self._create_dispatch())
         self._server = self._create_server()
         self._supervisor = self._create_supervisor()
@@ -102,7 +104,7 @@
             return exit_codes.FAILURE
         finally:
             await drainer.cancel()
-        return exit_codes.FAILURE if self._cut else exit_codes.OK
+        return exit_codes.FAILURE if self._abandoned_requests else exit_codes.OK
 
     async def close(self) -> None:
         """Close open requests and the connections to runners."""
@@ -111,14 +113,14 @@
 
     async def _drain_on_signal(self, watch: SignalWatch) -> None:
         await watch.wait()
-        await curio.spawn(self._cut_on_signal, watch, daemon=True)
+        await curio.spawn(self._abort_on_signal, watch, daemon=True)
         if not await self._drainer.drain(self.leave):
-            self._cut = True
+            self._abandoned_requests = True
         await self._supervisor.stop()
 
-    async def _cut_on_signal(self, watch: SignalWatch) -> None:
+    async def _abort_on_signal(self, watch: SignalWatch) -> None:
         await watch.wait()
-        self._cut = True
+        self._abandoned_requests = True
         log.error(
             "agent: second signal, stopping with {} requests open",
             self._requests.open_count,
@@ -146,7 +148,7 @@
                 failures += 1
                 log.error("agent: attaching to the worker failed: {}", error)
             await curio.sleep(compute_pause(failures))
-        self._runners.open_for_runners(self._tasks.ledger)
+        self._runners.set_ledger(self._tasks.ledger)
         await self._attached.set()
 
     async def _run_links(self) -> None:
@@ -163,14 +165,14 @@
             directory=self._directory,
             links=self._links,
             policies=self._policies,
-            evidence=self._evidence,
+            interference_exchange=self._interference_exchange,
             reporter=self._reporter,
             metrics=self._metrics,
         )
 
-    def _create_guarding(self, model: InterferenceModel) -> Guarding:
+    def _create_guard_loop(self, model: InterferenceModel) -> GuardLoop:
         timeline = create_timeline()
-        return create_guarding(
+        return create_guard_loop(
             self._tasks,
             self._requests,
             create_guard(self._settings.guard, model, timeline),
@@ -180,9 +182,9 @@
             metrics=self._metrics,
         )
 
-    async def _run_guarding(self) -> None:
+    async def _run_guard_loop(self) -> None:
         await self._attached.wait()
-        await self._guarding.run()
+        await self._guard_loop.run()
 
     def _create_server(self) -> WebServer:
         announce = self._settings.announce
@@ -190,7 +192,7 @@
         return create_server(announce.host, announce.port, api.handle, LIMITS)
 
     def _build_status(self) -> dict[str, Any]:
-        parts = StatusParts(
+        sources = StatusSources(
             settings=self._settings,
             tasks=self._tasks,
             requests=self._requests,
@@ -199,7 +201,7 @@
             metrics=self._metrics,
         )
         return build_status(
-            parts, attached=self._attached.is_set(), draining=self._drainer.draining
+            sources, attached=self._attached.is_set(), draining=self._drainer.draining
         )
 
     def _create_supervisor(self) -> Supervisor:
@@ -209,8 +211,8 @@
         supervisor.add("runners", self._runners.run)
         supervisor.add("links", self._run_links)
         supervisor.add("reports", self._reporter.run)
-        supervisor.add("evidence", self._evidence.run)
-        supervisor.add("guard", self._run_guarding)
+        supervisor.add("evidence", self._interference_exchange.run)
+        supervisor.add("guard", self._run_guard_loop)
         return supervisor
 
 
--- a/pistachiodeal/agent/composition.py
+++ b/pistachiodeal/agent/composition.py
@@ -4,8 +4,8 @@
 
 import secrets
 
-from pistachiodeal.agent.links import LinkKeeper
-from pistachiodeal.agent.tasks import TaskKeeper, create_task_keeper
+from pistachiodeal.agent.links import LinkManager
+from pistachiodeal.agent.tasks import TaskManager, create_task_manager
 from pistachiodeal.config.agent import AgentSettings
 from pistachiodeal.metrics import Metrics
 from pistachiodeal.profiles.cache import PolicyCache
@@ -31,13 +31,13 @@
 
 def create_tasks(
     settings: AgentSettings,
-    links: LinkKeeper,
+    links: LinkManager,
     policies: PolicyCache,
     metrics: Metrics,
-) -> TaskKeeper:
+) -> TaskManager:
     """Create the task manager with its clients of the worker and the object store."""
     runtime = settings.runtime
-    return create_task_keeper(
+    return create_task_manager(
         create_worker_runtime(runtime.worker, timeout=runtime.timeout_s),
         create_object_store(
             runtime.objects, timeout=runtime.timeout_s, connections=OBJECT_CONNECTIONS
--- a/pistachiodeal/agent/directory.py
+++ b/pistachiodeal/agent/directory.py
@@ -12,7 +12,7 @@
 MAX_PARTITIONS = 4_096
 
 
-class AgentDirectory:
+class MergedDirectory:
     """Merges the directories that all linked entries send.
 
     An entry counts as present while any linked entry lists it, so an entry that
@@ -24,34 +24,34 @@
 
     def __init__(self) -> None:
         self.on_epoch: Callable[[int, int], None] | None = None
-        self._views: dict[str, tuple[EntryAddress, ...]] = {}
-        self._last: tuple[EntryAddress, ...] = ()
+        self._directories: dict[str, tuple[EntryAddress, ...]] = {}
+        self._last_entries: tuple[EntryAddress, ...] = ()
         self._owners: dict[int, PartitionOwner] = {}
 
     @property
     def entries(self) -> tuple[EntryAddress, ...]:
         """Return all known entries; without a link, the ones known last."""
         found: dict[str, EntryAddress] = {}
-        for view in self._views.values():
-            for entry in view:
+        for directory in self._directories.values():
+            for entry in directory:
                 found.setdefault(entry.node, entry)
-        return tuple(found.values()) or self._last
+        return tuple(found.values()) or self._last_entries
 
-    def note(self, source: str, directory: Directory) -> None:
+    def update(self, source: str, directory: Directory) -> None:
         """Replace the directory of the entry ``source`` by a newer one."""
-        self._views[source] = directory.entries[:MAX_ENTRIES]
+        self._directories[source] = directory.entries[:MAX_ENTRIES]
         for owner in directory.owners:
-            self._note_owner(owner)
+            self._update_owner(owner)
 
-    def forget(self, source: str) -> None:
+    def remove_source(self, source: str) -> None:
         """Remove the directory of ``source``.
 
         If it was the only one, its entries are kept as the last known ones.
         """
         known = self.entries
-        self._views.pop(source, None)
-        if not self._views:
-            self._last = known
+        self._directories.pop(source, None)
+        if not self._directories:
+            self._last_entries = known
 
     def get_owner(self, partition: int) -> PartitionOwner | None:
         """Return the owner of a partition, None if no owner is known."""
@@ -62,7 +62,7 @@
         """Return the partitions that the entry ``node`` owns."""
         return {p for p, owner in self._owners.items() if owner.node == node}
 
-    def _note_owner(self, owner: PartitionOwner) -> None:
+    def _update_owner(self, owner: PartitionOwner) -> None:
         if not 0 <= owner.partition < MAX_PARTITIONS:
             return
         known = self._owners.get(owner.partition)
@@ -82,11 +82,11 @@
     Rendezvous"): adding or removing an entry moves only the links to that entry.
     """
 
-    def weigh(entry: EntryAddress) -> tuple[bool, int]:
+    def sort_key(entry: EntryAddress) -> tuple[bool, int]:
         weight = xxhash.xxh3_64_intdigest(f"{agent}|{entry.node}".encode())
         return entry.data_centre != data_centre, -weight
 
-    return sorted(entries, key=weigh)
+    return sorted(entries, key=sort_key)
 
 
 def choose_entries(
@@ -106,7 +106,7 @@
     usable = (entry for entry in entries if entry.address not in avoided)
     ranked = rank_entries(agent, data_centre, usable)
     chosen = ranked[:count]
-    far = [entry for entry in ranked if entry.data_centre != data_centre]
-    if count > 1 and far and far[0] not in chosen:
-        chosen[-1] = far[0]
+    remote = [entry for entry in ranked if entry.data_centre != data_centre]
+    if count > 1 and remote and remote[0] not in chosen:
+        chosen[-1] = remote[0]
     return chosen
--- a/pistachiodeal/agent/dispatch.py
+++ b/pistachiodeal/agent/dispatch.py
@@ -7,12 +7,12 @@
 
 import logbook
 
-from pistachiodeal.agent.directory import AgentDirectory
-from pistachiodeal.agent.evidence import EvidenceExchange
-from pistachiodeal.agent.links import LinkKeeper
+from pistachiodeal.agent.directory import MergedDirectory
+from pistachiodeal.agent.interference_exchange import InterferenceExchange
+from pistachiodeal.agent.links import LinkManager
 from pistachiodeal.agent.reporting import Reporter
 from pistachiodeal.agent.requests import RequestHandler
-from pistachiodeal.agent.tasks import TaskKeeper
+from pistachiodeal.agent.tasks import TaskManager
 from pistachiodeal.metrics import Metrics
 from pistachiodeal.profiles.cache import PolicyCache
 from pistachiodeal.wire.link import Link
@@ -40,11 +40,11 @@
         self,
         *,
         requests: RequestHandler,
-        tasks: TaskKeeper,
-        directory: AgentDirectory,
-        links: LinkKeeper,
+        tasks: TaskManager,
+        directory: MergedDirectory,
+        links: LinkManager,
         policies: PolicyCache,
-        evidence: EvidenceExchange,
+        interference_exchange: InterferenceExchange,
         reporter: Reporter,
         metrics: Metrics,
     ) -> None:
@@ -53,11 +53,11 @@
         self._directory = directory
         self._links = links
         self._policies = policies
-        self._evidence = evidence
+        self._interference_exchange = interference_exchange
         self._reporter = reporter
         self._metrics = metrics
 
-    async def greet(self, link: Link) -> None:
+    async def on_open(self, link: Link) -> None:
         """Send the policies and a first report on a new link.
 
         An entry that started during a store outage gets the policies only from
@@ -65,7 +65,7 @@
         """
         for parts in _split(self._policies.all_parts()):
             await link.send(Policies(parts))
-        await self._reporter.greet(link)
+        await self._reporter.send_first_report(link)
 
     async def receive(self, link: Link, message: Message) -> None:
         """Handle a message; blocks only while a link's send buffer is full."""
@@ -76,23 +76,23 @@
         elif isinstance(message, Start | Stop | Renew | TaskAck):
             await self._tasks.receive(message)
         elif isinstance(message, Directory):
-            self._directory.note(link.peer.node, message)
-            await self._links.note_directory()
+            self._directory.update(link.peer.node, message)
+            await self._links.handle_directory_change()
         elif isinstance(message, Policies):
             await self._merge_policies(link, message)
         elif isinstance(message, Evidence):
-            self._evidence.receive(message)
+            self._interference_exchange.receive(message)
         elif isinstance(message, Goodbye):
-            await self._links.note_goodbye(link)
+            await self._links.handle_goodbye(link)
         else:
             self._metrics.count("agent.messages.unexpected")
 
-    async def part(self, link: Link) -> None:
+    async def on_close(self, link: Link) -> None:
         """Drop the waiting requests of a closed link, and its entry's directory."""
         await self._requests.close_origin(link)
         node = link.peer.node
         if all(other.peer.node != node for other in self._links.links):
-            self._directory.forget(node)
+            self._directory.remove_source(node)
 
     def count_open(self, link: Link) -> int:
         """Return the number of unanswered requests of the link."""
@@ -102,7 +102,7 @@
         """Apply newer policies, and forward them to the other entries."""
         changed = self._policies.merge(message.parts)
         for parts in _split(self._policies.parts(changed)):
-            await self._links.send_to_all(Policies(parts), but=link)
+            await self._links.send_to_all(Policies(parts), exclude=link)
 
 
 def _split(parts: Iterable[PolicyPart]) -> Iterator[tuple[PolicyPart, ...]]:
--- a/pistachiodeal/agent/draining.py
+++ b/pistachiodeal/agent/draining.py
@@ -7,10 +7,10 @@
 import curio
 import logbook
 
-from pistachiodeal.agent.links import LinkKeeper
+from pistachiodeal.agent.links import LinkManager
 from pistachiodeal.agent.reporting import Reporter
 from pistachiodeal.agent.requests import RequestHandler
-from pistachiodeal.agent.tasks import TaskKeeper
+from pistachiodeal.agent.tasks import TaskManager
 
 GOODBYE_GRACE_S = 1.0
 
@@ -30,8 +30,8 @@
         limit: float,
         *,
         requests: RequestHandler,
-        tasks: TaskKeeper,
-        links: LinkKeeper,
+        tasks: TaskManager,
+        links: LinkManager,
         reporter: Reporter,
     ) -> None:
         self._limit = limit
@@ -57,9 +57,9 @@
         self._requests.start_draining()
         self._tasks.stop_accepting()
         log.notice("agent: draining, {} requests open", self._requests.open_count)
-        await self._links.say_goodbye("draining")
+        await self._links.send_goodbye("draining")
         await self._reporter.report()
-        leaving = await curio.spawn(self._leave_worker, leave, daemon=True)
+        eviction = await curio.spawn(self._evict_tasks, leave, daemon=True)
         # Requests that entries sent before they read the goodbye are still in
         # transit. If the links closed now, their callers would get the outcome
         # "unknown"; during this grace period they get a refusal instead.
@@ -71,11 +71,11 @@
                 "agent: drain timed out, {} requests abandoned",
                 self._requests.open_count,
             )
-        await leaving.join()
+        await eviction.join()
         await self._requests.stop()
         return drained
 
-    async def _leave_worker(self, leave: bool) -> None:
+    async def _evict_tasks(self, leave: bool) -> None:
         if not leave:
             return
         log.notice("agent: the worker is decommissioned, evicting its tasks")
--- a/pistachiodeal/agent/address_choice.py
+++ b/pistachiodeal/agent/entry_selector.py
@@ -5,7 +5,7 @@
 import random
 from collections.abc import Callable, Mapping
 
-from pistachiodeal.agent.directory import AgentDirectory, choose_entries
+from pistachiodeal.agent.directory import MergedDirectory, choose_entries
 from pistachiodeal.agent.peers import EntryPeer
 from pistachiodeal.clock import Clock
 from pistachiodeal.config.agent import AgentSettings
@@ -15,19 +15,19 @@
 Peers = Mapping[str, EntryPeer]
 
 
-class AddressChoice:
+class EntrySelector:
     """Selects a few entries for requests, and the owners of this worker's runs."""
 
     def __init__(
         self,
         settings: AgentSettings,
-        directory: AgentDirectory,
-        list_held_partitions: Callable[[], set[int]],
+        directory: MergedDirectory,
+        list_needed_partitions: Callable[[], set[int]],
         clock: Clock,
     ) -> None:
         self._settings = settings
         self._directory = directory
-        self._list_held_partitions = list_held_partitions
+        self._list_needed_partitions = list_needed_partitions
         self._clock = clock
 
     def choose(self, peers: Peers) -> set[str]:
@@ -61,7 +61,7 @@
         }
 
     def _list_owner_addresses(self) -> set[str]:
-        owners = map(self._directory.get_owner, self._list_held_partitions())
+        owners = map(self._directory.get_owner, self._list_needed_partitions())
         return {owner.address for owner in owners if owner and owner.address}
 
     def _choose_seeds(self, peers: Peers, count: int) -> set[str]:
--- a/pistachiodeal/agent/guarding.py
+++ b/pistachiodeal/agent/guard_loop.py
@@ -8,7 +8,7 @@
 
 import curio
 
-from pistachiodeal.agent.held_runs import HeldRun, Phase
+from pistachiodeal.agent.run_records import Phase, RunRecord
 from pistachiodeal.clock import Clock
 from pistachiodeal.config.agent import GuardSettings
 from pistachiodeal.control.guard import Guard
@@ -23,13 +23,13 @@
 MICROS = 1_000_000
 
 
-class ServiceFigures(Protocol):
+class ServiceStats(Protocol):
     """Recent load and latency of the services on this worker."""
 
-    def figures(self) -> tuple[ServiceLoad, ...]:
+    def list_loads(self) -> tuple[ServiceLoad, ...]:
         """Return the load of each service that has runners on this worker."""
 
-    def latency(self, service: str) -> float:
+    def recent_latency(self, service: str) -> float:
         """Return the recent latency at the promised percentile, seconds."""
 
 
@@ -37,7 +37,7 @@
     """The operations on tasks that the guard loop needs."""
 
     @property
-    def held(self) -> Iterable[HeldRun]:
+    def records(self) -> Iterable[RunRecord]:
         """Return the records of the runs on this worker."""
 
     @property
@@ -54,14 +54,14 @@
         """Stop a run at a checkpoint."""
 
 
-class Guarding:
+class GuardLoop:
     """Passes measurements to the guard and carries out the actions it returns."""
 
     def __init__(
         self,
         *,
-        keeper: TaskControl,
-        figures: ServiceFigures,
+        tasks: TaskControl,
+        stats: ServiceStats,
         guard: Guard,
         timeline: Timeline,
         policies: PolicyCache,
@@ -69,8 +69,8 @@
         metrics: Metrics,
         clock: Clock,
     ) -> None:
-        self._keeper = keeper
-        self._figures = figures
+        self._tasks = tasks
+        self._stats = stats
         self._guard = guard
         self._timeline = timeline
         self._policies = policies
@@ -81,29 +81,29 @@
     async def run(self) -> None:
         """Run the guard once per period until cancelled."""
         while True:
-            await self.act()
+            await self.run_once()
             await curio.sleep(self._settings.period_s)
 
-    async def act(self) -> None:
+    async def run_once(self) -> None:
         """Record which kinds of task run, call the guard, carry out its actions."""
         now = self._clock()
-        shares = sum_kinds(self._keeper.held, self._keeper.capacity)
+        shares = sum_kinds(self._tasks.records, self._tasks.capacity)
         self._timeline.note(now, shares)
         readings = self._read_services(now)
-        for action in self._guard.decide(now, readings, self._keeper.runs()):
+        for action in self._guard.decide(now, readings, self._tasks.runs()):
             if isinstance(action, Throttle):
                 self._metrics.count("guard.throttle")
-                await self._keeper.throttle(action.task_id, action.share)
+                await self._tasks.throttle(action.task_id, action.share)
             elif isinstance(action, Evict):
                 self._metrics.count("guard.evict")
-                await self._keeper.evict(action.task_id)
+                await self._tasks.evict(action.task_id)
 
     def _read_services(self, now: float) -> list[ServiceReading]:
         """Return a reading of each latency-critical service with recent requests."""
         readings = []
-        for load in self._figures.figures():
+        for load in self._stats.list_loads():
             policy = self._policies.policy(load.service)
-            latency_s = self._figures.latency(load.service)
+            latency_s = self._stats.recent_latency(load.service)
             if policy is None or policy.profile is None or latency_s <= 0:
                 continue
             if policy.profile.latency_critical:
@@ -136,44 +136,44 @@
     )
 
 
-def build_view(held: HeldRun, profile: Profile) -> RunView:
+def build_view(record: RunRecord, profile: Profile) -> RunView:
     """Return a run as input for the guard, with the limits from its profile."""
     return RunView(
-        held.task_id,
-        held.kind,
-        held.started_at,
-        held.share,
-        held.evictions,
-        held.min_run_s,
+        record.task_id,
+        record.kind,
+        record.started_at,
+        record.share,
+        record.evictions,
+        record.min_run_s,
         profile.max_evictions,
         profile.eviction_cost,
-        held.size,
+        record.size,
     )
 
 
-def sum_kinds(runs: Iterable[HeldRun], capacity: Resources) -> Mapping[str, float]:
+def sum_kinds(runs: Iterable[RunRecord], capacity: Resources) -> Mapping[str, float]:
     """Return the share of the worker's processors that each kind of task uses.
 
     Measured use takes precedence over the reserved size, because declared sizes
     are often wrong.
     """
     shares: dict[str, float] = {}
-    for held in runs:
-        if held.phase not in (Phase.RUNNING, Phase.STOPPING):
+    for record in runs:
+        if record.phase not in (Phase.RUNNING, Phase.STOPPING):
             continue
-        reserved = held.size.cpu_milli * held.share
+        reserved = record.size.cpu_milli * record.share
         # Measurements lag. One from before a throttle shows the task's earlier use,
         # and the guard would throttle the same task again.
-        used = reserved if held.recent is None else held.recent.cpu_milli
-        used = min(used, reserved) if held.share < 1.0 else used
+        used = reserved if record.recent is None else record.recent.cpu_milli
+        used = min(used, reserved) if record.share < 1.0 else used
         share = used / max(capacity.cpu_milli, 1)
-        shares[held.kind] = shares.get(held.kind, 0.0) + share
+        shares[record.kind] = shares.get(record.kind, 0.0) + share
     return shares
 
 
-def create_guarding(
-    keeper: TaskControl,
-    figures: ServiceFigures,
+def create_guard_loop(
+    tasks: TaskControl,
+    stats: ServiceStats,
     guard: Guard,
     timeline: Timeline,
     policies: PolicyCache,
@@ -181,11 +181,11 @@
     settings: GuardSettings,
     metrics: Metrics,
     clock: Callable[[], float] = time.monotonic,
-) -> Guarding:
+) -> GuardLoop:
     """Create the guard loop of one worker."""
-    return Guarding(
-        keeper=keeper,
-        figures=figures,
+    return GuardLoop(
+        tasks=tasks,
+        stats=stats,
         guard=guard,
         timeline=timeline,
         policies=policies,
--- a/pistachiodeal/agent/evidence.py
+++ b/pistachiodeal/agent/interference_exchange.py
@@ -17,7 +17,7 @@
 MAX_PAIRS = 2_000
 
 
-class EvidenceModel(Protocol):
+class ExchangedModel(Protocol):
     """The interference model, as far as the exchange uses it."""
 
     def take_evidence(self) -> tuple[PairEvidence, ...]:
@@ -27,12 +27,12 @@
         """Merge measurements of other workers."""
 
 
-class EvidenceExchange:
+class InterferenceExchange:
     """Sends new measurements on one link periodically, and merges received ones."""
 
     def __init__(
         self,
-        model: EvidenceModel,
+        model: ExchangedModel,
         send_to_any: Callable[[Message], Awaitable[bool]],
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
--- a/pistachiodeal/agent/serial.py
+++ b/pistachiodeal/agent/keyed_executor.py
@@ -10,7 +10,7 @@
 Action = Callable[[], Awaitable[object]]
 
 
-class SerialWork:
+class KeyedExecutor:
     """Runs the actions of each key in order, and different keys concurrently.
 
     :param limit: maximum number of waiting actions.
@@ -27,11 +27,11 @@
         """Return whether no more actions are accepted."""
         return self._count >= self._limit
 
-    def holds(self, key: str) -> bool:
+    def is_active(self, key: str) -> bool:
         """Return whether an action of this key is waiting or running."""
         return key in self._waiting
 
-    async def put(self, key: str, action: Action) -> bool:
+    async def submit(self, key: str, action: Action) -> bool:
         """Add an action; if the limit is reached, add nothing and return False."""
         if self.full:
             return False
@@ -44,10 +44,10 @@
         await self._ready.put(key)
         return True
 
-    async def put_once(self, key: str, action: Action) -> None:
+    async def submit_if_idle(self, key: str, action: Action) -> None:
         """Add an action unless one of the same key is waiting or running."""
-        if not self.holds(key):
-            await self.put(key, action)
+        if not self.is_active(key):
+            await self.submit(key, action)
 
     async def restart(self) -> None:
         """Schedule the waiting actions again after the pool was cancelled."""
@@ -57,7 +57,7 @@
         for key in self._waiting:
             await self._ready.put(key)
 
-    async def work(self) -> None:
+    async def run_actions(self) -> None:
         """Run actions until cancelled; each task of the pool runs this method."""
         while True:
             key = await self._ready.get()
--- a/pistachiodeal/agent/leases.py
+++ b/pistachiodeal/agent/leases.py
@@ -8,21 +8,21 @@
 import curio
 import logbook
 
-from pistachiodeal.agent.held_runs import HeldRun, Phase
+from pistachiodeal.agent.run_records import Phase, RunRecord
 from pistachiodeal.clock import Clock
 from pistachiodeal.exceptions import WorkerError, WorkerFencedError
 from pistachiodeal.store.protocols import WorkerRuntime
 from pistachiodeal.wire.task_messages import LeaseGrant, Renew
 
-BEATS_KEPT = 512
+MAX_BEATS = 512
 MAX_PARTITIONS = 4096
 MAX_LEASE_S = 3600.0
-BARRED_KEPT = 10_000
+MAX_REJECTED_ATTEMPTS = 10_000
 
 log = logbook.Logger("pistachiodeal.agent")
 
 
-class LeaseBook:
+class LeaseTracker:
     """Computes the ends of leases, and tracks the highest epoch of each partition.
 
     A lease starts when the agent sent the beat that the grant answers. A grant
@@ -30,8 +30,8 @@
     therefore yields an end that has already passed.
     """
 
-    def __init__(self, beats_kept: int = BEATS_KEPT) -> None:
-        self._beats_kept = beats_kept
+    def __init__(self, max_beats: int = MAX_BEATS) -> None:
+        self._max_beats = max_beats
         self._sent_at: OrderedDict[int, float] = OrderedDict()
         self._latest_beat = 0
         self._epochs: dict[int, int] = {}
@@ -41,7 +41,7 @@
         """Return the latest recorded beat, 0 before the first."""
         return self._latest_beat
 
-    def note_beat(self, beat: int, sent_at: float) -> None:
+    def record_beat(self, beat: int, sent_at: float) -> None:
         """Record when a beat is sent; called before sending it.
 
         A beat that is not above the latest is ignored, so that the first time of
@@ -53,10 +53,10 @@
             return
         self._latest_beat = beat
         self._sent_at[beat] = sent_at
-        if len(self._sent_at) > self._beats_kept:
+        if len(self._sent_at) > self._max_beats:
             self._sent_at.popitem(last=False)
 
-    def find_end(self, beat: int, lease_ms: int) -> float | None:
+    def compute_end(self, beat: int, lease_ms: int) -> float | None:
         """Return the end of a lease granted for a beat, None if the beat is unknown.
 
         :param lease_ms: length of the lease, milliseconds.
@@ -71,7 +71,7 @@
         """Return the highest known epoch of a partition, 0 if none is known."""
         return self._epochs.get(partition, 0)
 
-    def note_epoch(self, partition: int, epoch: int) -> bool:
+    def record_epoch(self, partition: int, epoch: int) -> bool:
         """Record an epoch; return False if a higher one is known already."""
         if not 0 <= partition < MAX_PARTITIONS:
             return False
@@ -81,7 +81,7 @@
         return True
 
 
-class BarredAttempts:
+class RejectedAttempts:
     """Attempts that, as their owner was informed, will never run on this worker.
 
     A Start of such an attempt can still arrive later, on another link. The number
@@ -89,63 +89,63 @@
     above the beat recorded with it is refused.
     """
 
-    def __init__(self, kept: int = BARRED_KEPT) -> None:
-        self._kept = kept
+    def __init__(self, limit: int = MAX_REJECTED_ATTEMPTS) -> None:
+        self._limit = limit
         self._attempts: OrderedDict[str, tuple[int, int]] = OrderedDict()
         self._floor = 0
 
-    def bar(self, task_id: str, attempt: int, beat: int) -> None:
+    def reject(self, task_id: str, attempt: int, beat: int) -> None:
         """Reject this and all lower attempts of a task from now on.
 
         :param beat: the latest beat.
         """
         known, _ = self._attempts.pop(task_id, (0, 0))
         self._attempts[task_id] = (max(known, attempt), beat)
-        if len(self._attempts) > self._kept:
+        if len(self._attempts) > self._limit:
             _, (_, dropped_beat) = self._attempts.popitem(last=False)
             self._floor = max(self._floor, dropped_beat)
 
-    def covers(self, task_id: str, attempt: int, beat: int) -> bool:
+    def rejects(self, task_id: str, attempt: int, beat: int) -> bool:
         """Return whether a Start of this attempt with this beat must be refused."""
-        barred, _ = self._attempts.get(task_id, (0, 0))
-        return attempt <= barred or beat <= self._floor
+        rejected, _ = self._attempts.get(task_id, (0, 0))
+        return attempt <= rejected or beat <= self._floor
 
 
-class Renewer:
+class LeaseRenewer:
     """Renews leases at the worker, all pending ones in a single call.
 
-    :param held: the runs on this worker by task.
+    :param records: the runs on this worker by task.
     :param retry_s: pause after a failed renewal, seconds.
     """
 
     def __init__(
         self,
         runtime: WorkerRuntime,
-        book: LeaseBook,
-        held: Mapping[str, HeldRun],
+        lease_tracker: LeaseTracker,
+        records: Mapping[str, RunRecord],
         *,
         retry_s: float,
         clock: Clock,
     ) -> None:
         self._runtime = runtime
-        self._book = book
-        self._held = held
+        self._lease_tracker = lease_tracker
+        self._records = records
         self._retry_s = retry_s
         self._clock = clock
-        self._waiting: dict[str, float] = {}
-        self._wanted = curio.Event()
+        self._pending: dict[str, float] = {}
+        self._renewal_wanted = curio.Event()
 
-    async def take(self, renew: Renew) -> None:
+    async def apply_grants(self, renew: Renew) -> None:
         """Compute new lease ends from an owner's grants and queue the renewals."""
         grants = {grant.partition: grant for grant in renew.grants}
-        for held in self._held.values():
-            grant = grants.get(held.partition)
-            if grant is not None and self._book.note_epoch(
+        for record in self._records.values():
+            grant = grants.get(record.partition)
+            if grant is not None and self._lease_tracker.record_epoch(
                 grant.partition, grant.epoch
             ):
-                self._note(held, grant, renew.beat)
-        if self._waiting:
-            await self._wanted.set()
+                self._queue_renewal(record, grant, renew.beat)
+        if self._pending:
+            await self._renewal_wanted.set()
 
     async def run(self) -> None:
         """Renew leases until cancelled.
@@ -153,15 +153,15 @@
         :raises WorkerFencedError: another agent has attached to this worker.
         """
         while True:
-            await self._wanted.wait()
-            self._wanted.clear()
-            await self.pass_on()
+            await self._renewal_wanted.wait()
+            self._renewal_wanted.clear()
+            await self.renew_pending()
 
-    async def pass_on(self) -> None:
+    async def renew_pending(self) -> None:
         """Send the pending renewals once; failed ones stay pending."""
         now = self._clock()
-        leases = {task: end for task, end in self._waiting.items() if end > now}
-        self._waiting = {}
+        leases = {task: end for task, end in self._pending.items() if end > now}
+        self._pending = {}
         if not leases:
             return
         try:
@@ -170,19 +170,19 @@
             raise
         except WorkerError as error:
             log.debug("agent: renewal failed: {}", error)
-            self._waiting = {**leases, **self._waiting}
+            self._pending = {**leases, **self._pending}
             await curio.sleep(self._retry_s)
-            await self._wanted.set()
+            await self._renewal_wanted.set()
             return
         for task_id, end in leases.items():
-            held = self._held.get(task_id)
-            if held is not None and held.phase is Phase.RUNNING:
-                held.lease_until = max(held.lease_until, end)
+            record = self._records.get(task_id)
+            if record is not None and record.phase is Phase.RUNNING:
+                record.lease_until = max(record.lease_until, end)
 
-    def _note(self, held: HeldRun, grant: LeaseGrant, beat: int) -> None:
-        end = self._book.find_end(beat, grant.lease_ms)
-        if end is None or end <= self._clock() or not held.accepts(grant, beat):
+    def _queue_renewal(self, record: RunRecord, grant: LeaseGrant, beat: int) -> None:
+        end = self._lease_tracker.compute_end(beat, grant.lease_ms)
+        if end is None or end <= self._clock() or not record.accepts(grant, beat):
             return
-        held.epoch = max(held.epoch, grant.epoch)
-        held.lease_s = grant.lease_ms / 1000
-        self._waiting[held.task_id] = max(end, self._waiting.get(held.task_id, 0.0))
+        record.epoch = max(record.epoch, grant.epoch)
+        record.lease_s = grant.lease_ms / 1000
+        self._pending[record.task_id] = max(end, self._pending.get(record.task_id, 0.0))
--- a/pistachiodeal/agent/ledger.py
+++ b/pistachiodeal/agent/ledger.py
@@ -40,15 +40,15 @@
         """
         if not _is_amount(size):
             return False
-        held = self._sizes.get(name, NOTHING)
-        shrinks = name in self._sizes and size.fits(held)
-        room = self._free + held
+        reserved = self._sizes.get(name, NOTHING)
+        shrinks = name in self._sizes and size.fits(reserved)
+        room = self._free + reserved
         if not shrinks and not (_is_amount(room) and size.fits(room)):
             return False
         self._set(name, size)
         return True
 
-    def adopt(self, name: str, size: Resources) -> None:
+    def reserve_unchecked(self, name: str, size: Resources) -> None:
         """Reserve resources that are already in use, even if they do not fit.
 
         An existing reservation is only enlarged. If a field of ``free`` becomes
--- a/pistachiodeal/agent/outbox.py
+++ b/pistachiodeal/agent/outbox.py
@@ -15,7 +15,7 @@
 RESEND_S = 0.5
 MAX_RESEND_S = 8.0
 SEND_BATCH = 64
-NOTICES_KEPT = 10_000
+MAX_MESSAGES = 10_000
 SAVE_WITHIN_S = 600.0
 
 log = logbook.Logger("pistachiodeal.agent")
@@ -31,7 +31,7 @@
 
 
 @dataclass(slots=True)
-class Notice:
+class PendingMessage:
     """A message to an owner, with its state of delivery.
 
     :param pause: time until the next resend, seconds.
@@ -61,34 +61,34 @@
 
     A refusal is not acknowledged; it is sent until a link has accepted it.
 
-    :param kept: maximum number of messages. Beyond it, each added message
+    :param limit: maximum number of messages. Beyond it, each added message
         displaces one that its owner can obtain by asking again.
     """
 
     def __init__(
-        self, route: OwnerRoute, objects: ObjectStore, clock: Clock, kept: int
+        self, route: OwnerRoute, objects: ObjectStore, clock: Clock, limit: int
     ) -> None:
         self._route = route
         self._objects = objects
         self._clock = clock
-        self._kept = kept
-        self._notices: dict[tuple[str, int], Notice] = {}
+        self._limit = limit
+        self._messages: dict[tuple[str, int], PendingMessage] = {}
 
     @property
     def empty(self) -> bool:
         """Return whether no message waits for delivery."""
-        return not self._notices
+        return not self._messages
 
     @property
     def unsaved_bytes(self) -> int:
         """Return the total size of checkpoints not yet in the object store."""
-        return sum(len(notice.unsaved or b"") for notice in self._notices.values())
+        return sum(len(pending.unsaved or b"") for pending in self._messages.values())
 
     def partitions(self) -> set[int]:
         """Return the partitions with undelivered messages."""
-        return {notice.partition for notice in self._notices.values()}
+        return {pending.partition for pending in self._messages.values()}
 
-    def put(
+    def add(
         self,
         partition: int,
         message: Notification,
@@ -98,77 +98,77 @@
         """Add a message, replacing an earlier one of the same attempt."""
         now = self._clock()
         key = (message.task_id, message.attempt)
-        if key not in self._notices and len(self._notices) >= self._kept:
+        if key not in self._messages and len(self._messages) >= self._limit:
             self._drop_one()
         until = now + SAVE_WITHIN_S
-        self._notices[key] = Notice(
+        self._messages[key] = PendingMessage(
             partition, message, now, until, unsaved=unsaved, unsaved_key=unsaved_key
         )
 
-    def hasten(self, task_id: str, attempt: int) -> bool:
+    def expedite(self, task_id: str, attempt: int) -> bool:
         """Make the message of an attempt due now; False if there is none."""
-        notice = self._notices.get((task_id, attempt))
-        if notice is None:
+        pending = self._messages.get((task_id, attempt))
+        if pending is None:
             return False
-        notice.next_at = self._clock()
+        pending.next_at = self._clock()
         return True
 
     def drop(self, task_id: str, attempt: int) -> None:
         """Remove the message of an attempt: it was acknowledged or superseded."""
-        self._notices.pop((task_id, attempt), None)
+        self._messages.pop((task_id, attempt), None)
 
     async def send_due(self) -> None:
         """Send due messages, at most :data:`SEND_BATCH` per call."""
         now = self._clock()
-        due = [pair for pair in self._notices.items() if pair[1].next_at <= now]
-        for key, notice in due[:SEND_BATCH]:
-            if await self._save(notice):
-                await self._send(key, notice)
+        due = [pair for pair in self._messages.items() if pair[1].next_at <= now]
+        for key, pending in due[:SEND_BATCH]:
+            if await self._save(pending):
+                await self._send(key, pending)
 
-    async def _save(self, notice: Notice) -> bool:
-        if notice.unsaved is None:
+    async def _save(self, pending: PendingMessage) -> bool:
+        if pending.unsaved is None:
             return True
-        assert isinstance(notice.message, TaskEnded)
+        assert isinstance(pending.message, TaskEnded)
         try:
-            await self._objects.put(notice.unsaved_key, notice.unsaved)
-            notice.message = replace(notice.message, checkpoint=notice.unsaved_key)
+            await self._objects.put(pending.unsaved_key, pending.unsaved)
+            pending.message = replace(pending.message, checkpoint=pending.unsaved_key)
         except StoreError:
-            if self._clock() < notice.save_until:
-                self._postpone(notice)
+            if self._clock() < pending.save_until:
+                self._postpone(pending)
                 return False
             log.warning(
                 "agent: checkpoint of {} not stored in time, discarding it",
-                notice.message.task_id,
+                pending.message.task_id,
             )
-        notice.unsaved = None
+        pending.unsaved = None
         return True
 
-    async def _send(self, key: tuple[str, int], notice: Notice) -> None:
+    async def _send(self, key: tuple[str, int], pending: PendingMessage) -> None:
         try:
-            sent = await self._route.send_to_owner(notice.partition, notice.message)
+            sent = await self._route.send_to_owner(pending.partition, pending.message)
         except LinkClosedError:
             sent = False
         if not sent:
-            notice.next_at = self._clock() + RESEND_S
-        elif isinstance(notice.message, StartRefused):
-            if self._notices.get(key) is notice:
-                del self._notices[key]
+            pending.next_at = self._clock() + RESEND_S
+        elif isinstance(pending.message, StartRefused):
+            if self._messages.get(key) is pending:
+                del self._messages[key]
         else:
-            self._postpone(notice)
+            self._postpone(pending)
 
-    def _postpone(self, notice: Notice) -> None:
-        notice.next_at = self._clock() + notice.pause
-        notice.pause = min(2 * notice.pause, MAX_RESEND_S)
+    def _postpone(self, pending: PendingMessage) -> None:
+        pending.next_at = self._clock() + pending.pause
+        pending.pause = min(2 * pending.pause, MAX_RESEND_S)
 
     def _drop_one(self) -> None:
-        for key, notice in self._notices.items():
-            if notice.droppable:
-                del self._notices[key]
+        for key, pending in self._messages.items():
+            if pending.droppable:
+                del self._messages[key]
                 return
 
 
 def create_outbox(
-    route: OwnerRoute, objects: ObjectStore, clock: Clock, kept: int = NOTICES_KEPT
+    route: OwnerRoute, objects: ObjectStore, clock: Clock, limit: int = MAX_MESSAGES
 ) -> Outbox:
     """Create an empty outbox."""
-    return Outbox(route, objects, clock, kept)
+    return Outbox(route, objects, clock, limit)
--- a/pistachiodeal/agent/owner_messages.py
+++ b/pistachiodeal/agent/owner_messages.py
@@ -4,12 +4,12 @@
 
 from functools import partial
 
-from pistachiodeal.agent.eviction import RunEnder
-from pistachiodeal.agent.held_runs import HeldRunTable
-from pistachiodeal.agent.leases import BarredAttempts, LeaseBook, Renewer
+from pistachiodeal.agent.keyed_executor import Action, KeyedExecutor
+from pistachiodeal.agent.leases import LeaseRenewer, LeaseTracker, RejectedAttempts
 from pistachiodeal.agent.outbox import Outbox
-from pistachiodeal.agent.serial import Action, SerialWork
+from pistachiodeal.agent.run_records import RunRecordTable
 from pistachiodeal.agent.starting import RunStarter
+from pistachiodeal.agent.termination import RunTerminator
 from pistachiodeal.metrics import Metrics
 from pistachiodeal.model.resources import Resources
 from pistachiodeal.wire.task_messages import (
@@ -24,36 +24,36 @@
 TaskMessage = Start | Stop | Renew | TaskAck
 
 
-class OwnerMessages:
+class OwnerMessageHandler:
     """Handles the starts, stops, renewals and acknowledgements of owners."""
 
     def __init__(
         self,
         *,
-        table: HeldRunTable,
-        book: LeaseBook,
-        barred: BarredAttempts,
+        table: RunRecordTable,
+        lease_tracker: LeaseTracker,
+        rejected_attempts: RejectedAttempts,
         outbox: Outbox,
-        work: SerialWork,
+        executor: KeyedExecutor,
         starter: RunStarter,
-        ender: RunEnder,
-        renewer: Renewer,
+        terminator: RunTerminator,
+        renewer: LeaseRenewer,
         metrics: Metrics,
     ) -> None:
         self._table = table
-        self._book = book
-        self._barred = barred
+        self._lease_tracker = lease_tracker
+        self._rejected_attempts = rejected_attempts
         self._outbox = outbox
-        self._work = work
+        self._executor = executor
         self._starter = starter
-        self._ender = ender
+        self._terminator = terminator
         self._renewer = renewer
         self._metrics = metrics
 
     async def receive(self, message: TaskMessage) -> None:
         """Accept a message from an owner; it is executed in the background."""
         if isinstance(message, Renew):
-            await self._renewer.take(message)
+            await self._renewer.apply_grants(message)
             return
         action: Action
         if isinstance(message, Start):
@@ -61,50 +61,54 @@
         elif isinstance(message, Stop):
             action = partial(self._stop, message)
         else:
-            action = partial(self._forget_acked, message)
-        if await self._work.put(message.task_id, action):
+            action = partial(self._handle_ack, message)
+        if await self._executor.submit(message.task_id, action):
             return
         self._metrics.count("task.overloaded")
         if isinstance(message, Start) and message.task_id not in self._table.runs:
             self._starter.refuse(message, "overloaded")
 
     async def _stop(self, stop: Stop) -> None:
-        if not self._book.note_epoch(stop.partition, stop.epoch):
+        if not self._lease_tracker.record_epoch(stop.partition, stop.epoch):
             self._metrics.count("task.stale_epoch")
             return
-        held = self._table.runs.get(stop.task_id)
-        if held is None or held.attempt != stop.attempt:
-            self._answer_unknown(stop)
-        elif held.ended:
-            self._outbox.hasten(stop.task_id, stop.attempt)
+        record = self._table.runs.get(stop.task_id)
+        if record is None or record.attempt != stop.attempt:
+            self._report_unknown_run(stop)
+        elif record.ended:
+            self._outbox.expedite(stop.task_id, stop.attempt)
         elif stop.evict:
-            await self._ender.evict(held)
+            await self._terminator.evict(record)
         else:
-            await self._ender.stop(held)
+            await self._terminator.stop(record)
 
-    def _answer_unknown(self, stop: Stop) -> None:
+    def _report_unknown_run(self, stop: Stop) -> None:
         """Report that an attempt never ran on this worker, and never will.
 
         Its Start may still be in transit on another link, so it is rejected from
         now on.
         """
-        if self._outbox.hasten(stop.task_id, stop.attempt):
+        if self._outbox.expedite(stop.task_id, stop.attempt):
             return
-        self._barred.bar(stop.task_id, stop.attempt, self._book.latest_beat)
+        self._rejected_attempts.reject(
+            stop.task_id, stop.attempt, self._lease_tracker.latest_beat
+        )
         ended = TaskEnded(
             stop.task_id, stop.attempt, UNKNOWN_RUN, "", "", Resources(), 0
         )
-        self._outbox.put(stop.partition, ended)
+        self._outbox.add(stop.partition, ended)
 
-    async def _forget_acked(self, ack: TaskAck) -> None:
-        held = self._table.runs.get(ack.task_id)
-        if held is not None and held.attempt != ack.attempt:
-            held = None
-        if held is not None and not held.ended:
+    async def _handle_ack(self, ack: TaskAck) -> None:
+        record = self._table.runs.get(ack.task_id)
+        if record is not None and record.attempt != ack.attempt:
+            record = None
+        if record is not None and not record.ended:
             return
         self._outbox.drop(ack.task_id, ack.attempt)
-        self._barred.bar(ack.task_id, ack.attempt, self._book.latest_beat)
-        if held is not None:
+        self._rejected_attempts.reject(
+            ack.task_id, ack.attempt, self._lease_tracker.latest_beat
+        )
+        if record is not None:
             del self._table.runs[ack.task_id]
-            await self._ender.forget(ack.task_id, ack.attempt)
-            await self._ender.delete_checkpoint(held)
+            await self._terminator.forget(ack.task_id, ack.attempt)
+            await self._terminator.delete_checkpoint(record)
--- a/pistachiodeal/agent/peers.py
+++ b/pistachiodeal/agent/peers.py
@@ -10,11 +10,11 @@
 
 from pistachiodeal.wire.link import Link
 
-FIRST_PAUSE_S = 0.1
-MAX_PAUSE_S = 5.0
+FIRST_BACKOFF_S = 0.1
+MAX_BACKOFF_S = 5.0
 
 
-class Pauses:
+class DialBackoff:
     """Exponential backoff between dials, with jitter.
 
     After the failure of an entry or a store outage, all agents dial at the same
@@ -23,17 +23,17 @@
 
     def __init__(self, choose: Callable[[float, float], float] | None = None) -> None:
         self._choose = choose or random.uniform
-        self._limit = FIRST_PAUSE_S
+        self._limit = FIRST_BACKOFF_S
 
     def reset(self) -> None:
         """Return to the shortest delay."""
-        self._limit = FIRST_PAUSE_S
+        self._limit = FIRST_BACKOFF_S
 
-    def take(self) -> float:
+    def next_delay(self) -> float:
         """Return the next delay, in seconds."""
-        pause = self._choose(0.0, self._limit)
-        self._limit = min(self._limit * 2, MAX_PAUSE_S)
-        return pause
+        delay = self._choose(0.0, self._limit)
+        self._limit = min(self._limit * 2, MAX_BACKOFF_S)
+        return delay
 
 
 @dataclass(slots=True, eq=False)
@@ -43,7 +43,7 @@
     :param failures: number of consecutive failed dials.
     :param avoid_until: time until which a substitute is selected, because the
         entry sent a goodbye; monotonic clock, seconds.
-    :param leaving_since: when the agent began to retire the link, same clock.
+    :param retiring_since: when the agent began to retire the link, same clock.
     """
 
     address: str
@@ -51,5 +51,5 @@
     task: curio.Task | None = None
     failures: int = 0
     avoid_until: float = 0.0
-    leaving_since: float | None = None
-    pauses: Pauses = field(default_factory=Pauses)
+    retiring_since: float | None = None
+    backoff: DialBackoff = field(default_factory=DialBackoff)
--- a/pistachiodeal/agent/queueing.py
+++ b/pistachiodeal/agent/queueing.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Pending:
+class PendingRequest:
     """A request that is not answered yet.
 
     :param refuse_at: time at which it is refused if it still waits; before the
@@ -31,7 +31,7 @@
     :param sequence: unique; orders requests with equal deadlines by arrival.
     :param waiting: it is in the queue, and no runner has it.
     :param withdrawn: the entry has withdrawn it.
-    :param handovers: number of times it was dispatched to a runner.
+    :param dispatches: number of times it was dispatched to a runner.
     """
 
     origin: Origin
@@ -42,7 +42,7 @@
     sequence: int
     waiting: bool = False
     withdrawn: bool = False
-    handovers: int = 0
+    dispatches: int = 0
 
     @property
     def key(self) -> tuple[int, int]:
@@ -58,31 +58,31 @@
         self.service_time = ServiceTime()
         self.latency = RecentLatency(window_s, clock)
         self.timer: curio.Task | None = None
-        self._waiting: list[tuple[float, int, Pending]] = []
+        self._waiting: list[tuple[float, int, PendingRequest]] = []
 
     def __len__(self) -> int:
         return len(self._waiting)
 
-    def add(self, pending: Pending) -> None:
+    def add(self, pending: PendingRequest) -> None:
         """Insert a request by its deadline."""
         pending.waiting = True
         insort(self._waiting, (pending.refuse_at, pending.sequence, pending))
 
-    def take(self) -> Pending:
+    def pop(self) -> PendingRequest:
         """Remove and return the first request."""
         return self._remove(0)
 
-    def take_late(self, now: float) -> Pending | None:
+    def pop_late(self, now: float) -> PendingRequest | None:
         """Remove and return the first request if its ``refuse_at`` has passed."""
         if self._waiting and self._waiting[0][0] <= now:
             return self._remove(0)
         return None
 
-    def discard(self, pending: Pending) -> None:
+    def discard(self, pending: PendingRequest) -> None:
         """Remove a waiting request."""
         self._remove(self._find(pending))
 
-    def count_ahead(self, pending: Pending) -> int:
+    def count_ahead(self, pending: PendingRequest) -> int:
         """Return the number of waiting requests ahead of this one."""
         return self._find(pending)
 
@@ -94,10 +94,10 @@
         """
         return (ahead + 1) * self.service_time.mean / max(slots, 1)
 
-    def _find(self, pending: Pending) -> int:
+    def _find(self, pending: PendingRequest) -> int:
         return bisect_left(self._waiting, (pending.refuse_at, pending.sequence))
 
-    def _remove(self, index: int) -> Pending:
+    def _remove(self, index: int) -> PendingRequest:
         pending = self._waiting.pop(index)[2]
         pending.waiting = False
         return pending
@@ -105,9 +105,9 @@
 
 def create_pending(
     origin: Origin, request: Request, now: float, sequence: int
-) -> Pending:
+) -> PendingRequest:
     """Create the pending request for a request received at ``now``."""
     budget = request.budget_ms / 1000
     deadline = now + budget
     margin = min(RETURN_MARGIN_S, budget / 4)
-    return Pending(origin, request, now, deadline, deadline - margin, sequence)
+    return PendingRequest(origin, request, now, deadline, deadline - margin, sequence)
--- a/pistachiodeal/agent/reporting.py
+++ b/pistachiodeal/agent/reporting.py
@@ -8,7 +8,7 @@
 
 import curio
 
-from pistachiodeal.agent.directory import AgentDirectory
+from pistachiodeal.agent.directory import MergedDirectory
 from pistachiodeal.model.resources import Resources
 from pistachiodeal.wire.link import Link
 from pistachiodeal.wire.messages import Message, Report, ServiceLoad
@@ -36,10 +36,10 @@
     def room(self) -> Resources:
         """Return the resources available to new tasks."""
 
-    def note_beat(self, beat: int, sent_at: float) -> None:
+    def record_beat(self, beat: int, sent_at: float) -> None:
         """Record when a beat is sent."""
 
-    def refs(self, partitions: set[int]) -> tuple[TaskRef, ...]:
+    def list_refs(self, partitions: set[int]) -> tuple[TaskRef, ...]:
         """Return references to the runs of these partitions."""
 
 
@@ -68,7 +68,7 @@
         *,
         tasks: TaskView,
         list_loads: Callable[[], Iterable[ServiceLoad]],
-        directory: AgentDirectory,
+        directory: MergedDirectory,
         links: LinkSender,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
@@ -93,18 +93,18 @@
 
     async def report(self) -> None:
         """Send one report on all links."""
-        beat = self._take_beat()
+        beat = self._next_beat()
         for link in self._links.links:
             await self._links.send(link, self._build_report(beat, link))
 
-    async def greet(self, link: Link) -> None:
+    async def send_first_report(self, link: Link) -> None:
         """Send a report on a new link, without waiting for the next round."""
-        await self._links.send(link, self._build_report(self._take_beat(), link))
+        await self._links.send(link, self._build_report(self._next_beat(), link))
 
-    def _take_beat(self) -> int:
+    def _next_beat(self) -> int:
         """Return the next beat; leases granted for it start now."""
         self._beat += 1
-        self._tasks.note_beat(self._beat, self._clock())
+        self._tasks.record_beat(self._beat, self._clock())
         return self._beat
 
     def _build_report(self, beat: int, link: Link) -> Report:
@@ -115,5 +115,5 @@
             capacity=self._tasks.ledger.capacity,
             free=self._tasks.room.enlarge(Resources()),
             services=tuple(self._list_loads()),
-            tasks=self._tasks.refs(partitions),
+            tasks=self._tasks.list_refs(partitions),
         )
--- a/pistachiodeal/agent/requests.py
+++ b/pistachiodeal/agent/requests.py
@@ -11,7 +11,7 @@
 from pistachiodeal.agent.admission import PolicySource, RequestAdmission
 from pistachiodeal.agent.queueing import (
     Origin,
-    Pending,
+    PendingRequest,
     ServiceQueue,
     create_pending,
 )
@@ -32,7 +32,7 @@
 
 TICK_S = 0.005
 LATE_LIMIT_S = 2.0
-MAX_HANDOVERS = 3
+MAX_DISPATCHES = 3
 LATENCY_WINDOW_S = 5.0
 
 
@@ -53,7 +53,7 @@
         self._admission = RequestAdmission(runners, policies, metrics, window_s, clock)
         self._queues = self._admission.queues
         self._clock = clock
-        self._open: dict[tuple[int, int], Pending] = {}
+        self._open: dict[tuple[int, int], PendingRequest] = {}
         self._slot_tasks: set[curio.Task] = set()
         self._sequence = 0
         self._idle = curio.Event()
@@ -82,7 +82,7 @@
         queue = self._admission.get_queue(request.service)
         self._open[pending.key] = pending
         queue.add(pending)
-        await self._pump(request.service)
+        await self._dispatch_waiting(request.service)
         if pending.waiting:
             await self._start_timer(queue)
 
@@ -104,28 +104,28 @@
                 self._metrics.count("agent.requests.dropped")
                 await self._finish(pending)
 
-    async def note_change(self, runner: Runner) -> None:
+    async def handle_runner_change(self, runner: Runner) -> None:
         """React to a runner that was added, was removed, or is usable again."""
         if runner.gone:
-            while runner.parked:
-                await runner.parked.pop().put(None)
+            while runner.idle_inboxes:
+                await runner.idle_inboxes.pop().put(None)
         service = runner.announcement.service
-        await self._pump(service)
+        await self._dispatch_waiting(service)
         if not self._runners.list_runners(service):
             await self._refuse_all(service, "no_runner")
 
     async def refuse_late(self, queue: ServiceQueue) -> None:
         """Refuse the waiting requests whose ``refuse_at`` has passed."""
-        while pending := queue.take_late(self._clock()):
+        while pending := queue.pop_late(self._clock()):
             await self._refuse(pending, "deadline")
 
-    def figures(self) -> tuple[ServiceLoad, ...]:
+    def list_loads(self) -> tuple[ServiceLoad, ...]:
         """Return the load of each service that has runners on this worker."""
         return tuple(
             self._admission.build_load(service) for service in self._runners.services
         )
 
-    def latency(self, service: str) -> float:
+    def recent_latency(self, service: str) -> float:
         """Return the recent latency at the profile's percentile, in seconds."""
         queue = self._queues.get(service)
         if queue is None:
@@ -159,14 +159,14 @@
         for task in list(self._slot_tasks):
             await task.cancel()
 
-    async def _pump(self, service: str) -> None:
+    async def _dispatch_waiting(self, service: str) -> None:
         queue = self._queues.get(service)
         while queue:
             runner = self._choose_runner(service)
             if runner is None:
                 return
             runner.busy += 1
-            await self._hand_over(runner, queue.take())
+            await self._dispatch(runner, queue.pop())
 
     def _choose_runner(self, service: str) -> Runner | None:
         free = [r for r in self._runners.list_runners(service) if r.has_room]
@@ -174,44 +174,44 @@
             return None
         return min(free, key=lambda runner: runner.busy / runner.announcement.slots)
 
-    async def _hand_over(self, runner: Runner, pending: Pending) -> None:
-        if runner.parked:
-            await runner.parked.pop().put(pending)
+    async def _dispatch(self, runner: Runner, pending: PendingRequest) -> None:
+        if runner.idle_inboxes:
+            await runner.idle_inboxes.pop().put(pending)
             return
         task = await curio.spawn(self._run_slot, runner, pending, daemon=True)
         self._slot_tasks.add(task)
 
-    async def _run_slot(self, runner: Runner, first: Pending) -> None:
+    async def _run_slot(self, runner: Runner, first: PendingRequest) -> None:
         """Serve one slot of a runner until the runner is removed."""
         inbox: curio.Queue = curio.Queue()
-        pending: Pending | None = first
+        pending: PendingRequest | None = first
         while pending is not None:
             await self._call_runner(runner, pending)
-            pending = await self._take_next(runner)
+            pending = await self._next_request(runner)
             if pending is None and not runner.gone:
-                runner.parked.append(inbox)
+                runner.idle_inboxes.append(inbox)
                 pending = await inbox.get()
         self._slot_tasks.discard(await curio.current_task())
         await self._runners.retire_if_idle(runner)
 
-    async def _take_next(self, runner: Runner) -> Pending | None:
+    async def _next_request(self, runner: Runner) -> PendingRequest | None:
         """Return the slot's next request, or free the slot and return None."""
         service = runner.announcement.service
         queue = self._queues.get(service)
         if queue:
             await self.refuse_late(queue)
         if queue and runner.usable and not runner.gone:
-            return queue.take()
+            return queue.pop()
         runner.busy -= 1
         return None
 
-    async def _call_runner(self, runner: Runner, pending: Pending) -> None:
+    async def _call_runner(self, runner: Runner, pending: PendingRequest) -> None:
         started = self._clock()
         if started >= pending.refuse_at:
             await self._refuse(pending, "deadline")
             return
         request = pending.request
-        pending.handovers += 1
+        pending.dispatches += 1
         try:
             answer = await runner.client.call(
                 request.method,
@@ -223,15 +223,19 @@
         except UnsendableError:
             await self._refuse(pending, "unsendable")
         except CallError as error:
-            await self._settle_error(runner, pending, error, started)
+            await self._handle_error(runner, pending, error, started)
         except Exception as error:
             log.error("agent: call of {} failed: {!r}", runner.announcement.name, error)
             await self._fail(pending, Outcome.UNKNOWN, "internal", repr(error))
         else:
-            await self._settle_answer(runner, pending, answer, started)
+            await self._handle_answer(runner, pending, answer, started)
 
-    async def _settle_answer(
-        self, runner: Runner, pending: Pending, answer: WebResponse, started: float
+    async def _handle_answer(
+        self,
+        runner: Runner,
+        pending: PendingRequest,
+        answer: WebResponse,
+        started: float,
     ) -> None:
         now = self._clock()
         queue = self._queues.get(runner.announcement.service)
@@ -239,19 +243,19 @@
             queue.service_time.record(now - started)
             queue.latency.record(now - pending.received_at)
         self._metrics.time("agent.runner_time", now - started)
-        self._runners.note_success(runner)
+        self._runners.record_success(runner)
         message = Response(
             pending.request.request_id, answer.status, answer.headers, answer.body
         )
         await self._finish(pending, message)
 
-    async def _settle_error(
-        self, runner: Runner, pending: Pending, error: CallError, started: float
+    async def _handle_error(
+        self, runner: Runner, pending: PendingRequest, error: CallError, started: float
     ) -> None:
         connected = error.outcome is not Outcome.NOT_RUN
-        self._runners.note_failure(runner, connected)
+        self._runners.record_failure(runner, connected)
         if not connected:
-            await self._put_back(pending)
+            await self._requeue(pending)
             return
         now = self._clock()
         queue = self._queues.get(runner.announcement.service)
@@ -262,21 +266,21 @@
         code = "answer_cut" if cut else "no_answer"
         await self._fail(pending, error.outcome, code, str(error))
 
-    async def _put_back(self, pending: Pending) -> None:
+    async def _requeue(self, pending: PendingRequest) -> None:
         """Requeue a request that did not reach its runner, or refuse it."""
         service = pending.request.service
         if pending.withdrawn:
             await self._refuse(pending, "withdrawn")
         elif self._clock() >= pending.refuse_at:
             await self._refuse(pending, "deadline")
-        elif pending.handovers >= MAX_HANDOVERS or not self._admission.count_slots(
+        elif pending.dispatches >= MAX_DISPATCHES or not self._admission.count_slots(
             service
         ):
             await self._refuse(pending, "no_runner")
         else:
             queue = self._admission.get_queue(service)
             queue.add(pending)
-            await self._pump(service)
+            await self._dispatch_waiting(service)
             if pending.waiting:
                 await self._start_timer(queue)
 
@@ -285,17 +289,17 @@
         if queue is None:
             return
         while queue:
-            await self._refuse(queue.take(), code)
+            await self._refuse(queue.pop(), code)
         if not self._runners.list_runners(service):
             self._queues.pop(service, None)
             if queue.timer:
                 await queue.timer.cancel()
 
-    async def _refuse(self, pending: Pending, code: str) -> None:
+    async def _refuse(self, pending: PendingRequest, code: str) -> None:
         await self._finish(pending, self._admission.build_refusal(pending, code))
 
     async def _fail(
-        self, pending: Pending, outcome: Outcome, code: str, detail: str
+        self, pending: PendingRequest, outcome: Outcome, code: str, detail: str
     ) -> None:
         self._metrics.count(f"agent.failures.{code}")
         message = Failure(
@@ -303,7 +307,9 @@
         )
         await self._finish(pending, message)
 
-    async def _finish(self, pending: Pending, message: Message | None = None) -> None:
+    async def _finish(
+        self, pending: PendingRequest, message: Message | None = None
+    ) -> None:
         if self._open.pop(pending.key, None) is None:
             return
         if message is not None:
@@ -319,11 +325,11 @@
 
     async def _start_timer(self, queue: ServiceQueue) -> None:
         if queue.timer is None:
-            queue.timer = await curio.spawn(self._watch, queue, daemon=True)
+            queue.timer = await curio.spawn(self._run_timer, queue, daemon=True)
         if not queue.filled.is_set():
             await queue.filled.set()
 
-    async def _watch(self, queue: ServiceQueue) -> None:
+    async def _run_timer(self, queue: ServiceQueue) -> None:
         """Refuse the late requests of one service; sleeps while none are waiting."""
         while True:
             await queue.filled.wait()
--- a/pistachiodeal/agent/held_runs.py
+++ b/pistachiodeal/agent/run_records.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(slots=True)
-class HeldRun:
+class RunRecord:
     """An attempt on this worker, kept until its owner acknowledges its end.
 
     :param lease_until: end of the lease, monotonic clock, seconds.
@@ -40,8 +40,8 @@
     :param changed_at: when the phase last changed, monotonic clock, seconds.
     :param checkpoint: checkpoint data not yet written to the object store.
     :param request: the start request, while the worker's response is missing.
-    :param stop_asked: a stop was requested; repeated until the worker confirms it.
-    :param resumes: a later attempt may resume from its checkpoint.
+    :param stop_requested: a stop was requested; repeated until the worker confirms it.
+    :param resumable: a later attempt may resume from its checkpoint.
     """
 
     task_id: str
@@ -65,8 +65,8 @@
     recent: Resources | None = None
     checkpoint: bytes | None = None
     request: RunRequest | None = None
-    stop_asked: bool = False
-    resumes: bool = True
+    stop_requested: bool = False
+    resumable: bool = True
 
     @property
     def name(self) -> str:
@@ -113,7 +113,7 @@
 
 
 @dataclass(slots=True)
-class HeldRunTable:
+class RunRecordTable:
     """The runs on this worker by task, and the ledger with their reservations.
 
     :param closed: no more tasks are started; the agent is draining.
@@ -122,7 +122,7 @@
     """
 
     ledger: Ledger
-    runs: dict[str, HeldRun] = field(default_factory=dict)
+    runs: dict[str, RunRecord] = field(default_factory=dict)
     closed: bool = False
     accept_from: float = float("inf")
 
@@ -130,18 +130,18 @@
         """Return whether tasks may be started."""
         return not self.closed and now >= self.accept_from
 
-    def end(self, held: HeldRun, now: float) -> None:
+    def mark_ended(self, record: RunRecord, now: float) -> None:
         """Mark a run as ended and release its reservation."""
-        held.enter(Phase.ENDED, now)
-        self.ledger.release(held.name)
+        record.enter(Phase.ENDED, now)
+        self.ledger.release(record.name)
 
 
-def create_held_run(start: Start, lease_until: float, latest_beat: int) -> HeldRun:
+def create_run_record(start: Start, lease_until: float, latest_beat: int) -> RunRecord:
     """Create the record of a run that is about to be started.
 
     :param lease_until: end of the lease, monotonic clock, seconds.
     """
-    return HeldRun(
+    return RunRecord(
         start.task_id,
         start.attempt,
         start.partition,
@@ -159,7 +159,7 @@
     )
 
 
-def adopt_run(run: Run, now: float) -> HeldRun:
+def adopt_run(run: Run, now: float) -> RunRecord:
     """Create the record of a run that an earlier agent process has started.
 
     The worker does not report when the lease ends. The agent assumes half a lease
@@ -167,7 +167,7 @@
     worker itself enforces the actual end.
     """
     tag = read_tag(run.tag, run.task_id)
-    return HeldRun(
+    return RunRecord(
         run.task_id,
         run.attempt,
         tag.partition,
--- a/pistachiodeal/agent/runners.py
+++ b/pistachiodeal/agent/runners.py
@@ -49,9 +49,9 @@
 class Runner:
     """A runner and its current state.
 
-    :param heard_at: time of its latest announcement.
+    :param announced_at: time of its latest announcement.
     :param busy: number of slots in use.
-    :param parked: inboxes of idle slot tasks.
+    :param idle_inboxes: inboxes of idle slot tasks.
     :param usable: False after failures, until it announces itself again.
     :param usable_at: earliest time at which an announcement makes it usable again.
     :param gone: it was removed, expired or replaced, and gets no new requests.
@@ -59,9 +59,9 @@
 
     announcement: AnnouncedRunner
     client: WebClient
-    heard_at: float
+    announced_at: float
     busy: int = 0
-    parked: list[curio.Queue] = field(default_factory=list)
+    idle_inboxes: list[curio.Queue] = field(default_factory=list)
     usable: bool = True
     usable_at: float = 0.0
     failures: int = 0
@@ -111,7 +111,7 @@
         """Return a service's runners; the caller must not modify the list."""
         return self._services.get(service, [])
 
-    def open_for_runners(self, ledger: RoomLedger) -> None:
+    def set_ledger(self, ledger: RoomLedger) -> None:
         """Accept runners from now on, with reservations in this ledger."""
         self._ledger = ledger
 
@@ -123,13 +123,13 @@
         now = self._clock()
         runner = self._runners.get(announcement.name)
         if runner and runner.announcement == announcement:
-            runner.heard_at = now
+            runner.announced_at = now
             await self._readmit(runner, now)
             return False
         added = self._replace(runner, announcement, now)
-        await self._tell(added)
+        await self._notify_change(added)
         if runner:
-            await self._tell(runner)
+            await self._notify_change(runner)
             await self.retire_if_idle(runner)
         log.notice(
             "agent: runner {} of {} announced", announcement.name, announcement.service
@@ -141,8 +141,8 @@
         runner = self._runners.get(name)
         if runner is None:
             return False
-        self._take_out(runner)
-        await self._tell(runner)
+        self._unregister(runner)
+        await self._notify_change(runner)
         await self.retire_if_idle(runner)
         log.notice("agent: runner {} of {} removed", name, runner.announcement.service)
         return True
@@ -157,9 +157,9 @@
     async def sweep(self) -> None:
         """Remove the runners whose announcement has expired."""
         now = self._clock()
-        self._excuse_pause(now)
+        self._discount_suspension(now)
         for runner in list(self._runners.values()):
-            if now - runner.heard_at > self._expiry_s:
+            if now - runner.announced_at > self._expiry_s:
                 log.warning(
                     "agent: announcement of runner {} expired", runner.announcement.name
                 )
@@ -175,12 +175,12 @@
             self._ledger.release(_name_reservation(runner))
         await runner.client.close()
 
-    def note_success(self, runner: Runner) -> None:
+    def record_success(self, runner: Runner) -> None:
         """Reset the failure count and the backoff after a successful call."""
         runner.failures = 0
         runner.backoff_s = FIRST_BACKOFF_S
 
-    def note_failure(self, runner: Runner, connected: bool) -> None:
+    def record_failure(self, runner: Runner, connected: bool) -> None:
         """Count a failed call, and disable the runner if the limit is reached.
 
         :param connected: False if no connection was made; this disables the runner
@@ -226,12 +226,12 @@
             )
         self._reserved[announcement.name] = runner
         if old:
-            self._take_out(old)
+            self._unregister(old)
         self._runners[announcement.name] = runner
         self._services.setdefault(announcement.service, []).append(runner)
         return runner
 
-    def _take_out(self, runner: Runner) -> None:
+    def _unregister(self, runner: Runner) -> None:
         runner.gone = True
         del self._runners[runner.announcement.name]
         service = runner.announcement.service
@@ -244,21 +244,21 @@
             return
         runner.usable = True
         runner.failures = 0
-        await self._tell(runner)
+        await self._notify_change(runner)
 
-    async def _tell(self, runner: Runner) -> None:
+    async def _notify_change(self, runner: Runner) -> None:
         if self.on_change:
             await self.on_change(runner)
 
-    def _excuse_pause(self, now: float) -> None:
+    def _discount_suspension(self, now: float) -> None:
         # After this process was suspended, every runner seems to have expired
         # although its announcements wait unread in the sockets. Removing them would
         # refuse all requests for a second, so the suspended time is not counted.
-        lost = now - self._swept_at - 2 * self._expiry_s / SWEEPS_PER_EXPIRY
+        suspended = now - self._swept_at - 2 * self._expiry_s / SWEEPS_PER_EXPIRY
         self._swept_at = now
-        if lost > 0:
+        if suspended > 0:
             for runner in self._runners.values():
-                runner.heard_at += lost
+                runner.announced_at += suspended
 
 
 def _name_reservation(runner: Runner) -> str:
--- a/pistachiodeal/agent/starting.py
+++ b/pistachiodeal/agent/starting.py
@@ -4,9 +4,14 @@
 
 import logbook
 
-from pistachiodeal.agent.held_runs import HeldRun, HeldRunTable, Phase, create_held_run
-from pistachiodeal.agent.leases import BarredAttempts, LeaseBook
+from pistachiodeal.agent.leases import LeaseTracker, RejectedAttempts
 from pistachiodeal.agent.outbox import Outbox
+from pistachiodeal.agent.run_records import (
+    Phase,
+    RunRecord,
+    RunRecordTable,
+    create_run_record,
+)
 from pistachiodeal.agent.run_tags import write_tag
 from pistachiodeal.clock import Clock
 from pistachiodeal.exceptions import (
@@ -35,17 +40,17 @@
         *,
         runtime: WorkerRuntime,
         objects: ObjectStore,
-        table: HeldRunTable,
-        book: LeaseBook,
-        barred: BarredAttempts,
+        table: RunRecordTable,
+        lease_tracker: LeaseTracker,
+        rejected_attempts: RejectedAttempts,
         outbox: Outbox,
         clock: Clock,
     ) -> None:
         self._runtime = runtime
         self._objects = objects
         self._table = table
-        self._book = book
-        self._barred = barred
+        self._lease_tracker = lease_tracker
+        self._rejected_attempts = rejected_attempts
         self._outbox = outbox
         self._clock = clock
 
@@ -53,7 +58,7 @@
         """Start an attempt; a repeated Start has no further effect."""
         earlier = self._table.runs.get(start.task_id)
         if earlier is not None and earlier.attempt == start.attempt:
-            self._outbox.hasten(start.task_id, start.attempt)
+            self._outbox.expedite(start.task_id, start.attempt)
             return
         code = self._reserve(start, earlier)
         if code:
@@ -62,70 +67,74 @@
         # A higher attempt shows that the owner has journaled the end of the earlier.
         if earlier is not None:
             self._outbox.drop(earlier.task_id, earlier.attempt)
-        held = create_held_run(start, self._find_end(start), self._book.latest_beat)
-        self._table.runs[start.task_id] = held
+        record = create_run_record(
+            start, self._compute_end(start), self._lease_tracker.latest_beat
+        )
+        self._table.runs[start.task_id] = record
         code, checkpoint = await self._load_checkpoint(start.checkpoint)
         # The load can outlast the lease, above all if this process is suspended
         # meanwhile. The worker would refuse the start, but only this check releases
         # the reservation at once.
-        if not code and self._clock() >= held.lease_until:
+        if not code and self._clock() >= record.lease_until:
             code = "lease_expired"
         if code:
-            self.abandon(held, code)
+            self.abandon(record, code)
             return
-        held.request = build_request(start, held, checkpoint)
-        await self.ask_worker(held)
+        record.request = build_request(start, record, checkpoint)
+        await self.request_start(record)
 
-    async def ask_worker(self, held: HeldRun) -> None:
+    async def request_start(self, record: RunRecord) -> None:
         """Ask the worker to start a run, or repeat it after a lost response.
 
         If the response is lost, the start may still be in transit. The phase is
         then ``uncertain`` until the worker lists the run, or does not list it after
         the end of the lease: from then on the worker refuses a late start.
         """
-        if held.request is None or held.ended or held.stop_asked:
+        if record.request is None or record.ended or record.stop_requested:
             return
-        certain = held.phase is Phase.STARTING
-        held.enter(Phase.UNCERTAIN, self._clock())
+        certain = record.phase is Phase.STARTING
+        record.enter(Phase.UNCERTAIN, self._clock())
         try:
-            await self._runtime.start(held.request, write_tag(held.tag))
+            await self._runtime.start(record.request, write_tag(record.tag))
         except WorkerFencedError:
             raise
         except WorkerRefusedError as error:
-            log.info("agent: worker refused start of {}: {}", held.task_id, error)
+            log.info("agent: worker refused start of {}: {}", record.task_id, error)
             if certain:
-                self.abandon(held, "worker_refused")
+                self.abandon(record, "worker_refused")
         except WorkerError as error:
             log.info(
-                "agent: outcome of start of {} is unknown: {}", held.task_id, error
+                "agent: outcome of start of {} is unknown: {}", record.task_id, error
             )
         else:
-            self.note_started(held)
+            self.mark_running(record)
 
-    def note_started(self, held: HeldRun) -> None:
+    def mark_running(self, record: RunRecord) -> None:
         """Mark an uncertain run as running."""
-        if held.phase is Phase.UNCERTAIN:
-            held.request = None
-            held.started_at = self._clock()
-            held.enter(Phase.RUNNING, held.started_at)
+        if record.phase is Phase.UNCERTAIN:
+            record.request = None
+            record.started_at = self._clock()
+            record.enter(Phase.RUNNING, record.started_at)
 
-    def abandon(self, held: HeldRun, code: str) -> None:
+    def abandon(self, record: RunRecord, code: str) -> None:
         """Drop a run that certainly was not started and never will be."""
-        self._table.end(held, self._clock())
-        if self._table.runs.get(held.task_id) is held:
-            del self._table.runs[held.task_id]
-        self.refuse(held, code)
+        self._table.mark_ended(record, self._clock())
+        if self._table.runs.get(record.task_id) is record:
+            del self._table.runs[record.task_id]
+        self.refuse(record, code)
 
-    def refuse(self, refused: Start | HeldRun, code: str) -> None:
+    def refuse(self, refused: Start | RunRecord, code: str) -> None:
         """Refuse an attempt, and reject any later Start of it."""
         log.info(
             "agent: start of {}/{} refused: {}", refused.task_id, refused.attempt, code
         )
-        self._barred.bar(refused.task_id, refused.attempt, self._book.latest_beat)
+        self._rejected_attempts.reject(
+            refused.task_id, refused.attempt, self._lease_tracker.latest_beat
+        )
         message = StartRefused(refused.task_id, refused.attempt, code, "")
-        self._outbox.put(refused.partition, message)
+        self._outbox.add(refused.partition, message)
 
-    def _reserve(self, start: Start, earlier: HeldRun | None) -> str:
+    def _reserve(self, start: Start, earlier: RunRecord | None) -> str:
         """Return a refusal code, or reserve the resources and return an empty text."""
         code = self._check_owner(start) or self._check_attempt(start, earlier)
         if code:
@@ -136,16 +145,16 @@
         return "" if fits else "no_room"
 
     def _check_owner(self, start: Start) -> str:
-        if not self._book.note_epoch(start.partition, start.epoch):
+        if not self._lease_tracker.record_epoch(start.partition, start.epoch):
             return "stale_epoch"
         if self._table.closed:
             return "draining"
         if not self._table.accepts(self._clock()):
             return "settling"
-        return "" if self._find_end(start) > self._clock() else "lease_expired"
+        return "" if self._compute_end(start) > self._clock() else "lease_expired"
 
-    def _check_attempt(self, start: Start, earlier: HeldRun | None) -> str:
-        if self._barred.covers(start.task_id, start.attempt, start.beat):
+    def _check_attempt(self, start: Start, earlier: RunRecord | None) -> str:
+        if self._rejected_attempts.rejects(start.task_id, start.attempt, start.beat):
             return "barred"
         if earlier is None:
             return ""
@@ -153,9 +162,9 @@
             return "stale_attempt"
         return "" if earlier.ended else "busy"
 
-    def _find_end(self, start: Start) -> float:
+    def _compute_end(self, start: Start) -> float:
         """Return the end of the lease; for an unknown beat it has already passed."""
-        end = self._book.find_end(start.beat, start.lease_ms)
+        end = self._lease_tracker.compute_end(start.beat, start.lease_ms)
         return float("-inf") if end is None else end
 
     async def _load_checkpoint(self, key: str) -> tuple[str, bytes | None]:
@@ -168,7 +177,9 @@
         return ("", data) if data is not None else ("checkpoint_missing", None)
 
 
-def build_request(start: Start, held: HeldRun, checkpoint: bytes | None) -> RunRequest:
+def build_request(
+    start: Start, record: RunRecord, checkpoint: bytes | None
+) -> RunRequest:
     """Build the start request for the worker."""
     return RunRequest(
         start.task_id,
@@ -176,6 +187,6 @@
         start.kind,
         start.size,
         start.payload,
-        held.lease_until,
+        record.lease_until,
         checkpoint,
     )
--- a/pistachiodeal/agent/status.py
+++ b/pistachiodeal/agent/status.py
@@ -6,40 +6,40 @@
 from typing import Any
 
 from pistachiodeal import __version__
-from pistachiodeal.agent.links import LinkKeeper
+from pistachiodeal.agent.links import LinkManager
 from pistachiodeal.agent.requests import RequestHandler
-from pistachiodeal.agent.tasks import TaskKeeper
+from pistachiodeal.agent.tasks import TaskManager
 from pistachiodeal.config.agent import AgentSettings
 from pistachiodeal.metrics import Metrics
 from pistachiodeal.profiles.cache import PolicyCache
 
 
 @dataclass(frozen=True, slots=True)
-class StatusParts:
+class StatusSources:
     """The components that the status document describes."""
 
     settings: AgentSettings
-    tasks: TaskKeeper
+    tasks: TaskManager
     requests: RequestHandler
-    links: LinkKeeper
+    links: LinkManager
     policies: PolicyCache
     metrics: Metrics
 
 
 def build_status(
-    parts: StatusParts, *, attached: bool, draining: bool
+    sources: StatusSources, *, attached: bool, draining: bool
 ) -> dict[str, Any]:
     """Return the status document of this process."""
-    ledger = parts.tasks.ledger
+    ledger = sources.tasks.ledger
     return {
-        "node": parts.settings.node,
-        "worker": parts.settings.worker,
+        "node": sources.settings.node,
+        "worker": sources.settings.worker,
         "version": __version__,
         "attached": attached,
         "draining": draining,
         "capacity": asdict(ledger.capacity),
         "free": asdict(ledger.free),
-        "requests_open": parts.requests.open_count,
+        "requests_open": sources.requests.open_count,
         "services": [
             {
                 "service": load.service,
@@ -48,9 +48,9 @@
                 "queued": load.queued,
                 "latency_us": load.latency_us,
             }
-            for load in parts.requests.figures()
+            for load in sources.requests.list_loads()
         ],
-        "links": [link.peer.node for link in parts.links.links],
-        "policies": parts.policies.describe(),
-        "counts": parts.metrics.counts(),
+        "links": [link.peer.node for link in sources.links.links],
+        "policies": sources.policies.describe(),
+        "counts": sources.metrics.counts(),
     }
--- a/pistachiodeal/agent/task_parts.py
+++ b/pistachiodeal/agent/task_components.py
@@ -4,38 +4,38 @@
 
 from dataclasses import dataclass
 
-from pistachiodeal.agent.eviction import RunEnder
-from pistachiodeal.agent.held_runs import HeldRunTable
-from pistachiodeal.agent.leases import BarredAttempts, LeaseBook, Renewer
+from pistachiodeal.agent.keyed_executor import KeyedExecutor
+from pistachiodeal.agent.leases import LeaseRenewer, LeaseTracker, RejectedAttempts
 from pistachiodeal.agent.ledger import Ledger
 from pistachiodeal.agent.outbox import Outbox, OwnerRoute, create_outbox
-from pistachiodeal.agent.owner_messages import OwnerMessages
-from pistachiodeal.agent.serial import SerialWork
+from pistachiodeal.agent.owner_messages import OwnerMessageHandler
+from pistachiodeal.agent.run_records import RunRecordTable
 from pistachiodeal.agent.starting import RunStarter
+from pistachiodeal.agent.termination import RunTerminator
 from pistachiodeal.agent.watching import RunWatcher
 from pistachiodeal.clock import Clock
 from pistachiodeal.config.agent import RuntimeSettings
 from pistachiodeal.metrics import Metrics
 from pistachiodeal.store.protocols import ObjectStore, WorkerRuntime
 
-WORK_LIMIT = 4096
+MAX_WAITING_ACTIONS = 4096
 
 
 @dataclass(frozen=True, slots=True)
-class TaskParts:
+class TaskComponents:
     """The components of a task manager, which share one table of runs."""
 
-    table: HeldRunTable
-    book: LeaseBook
+    table: RunRecordTable
+    lease_tracker: LeaseTracker
     outbox: Outbox
-    work: SerialWork
-    ender: RunEnder
-    renewer: Renewer
+    executor: KeyedExecutor
+    terminator: RunTerminator
+    renewer: LeaseRenewer
     watcher: RunWatcher
-    messages: OwnerMessages
+    messages: OwnerMessageHandler
 
 
-def create_task_parts(
+def create_task_components(
     runtime: WorkerRuntime,
     objects: ObjectStore,
     route: OwnerRoute,
@@ -44,14 +44,14 @@
     settings: RuntimeSettings,
     metrics: Metrics,
     clock: Clock,
-) -> TaskParts:
+) -> TaskComponents:
     """Create the components around an empty table of runs."""
-    table = HeldRunTable(ledger)
-    book = LeaseBook()
-    barred = BarredAttempts()
+    table = RunRecordTable(ledger)
+    lease_tracker = LeaseTracker()
+    rejected_attempts = RejectedAttempts()
     outbox = create_outbox(route, objects, clock)
-    work = SerialWork(WORK_LIMIT)
-    ender = RunEnder(
+    executor = KeyedExecutor(MAX_WAITING_ACTIONS)
+    terminator = RunTerminator(
         runtime=runtime,
         objects=objects,
         table=table,
@@ -63,32 +63,36 @@
         runtime=runtime,
         objects=objects,
         table=table,
-        book=book,
-        barred=barred,
+        lease_tracker=lease_tracker,
+        rejected_attempts=rejected_attempts,
         outbox=outbox,
         clock=clock,
     )
-    renewer = Renewer(runtime, book, table.runs, retry_s=settings.poll_s, clock=clock)
+    renewer = LeaseRenewer(
+        runtime, lease_tracker, table.runs, retry_s=settings.poll_s, clock=clock
+    )
     watcher = RunWatcher(
         runtime=runtime,
         table=table,
-        book=book,
-        barred=barred,
+        lease_tracker=lease_tracker,
+        rejected_attempts=rejected_attempts,
         starter=starter,
-        ender=ender,
-        work=work,
+        terminator=terminator,
+        executor=executor,
         settings=settings,
         clock=clock,
     )
-    messages = OwnerMessages(
+    messages = OwnerMessageHandler(
         table=table,
-        book=book,
-        barred=barred,
+        lease_tracker=lease_tracker,
+        rejected_attempts=rejected_attempts,
         outbox=outbox,
-        work=work,
+        executor=executor,
         starter=starter,
-        ender=ender,
+        terminator=terminator,
         renewer=renewer,
         metrics=metrics,
     )
-    return TaskParts(table, book, outbox, work, ender, renewer, watcher, messages)
+    return TaskComponents(
+        table, lease_tracker, outbox, executor, terminator, renewer, watcher, messages
+    )
--- a/pistachiodeal/agent/tasks.py
+++ b/pistachiodeal/agent/tasks.py
@@ -9,12 +9,12 @@
 import curio
 import logbook
 
-from pistachiodeal.agent.guarding import build_view
-from pistachiodeal.agent.held_runs import HeldRun, Phase
+from pistachiodeal.agent.guard_loop import build_view
 from pistachiodeal.agent.ledger import Ledger, create_ledger
 from pistachiodeal.agent.outbox import OwnerRoute
 from pistachiodeal.agent.owner_messages import TaskMessage
-from pistachiodeal.agent.task_parts import TaskParts, create_task_parts
+from pistachiodeal.agent.run_records import Phase, RunRecord
+from pistachiodeal.agent.task_components import TaskComponents, create_task_components
 from pistachiodeal.clock import Clock
 from pistachiodeal.config.agent import AgentSettings
 from pistachiodeal.control.views import RunView
@@ -27,21 +27,21 @@
 from pistachiodeal.task_groups import run_until_one_ends
 from pistachiodeal.wire.task_messages import TaskRef
 
-POOL = 16
+EXECUTOR_TASKS = 16
 SEND_TICK_S = 0.1
-DEFAULT = Profile(name="default")
+DEFAULT_PROFILE = Profile(name="default")
 
 log = logbook.Logger("pistachiodeal.agent")
 
 
-class TaskKeeper:
+class TaskManager:
     """Decides which batch tasks run on this worker, and reports their ends."""
 
     def __init__(
         self,
         *,
         runtime: WorkerRuntime,
-        parts: TaskParts,
+        components: TaskComponents,
         ledger_factory: Callable[[Resources], Ledger],
         policies: PolicyCache,
         settings: AgentSettings,
@@ -52,14 +52,14 @@
         self._policies = policies
         self._settings = settings
         self._clock = clock
-        self._table = parts.table
-        self._book = parts.book
-        self._outbox = parts.outbox
-        self._work = parts.work
-        self._ender = parts.ender
-        self._renewer = parts.renewer
-        self._watcher = parts.watcher
-        self._messages = parts.messages
+        self._table = components.table
+        self._lease_tracker = components.lease_tracker
+        self._outbox = components.outbox
+        self._executor = components.executor
+        self._terminator = components.terminator
+        self._renewer = components.renewer
+        self._watcher = components.watcher
+        self._messages = components.messages
 
     @property
     def ledger(self) -> Ledger:
@@ -78,7 +78,7 @@
         return self._table.ledger.capacity
 
     @property
-    def held(self) -> Iterable[HeldRun]:
+    def records(self) -> Iterable[RunRecord]:
         """Return the records of current runs and of ends not yet acknowledged."""
         return self._table.runs.values()
 
@@ -108,16 +108,16 @@
         :raises WorkerFencedError: another agent has attached to this worker; this
             agent must stop.
         """
-        await self._work.restart()
-        for held in self._table.runs.values():
-            if held.phase is Phase.STARTING:
-                held.enter(Phase.UNCERTAIN, self._clock())
+        await self._executor.restart()
+        for record in self._table.runs.values():
+            if record.phase is Phase.STARTING:
+                record.enter(Phase.UNCERTAIN, self._clock())
         await run_until_one_ends(
             self._watcher.poll,
             self._watcher.poll_usage,
             self._renewer.run,
-            self._send,
-            *[self._work.work] * POOL,
+            self._send_outbox,
+            *[self._executor.run_actions] * EXECUTOR_TASKS,
         )
 
     def stop_accepting(self) -> None:
@@ -133,45 +133,47 @@
         self.stop_accepting()
         try_until = self._clock() + self._settings.drain_s / 2
         while True:
-            left = [held for held in self._table.runs.values() if not held.ended]
+            left = [record for record in self._table.runs.values() if not record.ended]
             if not left and self._outbox.empty:
                 return
-            for held in left:
-                leave = partial(self._leave, held, try_until)
-                await self._work.put_once(held.task_id, leave)
+            for record in left:
+                stop = partial(self._drain_run, record, try_until)
+                await self._executor.submit_if_idle(record.task_id, stop)
             await curio.sleep(self._settings.runtime.poll_s)
 
-    def note_beat(self, beat: int, sent_at: float) -> None:
+    def record_beat(self, beat: int, sent_at: float) -> None:
         """Record when a beat is sent; call it before sending.
 
         Beats must keep increasing across restarts of the agent, or an old beat is
         mistaken for a new one; so they start from the clock, not from 0.
         """
-        self._book.note_beat(beat, sent_at)
+        self._lease_tracker.record_beat(beat, sent_at)
 
-    def note_epoch(self, partition: int, epoch: int) -> None:
+    def record_epoch(self, partition: int, epoch: int) -> None:
         """Record a partition's epoch from a directory."""
-        self._book.note_epoch(partition, epoch)
+        self._lease_tracker.record_epoch(partition, epoch)
 
-    def refs(self, partitions: set[int]) -> tuple[TaskRef, ...]:
+    def list_refs(self, partitions: set[int]) -> tuple[TaskRef, ...]:
         """Return references to the runs of these partitions that may be running."""
         return tuple(
-            TaskRef(held.task_id, held.attempt, held.epoch)
-            for held in self._table.runs.values()
-            if not held.ended and held.partition in partitions
+            TaskRef(record.task_id, record.attempt, record.epoch)
+            for record in self._table.runs.values()
+            if not record.ended and record.partition in partitions
         )
 
     def partitions(self) -> set[int]:
         """Return the partitions whose owners this agent needs links to."""
-        running = {held.partition for held in self._table.runs.values()}
+        running = {record.partition for record in self._table.runs.values()}
         return running | self._outbox.partitions()
 
     def runs(self) -> list[RunView]:
         """Return the running runs as input for the guard."""
         return [
-            build_view(held, self._policies.find_profile(held.profile) or DEFAULT)
-            for held in self._table.runs.values()
-            if held.phase is Phase.RUNNING
+            build_view(
+                record, self._policies.find_profile(record.profile) or DEFAULT_PROFILE
+            )
+            for record in self._table.runs.values()
+            if record.phase is Phase.RUNNING
         ]
 
     async def receive(self, message: TaskMessage) -> None:
@@ -180,26 +182,28 @@
 
     async def throttle(self, task_id: str, share: float) -> None:
         """Limit a run to this share of its size from now on."""
-        await self._work.put(task_id, partial(self._throttle, task_id, share))
+        await self._executor.submit(task_id, partial(self._throttle, task_id, share))
 
     async def evict(self, task_id: str) -> None:
         """Stop a run at a checkpoint; if that fails, the run continues."""
-        held = self._table.runs.get(task_id)
-        if held is not None:
-            await self._work.put_once(held.task_id, partial(self._ender.evict, held))
+        record = self._table.runs.get(task_id)
+        if record is not None:
+            await self._executor.submit_if_idle(
+                record.task_id, partial(self._terminator.evict, record)
+            )
 
-    async def _leave(self, held: HeldRun, try_until: float) -> None:
+    async def _drain_run(self, record: RunRecord, try_until: float) -> None:
         """Stop a run at a checkpoint; after ``try_until``, stop it without one."""
-        await self._ender.stop_lapsing(held, float("inf"))
+        await self._terminator.stop_before_expiry(record, float("inf"))
         # The checkpoint is retried, because a single refused or lost one would
         # discard all completed work: the task would restart from nothing elsewhere.
-        if held.phase is Phase.RUNNING and self._clock() < try_until:
+        if record.phase is Phase.RUNNING and self._clock() < try_until:
             return
-        await self._ender.stop(held)
+        await self._terminator.stop(record)
 
     async def _throttle(self, task_id: str, share: float) -> None:
-        held = self._table.runs.get(task_id)
-        if held is None or held.phase is not Phase.RUNNING:
+        record = self._table.runs.get(task_id)
+        if record is None or record.phase is not Phase.RUNNING:
             return
         try:
             await self._runtime.throttle(task_id, share)
@@ -208,15 +212,15 @@
         except WorkerError as error:
             log.debug("agent: throttle of {} failed: {}", task_id, error)
         else:
-            held.share = share
+            record.share = share
 
-    async def _send(self) -> None:
+    async def _send_outbox(self) -> None:
         while True:
             await self._outbox.send_due()
             await curio.sleep(SEND_TICK_S)
 
 
-def create_task_keeper(
+def create_task_manager(
     runtime: WorkerRuntime,
     objects: ObjectStore,
     route: OwnerRoute,
@@ -226,9 +230,9 @@
     metrics: Metrics,
     ledger_factory: Callable[[Resources], Ledger] = create_ledger,
     clock: Clock = time.monotonic,
-) -> TaskKeeper:
+) -> TaskManager:
     """Create a task manager, which accepts nothing until it is attached."""
-    parts = create_task_parts(
+    components = create_task_components(
         runtime,
         objects,
         route,
@@ -237,9 +241,9 @@
         metrics=metrics,
         clock=clock,
     )
-    return TaskKeeper(
+    return TaskManager(
         runtime=runtime,
-        parts=parts,
+        components=components,
         ledger_factory=ledger_factory,
         policies=policies,
         settings=settings,
--- a/pistachiodeal/agent/watching.py
+++ b/pistachiodeal/agent/watching.py
@@ -8,11 +8,11 @@
 import curio
 import logbook
 
-from pistachiodeal.agent.eviction import RunEnder
-from pistachiodeal.agent.held_runs import HeldRun, HeldRunTable, Phase, adopt_run
-from pistachiodeal.agent.leases import BarredAttempts, LeaseBook
-from pistachiodeal.agent.serial import SerialWork
+from pistachiodeal.agent.keyed_executor import KeyedExecutor
+from pistachiodeal.agent.leases import LeaseTracker, RejectedAttempts
+from pistachiodeal.agent.run_records import Phase, RunRecord, RunRecordTable, adopt_run
 from pistachiodeal.agent.starting import RunStarter
+from pistachiodeal.agent.termination import RunTerminator
 from pistachiodeal.clock import Clock
 from pistachiodeal.config.agent import RuntimeSettings
 from pistachiodeal.exceptions import WorkerError, WorkerFencedError
@@ -20,8 +20,8 @@
 from pistachiodeal.wire.task_messages import UNKNOWN_RUN
 
 START_MARGIN_S = 1.0
-LAPSE_MARGIN_S = 5.0
-LAPSE_SHARE = 0.25
+EXPIRY_MARGIN_S = 5.0
+EXPIRY_SHARE = 0.25
 
 log = logbook.Logger("pistachiodeal.agent")
 
@@ -33,25 +33,25 @@
         self,
         *,
         runtime: WorkerRuntime,
-        table: HeldRunTable,
-        book: LeaseBook,
-        barred: BarredAttempts,
+        table: RunRecordTable,
+        lease_tracker: LeaseTracker,
+        rejected_attempts: RejectedAttempts,
         starter: RunStarter,
-        ender: RunEnder,
-        work: SerialWork,
+        terminator: RunTerminator,
+        executor: KeyedExecutor,
         settings: RuntimeSettings,
         clock: Clock,
     ) -> None:
         self._runtime = runtime
         self._table = table
-        self._book = book
-        self._barred = barred
+        self._lease_tracker = lease_tracker
+        self._rejected_attempts = rejected_attempts
         self._starter = starter
-        self._ender = ender
-        self._work = work
+        self._terminator = terminator
+        self._executor = executor
         self._settings = settings
         self._clock = clock
-        self._unheld: set[tuple[str, int]] = set()
+        self._unrecorded: set[tuple[str, int]] = set()
 
     async def poll(self) -> None:
         """Poll the list of runs until cancelled.
@@ -73,9 +73,9 @@
             except WorkerError as error:
                 log.debug("agent: reading the resource use failed: {}", error)
             else:
-                self.note_usage(samples)
+                self.apply_usage(samples)
 
-    def note_usage(self, samples: Iterable[UsageSample]) -> None:
+    def apply_usage(self, samples: Iterable[UsageSample]) -> None:
         """Apply measurements of resource use.
 
         A measurement from before a run's start belongs to an earlier run and is
@@ -83,35 +83,39 @@
         otherwise declared sizes that are far too small would overcommit the worker.
         """
         for sample in samples:
-            held = self._table.runs.get(sample.subject)
-            if held is None or held.ended or sample.at < held.started_at:
+            record = self._table.runs.get(sample.subject)
+            if record is None or record.ended or sample.at < record.started_at:
                 continue
-            held.recent = sample.used
-            held.used = held.used.enlarge(sample.used)
-            if self._table.ledger.holds(held.name):
-                self._table.ledger.adopt(held.name, held.used)
+            record.recent = sample.used
+            record.used = record.used.enlarge(sample.used)
+            if self._table.ledger.holds(record.name):
+                self._table.ledger.reserve_unchecked(record.name, record.used)
 
-    def adopt(self, run: Run, now: float) -> HeldRun:
+    def adopt(self, run: Run, now: float) -> RunRecord:
         """Add a run that was found on the worker, and reserve its resources."""
-        held = adopt_run(run, now)
-        self._book.note_epoch(held.partition, held.epoch)
-        self._table.runs[run.task_id] = held
+        record = adopt_run(run, now)
+        self._lease_tracker.record_epoch(record.partition, record.epoch)
+        self._table.runs[run.task_id] = record
         if run.state is RunState.RUNNING:
-            self._table.ledger.adopt(held.name, held.size)
+            self._table.ledger.reserve_unchecked(record.name, record.size)
         else:
-            self._ender.finish(held, run)
-        return held
+            self._terminator.apply_end(record, run)
+        return record
 
-    def _lose(self, held: HeldRun) -> None:
+    def _handle_lost_run(self, record: RunRecord) -> None:
         """Handle a run that the worker no longer lists."""
-        log.warning("agent: worker no longer lists {}/{}", held.task_id, held.attempt)
-        del self._table.runs[held.task_id]
-        self._barred.bar(held.task_id, held.attempt, self._book.latest_beat)
-        self._ender.end(held, UNKNOWN_RUN)
+        log.warning(
+            "agent: worker no longer lists {}/{}", record.task_id, record.attempt
+        )
+        del self._table.runs[record.task_id]
+        self._rejected_attempts.reject(
+            record.task_id, record.attempt, self._lease_tracker.latest_beat
+        )
+        self._terminator.finalize(record, UNKNOWN_RUN)
 
     async def check_runs(self) -> None:
         """Reconcile the records with the worker's list of runs, once."""
-        asked_at = self._clock()
+        requested_at = self._clock()
         try:
             listed = {
                 (run.task_id, run.attempt): run for run in await self._runtime.list()
@@ -121,51 +125,55 @@
         except WorkerError as error:
             log.debug("agent: listing the runs failed: {}", error)
             return
-        for held in list(self._table.runs.values()):
-            run = listed.pop((held.task_id, held.attempt), None)
-            if held.ended or held.phase is Phase.STARTING:
+        for record in list(self._table.runs.values()):
+            run = listed.pop((record.task_id, record.attempt), None)
+            if record.ended or record.phase is Phase.STARTING:
                 continue
             if run is None:
-                await self._check_missing(held, asked_at)
+                await self._check_missing(record, requested_at)
             elif run.state is not RunState.RUNNING:
-                self._ender.finish(held, run)
+                self._terminator.apply_end(record, run)
             else:
-                await self._check_running(held)
-        await self._check_unheld(listed)
+                await self._check_running(record)
+        await self._check_unrecorded(listed)
 
-    async def _check_missing(self, held: HeldRun, asked_at: float) -> None:
-        if held.changed_at >= asked_at:
+    async def _check_missing(self, record: RunRecord, requested_at: float) -> None:
+        if record.changed_at >= requested_at:
             return
-        if held.phase is not Phase.UNCERTAIN:
-            self._lose(held)
-        elif asked_at > held.lease_until + START_MARGIN_S:
-            self._starter.abandon(held, "start_failed")
-        elif not held.stop_asked:
-            await self._work.put_once(
-                held.task_id, partial(self._starter.ask_worker, held)
+        if record.phase is not Phase.UNCERTAIN:
+            self._handle_lost_run(record)
+        elif requested_at > record.lease_until + START_MARGIN_S:
+            self._starter.abandon(record, "start_failed")
+        elif not record.stop_requested:
+            await self._executor.submit_if_idle(
+                record.task_id, partial(self._starter.request_start, record)
             )
 
-    async def _check_running(self, held: HeldRun) -> None:
-        self._starter.note_started(held)
-        margin = min(LAPSE_MARGIN_S, LAPSE_SHARE * held.lease_s)
-        if held.stop_asked:
-            await self._work.put_once(held.task_id, partial(self._ender.stop, held))
-        elif held.lease_until - self._clock() < margin:
-            lapse = partial(self._ender.stop_lapsing, held, margin)
-            await self._work.put_once(held.task_id, lapse)
+    async def _check_running(self, record: RunRecord) -> None:
+        self._starter.mark_running(record)
+        margin = min(EXPIRY_MARGIN_S, EXPIRY_SHARE * record.lease_s)
+        if record.stop_requested:
+            await self._executor.submit_if_idle(
+                record.task_id, partial(self._terminator.stop, record)
+            )
+        elif record.lease_until - self._clock() < margin:
+            stop_early = partial(self._terminator.stop_before_expiry, record, margin)
+            await self._executor.submit_if_idle(record.task_id, stop_early)
 
-    async def _check_unheld(self, listed: dict[tuple[str, int], Run]) -> None:
+    async def _check_unrecorded(self, listed: dict[tuple[str, int], Run]) -> None:
         """Handle listed runs that the agent has no record of.
 
         A list may predate an end that was acknowledged while the list was in
         transit, so the agent acts only on runs that two consecutive lists show.
         """
-        seen_twice = self._unheld & listed.keys()
-        self._unheld = set(listed)
+        seen_twice = self._unrecorded & listed.keys()
+        self._unrecorded = set(listed)
         for key in seen_twice:
             run = listed[key]
             if run.state is not RunState.RUNNING:
-                await self._work.put(run.task_id, partial(self._ender.forget, *key))
+                await self._executor.submit(
+                    run.task_id, partial(self._terminator.forget, *key)
+                )
             elif run.task_id not in self._table.runs:
                 log.error("agent: stopping unknown run {}", run.task_id)
-                self.adopt(run, self._clock()).stop_asked = True
+                self.adopt(run, self._clock()).stop_requested = True
--- a/tests/unit/fake_agent_tasks.py
+++ b/tests/unit/fake_agent_tasks.py
@@ -8,7 +8,7 @@
 
 import curio
 
-from pistachiodeal.agent.tasks import create_task_keeper
+from pistachiodeal.agent.tasks import create_task_manager
 from pistachiodeal.config.agent import AgentSettings
 from pistachiodeal.config.common import StatsdSettings
 from pistachiodeal.exceptions import (
@@ -133,10 +133,10 @@
         self.sent: list[Any] = []
         self.linked = True
         self.acknowledges = False
-        self.create_keeper()
+        self.create_manager()
 
-    def create_keeper(self) -> None:
-        self.keeper = create_task_keeper(
+    def create_manager(self) -> None:
+        self.manager = create_task_manager(
             self.runtime,  # type: ignore[arg-type]
             self.objects,
             self,
@@ -147,23 +147,23 @@
         )
 
     async def attach(self) -> None:
-        await self.keeper.attach()
+        await self.manager.attach()
         self.now += SETTINGS.announce.expiry_s
-        self.keeper.note_beat(1, self.now)
+        self.manager.record_beat(1, self.now)
 
     async def send_to_owner(self, partition: int, message: Any) -> bool:
         if self.linked:
             self.sent.append(message)
         if self.acknowledges:
-            await self.keeper.receive(TaskAck(message.task_id, message.attempt))
+            await self.manager.receive(TaskAck(message.task_id, message.attempt))
         return self.linked
 
     async def settle(self, *messages: Any) -> None:
         """Receive messages, and run all actions that they cause."""
         for message in messages:
-            await self.keeper.receive(message)
-        pool = await curio.spawn(self.keeper._work.work)
-        while self.keeper._work._waiting and not pool.terminated:
+            await self.manager.receive(message)
+        pool = await curio.spawn(self.manager._executor.run_actions)
+        while self.manager._executor._waiting and not pool.terminated:
             await curio.sleep(0)
         if pool.terminated:
             raise pool.exception
@@ -172,14 +172,14 @@
     async def check(self) -> None:
         """Poll the runs a moment later, and run all actions that this causes."""
         self.now += 0.01
-        await self.keeper._watcher.check_runs()
+        await self.manager._watcher.check_runs()
         await self.settle()
 
     async def send(self, later: float = 0) -> list[Any]:
         """Send the due messages, and return them."""
         self.now += later
         self.sent.clear()
-        await self.keeper._outbox.send_due()
+        await self.manager._outbox.send_due()
         return list(self.sent)
 
 
--- a/tests/unit/test_agent_app.py
+++ b/tests/unit/test_agent_app.py
@@ -11,9 +11,9 @@
 import pytest
 
 from pistachiodeal.agent.app import open_agent
-from pistachiodeal.agent.directory import AgentDirectory
+from pistachiodeal.agent.directory import MergedDirectory
 from pistachiodeal.agent.dispatch import MessageDispatch
-from pistachiodeal.agent.evidence import EvidenceExchange
+from pistachiodeal.agent.interference_exchange import InterferenceExchange
 from pistachiodeal.agent.reporting import Reporter
 from pistachiodeal.config.agent import AgentSettings
 from pistachiodeal.model.resources import Resources
@@ -41,10 +41,10 @@
         self.ledger = SimpleNamespace(capacity=Resources(1000, 1000))
         self.room = Resources(-200, 500)
 
-    def note_beat(self, beat: int, sent_at: float) -> None:
+    def record_beat(self, beat: int, sent_at: float) -> None:
         self._log.append((beat, sent_at))
 
-    def refs(self, partitions: set[int]) -> tuple[TaskRef, ...]:
+    def list_refs(self, partitions: set[int]) -> tuple[TaskRef, ...]:
         return (TaskRef("t", 1, 4),) if 7 in partitions else ()
 
 
@@ -65,15 +65,15 @@
         await link.send(message)
         return True
 
-    async def send_to_all(self, message: Any, but: Any = None) -> None:
+    async def send_to_all(self, message: Any, exclude: Any = None) -> None:
         for link in self.links:
-            if link is not but:
+            if link is not exclude:
                 await link.send(message)
 
 
 def create_reporter(log: list[Any], links: Any, now: float = 5.0) -> Reporter:
-    directory = AgentDirectory()
-    directory.note("e2", Directory((), (PartitionOwner(7, 4, "e2", "x"),)))
+    directory = MergedDirectory()
+    directory.update("e2", Directory((), (PartitionOwner(7, 4, "e2", "x"),)))
     return Reporter(
         0.5,
         tasks=cast(Any, FakeTasks(log)),
@@ -84,7 +84,7 @@
     )
 
 
-def test_a_beat_is_remembered_before_it_is_sent() -> None:
+def test_a_beat_is_recorded_before_it_is_sent() -> None:
     """Guards against a task that keeps running after its lease ended for its owner.
 
     If the time is recorded after sending, an agent that is suspended in between
@@ -115,7 +115,7 @@
     assert beats == sorted(set(beats))
 
 
-def test_policies_are_told_to_new_links_and_passed_on_once() -> None:
+def test_policies_are_sent_on_new_links_and_forwarded_once() -> None:
     """Guards against an entry that serves an older profile than the one in force.
 
     An entry that starts while the table is down can get the newest profile only
@@ -128,10 +128,10 @@
         dispatch = MessageDispatch(
             requests=cast(Any, None),
             tasks=cast(Any, None),
-            directory=AgentDirectory(),
+            directory=MergedDirectory(),
             links=cast(Any, links),
             policies=create_policy_cache(),
-            evidence=cast(Any, None),
+            interference_exchange=cast(Any, None),
             reporter=create_reporter([], links),
             metrics=cast(Any, None),
         )
@@ -142,7 +142,7 @@
         await dispatch.receive(second, new)
         await dispatch.receive(second, old)
         assert log == [("e2", new)]
-        await dispatch.greet(first)
+        await dispatch.on_open(first)
         assert log[1] == ("e1", new)
 
     curio.run(main)
@@ -159,7 +159,7 @@
 
     async def main() -> None:
         model = cast(Any, SimpleNamespace(take_evidence=lambda: news.pop(0)))
-        exchange = EvidenceExchange(model, send)
+        exchange = InterferenceExchange(model, send)
         for _ in range(3):
             await exchange.send()
 
--- a/tests/unit/test_agent_directory.py
+++ b/tests/unit/test_agent_directory.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from pistachiodeal.agent.directory import AgentDirectory, choose_entries
+from pistachiodeal.agent.directory import MergedDirectory, choose_entries
 from pistachiodeal.wire.messages import Directory, EntryAddress, PartitionOwner
 
 ENTRIES = tuple(
@@ -20,33 +20,33 @@
     After a takeover the earlier owner, resumed from a suspension, sends its old
     directory; the latest arrival must not win.
     """
-    directory = AgentDirectory()
+    directory = MergedDirectory()
     epochs: list[tuple[int, int]] = []
     directory.on_epoch = lambda partition, epoch: epochs.append((partition, epoch))
     for epoch, node in ((4, "e1"), (5, "e2"), (4, "e1"), (5, "e9")):
-        directory.note(node, build_owner(epoch, node))
+        directory.update(node, build_owner(epoch, node))
     owner = directory.get_owner(3)
     assert owner is not None and owner.node == "e2"
     assert epochs == [(3, 4), (3, 5)]
     assert directory.list_partitions("e2") == {3}
-    directory.note("e2", build_owner(6, ""))
+    directory.update("e2", build_owner(6, ""))
     assert directory.get_owner(3) is None
 
 
 def test_one_entry_can_neither_hide_others_nor_keep_them_for_good() -> None:
-    directory = AgentDirectory()
-    directory.note("e0", Directory(ENTRIES[:2], ()))
-    directory.note("e1", Directory(ENTRIES[1:3], ()))
+    directory = MergedDirectory()
+    directory.update("e0", Directory(ENTRIES[:2], ()))
+    directory.update("e1", Directory(ENTRIES[1:3], ()))
     assert {entry.node for entry in directory.entries} == {"e0", "e1", "e2"}
-    directory.forget("e0")
+    directory.remove_source("e0")
     assert {entry.node for entry in directory.entries} == {"e1", "e2"}
-    directory.forget("e1")
+    directory.remove_source("e1")
     assert {entry.node for entry in directory.entries} == {"e1", "e2"}
-    directory.note("e3", Directory(ENTRIES[3:4], ()))
+    directory.update("e3", Directory(ENTRIES[3:4], ()))
     assert {entry.node for entry in directory.entries} == {"e3"}
 
 
-def test_links_go_home_first_and_one_goes_elsewhere() -> None:
+def test_links_prefer_the_own_data_centre_and_one_goes_to_another() -> None:
     chosen = choose_entries("a1", "dc1", ENTRIES, 3)
     assert [entry.data_centre == "dc1" for entry in chosen] == [True, True, False]
 
--- a/tests/unit/test_agent_eviction.py
+++ b/tests/unit/test_agent_eviction.py
@@ -7,7 +7,7 @@
 import curio
 import pytest
 
-from pistachiodeal.agent.held_runs import Phase
+from pistachiodeal.agent.run_records import Phase
 from pistachiodeal.model.resources import Resources
 from pistachiodeal.store.protocols import RunState
 from pistachiodeal.wire.task_messages import LeaseGrant, Renew, Stop, TaskAck
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize("fault", ["", "after", "before"])
-def test_stop_is_confirmed_before_it_is_told(fault):
+def test_stop_is_confirmed_before_it_is_reported(fault):
     """Guards against an evicted task that runs on two workers.
 
     If a requested stop counts as done, the task is requeued although the stop or
@@ -55,10 +55,10 @@
         await bench.settle(build_start())
         bench.objects.down = down == "store"
         bench.runtime.faults["checkpoint"] = ["refused"] * (down == "worker")
-        await bench.keeper.evict(TASK)
+        await bench.manager.evict(TASK)
         await bench.settle()
         assert "stop" not in bench.runtime.calls
-        assert len(bench.keeper.runs()) == 1
+        assert len(bench.manager.runs()) == 1
 
     run_bench(case)
 
@@ -109,25 +109,25 @@
 def test_renewal_while_the_last_checkpoint_is_made():
     async def case(bench: Bench) -> None:
         def renew() -> None:
-            (held,) = bench.keeper.held
-            held.lease_until += 60
+            (record,) = bench.manager.records
+            record.lease_until += 60
 
         await bench.settle(build_start())
         bench.objects.before_call = renew
         bench.now += 56
         await bench.check()
-        assert [held.phase for held in bench.keeper.held] == [Phase.RUNNING]
+        assert [record.phase for record in bench.manager.records] == [Phase.RUNNING]
 
     run_bench(case)
 
 
-def test_drain_returns_when_every_owner_knows():
+def test_drain_returns_when_every_owner_has_acknowledged():
     async def case(bench: Bench) -> None:
         await bench.settle(build_start(), build_start(task_id="0003-b"))
         bench.runtime.faults["checkpoint"] = ["refused"]
         bench.acknowledges = True
-        worker = await curio.spawn(bench.keeper.run)
-        await bench.keeper.drain()
+        worker = await curio.spawn(bench.manager.run)
+        await bench.manager.drain()
         await worker.cancel()
         assert [ended.state for ended in bench.sent] == ["stopped"] * 2
         assert all(ended.checkpoint for ended in bench.sent)
@@ -137,7 +137,7 @@
     run_bench(case)
 
 
-def test_drain_does_without_a_checkpoint_after_half_its_time():
+def test_drain_stops_without_a_checkpoint_after_half_its_time():
     """Guards against a drain that times out with tasks still running.
 
     If every checkpoint is refused, the retries need a time limit of their own, half
@@ -148,8 +148,8 @@
         await bench.settle(build_start())
         bench.runtime.faults["checkpoint"] = ["refused"] * 10_000
         bench.acknowledges = True
-        worker = await curio.spawn(bench.keeper.run)
-        drain = await curio.spawn(bench.keeper.drain)
+        worker = await curio.spawn(bench.manager.run)
+        drain = await curio.spawn(bench.manager.drain)
         while bench.runtime.calls.count("checkpoint") < 2:
             await curio.sleep(0)
         assert "stop" not in bench.runtime.calls
@@ -164,23 +164,23 @@
 def test_renewals_count_from_their_beat_and_go_in_one_call():
     async def case(bench: Bench) -> None:
         await bench.settle(build_start(), build_start(task_id="0003-b"))
-        bench.keeper.note_beat(2, sent_at := bench.now + 1)
+        bench.manager.record_beat(2, sent_at := bench.now + 1)
         bench.now += 20
-        await bench.keeper.receive(Renew(2, (LeaseGrant(3, 5, 60_000),)))
-        await bench.keeper.receive(Renew(2, (LeaseGrant(3, 4, 90_000),)))
-        await bench.keeper._renewer.pass_on()
+        await bench.manager.receive(Renew(2, (LeaseGrant(3, 5, 60_000),)))
+        await bench.manager.receive(Renew(2, (LeaseGrant(3, 4, 90_000),)))
+        await bench.manager._renewer.renew_pending()
         assert set(bench.runtime.leases.values()) == {sent_at + 60}
         assert bench.runtime.calls.count("renew") == 1
         await bench.settle(build_start(task_id="0003-c", size=Resources(), beat=2))
         started = dict(bench.runtime.leases)
-        await bench.keeper.receive(Renew(2, (LeaseGrant(3, 5, 90_000),)))
-        await bench.keeper._renewer.pass_on()
+        await bench.manager.receive(Renew(2, (LeaseGrant(3, 5, 90_000),)))
+        await bench.manager._renewer.renew_pending()
         assert bench.runtime.leases[("0003-c", 1)] == started[("0003-c", 1)]
         renewed = dict(bench.runtime.leases)
         assert renewed != started
-        bench.keeper.note_epoch(3, 6)
-        await bench.keeper.receive(Renew(2, (LeaseGrant(3, 5, 120_000),)))
-        await bench.keeper._renewer.pass_on()
+        bench.manager.record_epoch(3, 6)
+        await bench.manager.receive(Renew(2, (LeaseGrant(3, 5, 120_000),)))
+        await bench.manager._renewer.renew_pending()
         assert bench.runtime.leases == renewed
 
     run_bench(case)
--- a/tests/unit/test_agent_guarding.py
+++ b/tests/unit/test_agent_guard_loop.py
@@ -4,7 +4,7 @@
 
 import curio
 
-from pistachiodeal.agent.guarding import create_guarding
+from pistachiodeal.agent.guard_loop import create_guard_loop
 from pistachiodeal.config.agent import GuardSettings
 from pistachiodeal.config.common import StatsdSettings
 from pistachiodeal.control.views import Evict, Throttle
@@ -25,11 +25,11 @@
 )
 
 
-class FakeDesk:
-    def figures(self) -> tuple[ServiceLoad, ...]:
+class FakeStats:
+    def list_loads(self) -> tuple[ServiceLoad, ...]:
         return tuple(ServiceLoad(name, 8, 1, 0, 0) for name in ("desk", "idle", "?"))
 
-    def latency(self, service: str) -> float:
+    def recent_latency(self, service: str) -> float:
         return 0.0 if service == "idle" else 0.15
 
 
@@ -43,16 +43,16 @@
         return self.actions
 
 
-def test_guard_hears_of_services_with_requests_and_is_obeyed():
+def test_guard_gets_services_with_requests_and_its_actions_are_carried_out():
     async def case(bench: Bench) -> None:
         await bench.settle(build_start())
         cache = create_policy_cache()
         profile = Profile(name="counter", promised_ms=200)
         cache.apply([ServicePolicy(name, 1, profile) for name in ("desk", "idle")])
         guard, timeline = FakeGuard(Throttle(TASK, 0.5)), create_timeline()
-        guarding = create_guarding(
-            bench.keeper,
-            FakeDesk(),
+        guard_loop = create_guard_loop(
+            bench.manager,
+            FakeStats(),
             guard,  # type: ignore[arg-type]
             timeline,
             cache,
@@ -60,14 +60,14 @@
             metrics=create_metrics(StatsdSettings()),
             clock=lambda: bench.now,
         )
-        await guarding.act()
+        await guard_loop.run_once()
         await bench.settle()
         (reading,), (view,) = guard.seen
         assert (reading.service, reading.promised_s) == ("desk", 0.2)
         assert timeline.at(bench.now) == {"k": SIZE.cpu_milli / CAPACITY.cpu_milli}
-        assert (view.share, bench.keeper.runs()[0].share) == (1.0, 0.5)
+        assert (view.share, bench.manager.runs()[0].share) == (1.0, 0.5)
         guard.actions = [Evict(TASK)]
-        await guarding.act()
+        await guard_loop.run_once()
         await bench.settle()
         assert bench.runtime.runs[(TASK, 1)].state is RunState.STOPPED
 
@@ -84,18 +84,18 @@
         await bench.settle(build_start())
         used = Resources(100, 7000, 0)
         stale = UsageSample(TASK, bench.now - 1, CAPACITY)
-        bench.keeper._watcher.note_usage([stale, UsageSample(TASK, bench.now, used)])
-        assert bench.keeper.room == CAPACITY - used.enlarge(SIZE)
+        bench.manager._watcher.apply_usage([stale, UsageSample(TASK, bench.now, used)])
+        assert bench.manager.room == CAPACITY - used.enlarge(SIZE)
         await bench.settle(build_start(task_id="0003-b"))
         assert [refused.code for refused in await bench.send()] == ["no_room"]
 
     run_bench(case)
 
 
-def test_polling_tells_of_ends():
+def test_polling_reports_ends():
     async def case(bench: Bench) -> None:
-        worker = await curio.spawn(bench.keeper.run)
-        await bench.keeper.receive(build_start())
+        worker = await curio.spawn(bench.manager.run)
+        await bench.manager.receive(build_start())
         while not bench.runtime.runs:
             await curio.sleep(0)
         bench.runtime.end((TASK, 1), RunState.FINISHED)
--- a/tests/unit/test_agent_links.py
+++ b/tests/unit/test_agent_links.py
@@ -10,9 +10,9 @@
 import pytest
 
 from pistachiodeal.agent import links as links_module
-from pistachiodeal.agent.directory import AgentDirectory
-from pistachiodeal.agent.links import LinkKeeper
-from pistachiodeal.agent.peers import Pauses
+from pistachiodeal.agent.directory import MergedDirectory
+from pistachiodeal.agent.links import LinkManager
+from pistachiodeal.agent.peers import DialBackoff
 from pistachiodeal.config.agent import AgentSettings, RuntimeSettings
 from pistachiodeal.exceptions import LinkClosedError, LinkSilentError
 from pistachiodeal.wire.identity import Identity
@@ -60,18 +60,18 @@
         self.down: set[str] = set()
         self.opened: list[FakeLink] = []
         self.open_requests = 0
-        self.held: set[int] = set()
-        self.directory = AgentDirectory()
-        self.keeper = LinkKeeper(
+        self.partitions: set[int] = set()
+        self.directory = MergedDirectory()
+        self.manager = LinkManager(
             SETTINGS,
             Identity("agent", "a1", 1, "dc1"),
             self.directory,
-            lambda: self.held,
+            lambda: self.partitions,
             lambda: self.now,
         )
-        self.keeper.set_handler(self)
+        self.manager.set_handler(self)
         monkeypatch.setattr(links_module, "dial_link", self._dial)
-        monkeypatch.setattr(Pauses, "take", lambda _: 0.0)
+        monkeypatch.setattr(DialBackoff, "next_delay", lambda _: 0.0)
 
     @asynccontextmanager
     async def _dial(self, address: str, *_: Any) -> AsyncIterator[FakeLink]:
@@ -84,20 +84,20 @@
         finally:
             link.closed = True
 
-    async def greet(self, link: Any) -> None:
+    async def on_open(self, link: Any) -> None:
         pass
 
     async def receive(self, link: Any, message: Any) -> None:
         pass
 
-    async def part(self, link: Any) -> None:
+    async def on_close(self, link: Any) -> None:
         pass
 
     def count_open(self, link: Any) -> int:
         return self.open_requests
 
-    async def review(self) -> None:
-        await self.keeper.review()
+    async def reconcile(self) -> None:
+        await self.manager.reconcile()
         for _ in range(10):
             await curio.sleep(0)
 
@@ -105,11 +105,11 @@
         entries = tuple(EntryAddress(n, ADDRESSES[n], "dc1") for n in nodes)
         address = ADDRESSES.get(owner, "")
         owners = (PartitionOwner(7, 1, owner, address),)
-        self.directory.note("e0", Directory(entries, owners))
+        self.directory.update("e0", Directory(entries, owners))
 
     @property
     def nodes(self) -> list[str]:
-        return [link.peer.node for link in self.keeper.links]
+        return [link.peer.node for link in self.manager.links]
 
 
 def test_a_silent_link_is_replaced_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -121,16 +121,16 @@
 
     async def main() -> None:
         bench = Bench(monkeypatch)
-        await bench.review()
+        await bench.reconcile()
         await bench.opened[0].inbox.put(LinkSilentError())
-        await bench.review()
+        await bench.reconcile()
         assert len(bench.opened) == 2
-        assert bench.keeper.links == [bench.opened[1]]
+        assert bench.manager.links == [bench.opened[1]]
 
     curio.run(main)
 
 
-def test_a_surplus_link_is_left_after_its_answers(
+def test_a_surplus_link_is_closed_after_its_answers(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Guards against outcomes ``unknown`` when entries are added or removed.
@@ -141,47 +141,47 @@
 
     async def main() -> None:
         bench = Bench(monkeypatch)
-        await bench.review()
+        await bench.reconcile()
         bench.note_entries("e1")
         bench.open_requests = 1
-        await bench.review()
+        await bench.reconcile()
         assert sorted(bench.nodes) == ["e0", "e1"]
         old = bench.opened[0]
-        await bench.review()
+        await bench.reconcile()
         assert old.sent == [Goodbye("other entries are nearer")]
         bench.now += 2.0
-        await bench.review()
+        await bench.reconcile()
         assert not old.closed
         bench.open_requests = 0
-        await bench.review()
+        await bench.reconcile()
         assert old.closed
         assert bench.nodes == ["e1"]
 
     curio.run(main)
 
 
-def test_a_dead_entry_has_a_substitute_until_it_is_back(
+def test_an_unreachable_entry_has_a_substitute_until_it_is_back(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def main() -> None:
         bench = Bench(monkeypatch)
         bench.note_entries("e1", "e2", "e3")
-        first = next(iter(bench.keeper.choose_addresses() - {ADDRESSES["e0"]}))
+        first = next(iter(bench.manager.choose_addresses() - {ADDRESSES["e0"]}))
         bench.down = {first, ADDRESSES["e0"]}
-        await bench.review()
-        await bench.review()
+        await bench.reconcile()
+        await bench.reconcile()
         assert len(bench.nodes) == 1
         assert ADDRESSES[bench.nodes[0]] != first
         bench.down = set()
         for _ in range(3):
-            await bench.review()
+            await bench.reconcile()
             bench.now += 2.0
         assert [ADDRESSES[node] for node in bench.nodes] == [first]
 
     curio.run(main)
 
 
-def test_without_any_link_the_settings_lead_back(
+def test_without_any_link_entries_from_the_settings_are_dialled(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Guards against an agent that never reconnects after a network partition.
@@ -191,30 +191,30 @@
     """
     bench = Bench(monkeypatch)
     bench.note_entries("e1", "e2")
-    assert ADDRESSES["e0"] in bench.keeper.choose_addresses()
+    assert ADDRESSES["e0"] in bench.manager.choose_addresses()
 
 
-def test_owners_of_held_runs_are_linked_to(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_owners_of_current_runs_are_linked_to(monkeypatch: pytest.MonkeyPatch) -> None:
     async def main() -> None:
         bench = Bench(monkeypatch)
         bench.note_entries("e0", owner="e3")
-        await bench.review()
-        assert not await bench.keeper.send_to_owner(7, TaskAck("t", 1))
-        bench.held = {7}
-        await bench.review()
+        await bench.reconcile()
+        assert not await bench.manager.send_to_owner(7, TaskAck("t", 1))
+        bench.partitions = {7}
+        await bench.reconcile()
         assert sorted(bench.nodes) == ["e0", "e3"]
-        assert await bench.keeper.send_to_owner(7, TaskAck("t", 1))
+        assert await bench.manager.send_to_owner(7, TaskAck("t", 1))
         assert bench.opened[-1].sent == [TaskAck("t", 1)]
         bench.opened[-1].closed = True
-        assert not await bench.keeper.send_to_owner(7, TaskAck("t", 1))
+        assert not await bench.manager.send_to_owner(7, TaskAck("t", 1))
 
     curio.run(main)
 
 
-def test_pauses_grow_to_a_limit_and_differ() -> None:
+def test_backoff_grows_to_a_limit_with_jitter() -> None:
     limits: list[float] = []
-    pauses = Pauses(lambda low, high: limits.append(high) or high)  # type: ignore
+    backoff = DialBackoff(lambda low, high: limits.append(high) or high)  # type: ignore
     for _ in range(9):
-        pauses.take()
+        backoff.next_delay()
     assert limits[:3] == [0.1, 0.2, 0.4]
     assert limits[-1] == 5.0
--- a/tests/unit/test_agent_requests.py
+++ b/tests/unit/test_agent_requests.py
@@ -72,14 +72,14 @@
         self.now = 100.0
         self.clients: dict[str, FakeClient] = {}
         self.table = RunnerTable(3.0, self.read_clock, self._connect)
-        self.table.open_for_runners(create_ledger(Resources(9000, 9000)))
+        self.table.set_ledger(create_ledger(Resources(9000, 9000)))
         self.metrics = create_metrics(StatsdSettings())
         profile = Profile(name="quotes", queue_limit=queue_limit)
         self._policy = ServicePolicy("orders", 1, profile)
-        self.desk = RequestHandler(
+        self.handler = RequestHandler(
             self.table, self, self.metrics, clock=self.read_clock
         )
-        self.table.on_change = self.desk.note_change
+        self.table.on_change = self.handler.handle_runner_change
         self.link = FakeLink()
 
     def policy(self, service: str) -> ServicePolicy:
@@ -101,7 +101,7 @@
     ) -> None:
         target = name or f"/{number}"
         request = Request(number, "orders", "c", "POST", target, (), b"", budget_ms)
-        await self.desk.handle(link or self.link, request)
+        await self.handler.handle(link or self.link, request)
         await settle()
 
 
@@ -124,7 +124,7 @@
             await runner.answer(index)
         assert runner.targets == ["/1", "/3", "/2", "/4"]
         assert [message.request_id for message in bench.link.sent] == [1, 3, 2, 4]
-        await bench.desk.stop()
+        await bench.handler.stop()
 
     run(main)
 
@@ -147,12 +147,12 @@
         assert bench.link.codes == ["deadline"]
         await runner.answer(0)
         assert runner.targets == ["/1"]
-        await bench.desk.stop()
+        await bench.handler.stop()
 
     run(main)
 
 
-def test_a_request_that_waited_out_a_freeze_is_not_handed_on() -> None:
+def test_a_request_past_its_deadline_after_a_suspension_is_not_dispatched() -> None:
     """Guards against a request that runs long after its caller got a refusal.
 
     The agent is suspended past the deadline and a slot becomes free when it resumes;
@@ -168,12 +168,12 @@
         await runner.answer(0)
         assert runner.targets == ["/1"]
         assert bench.link.codes == ["answer", "deadline"]
-        await bench.desk.stop()
+        await bench.handler.stop()
 
     run(main)
 
 
-def test_a_runner_that_cannot_be_reached_gets_nothing_until_it_speaks() -> None:
+def test_an_unreachable_runner_gets_nothing_until_it_announces_itself() -> None:
     async def main() -> None:
         bench = Bench()
         first = await bench.announce("r1")
@@ -184,20 +184,20 @@
         await second.answer(0)
         await bench.ask(2)
         assert second.targets == ["/1", "/2"]
-        assert bench.desk.figures()[0].slots == 1
+        assert bench.handler.list_loads()[0].slots == 1
         await bench.announce("r1")
-        assert bench.desk.figures()[0].slots == 1, "the backoff has not passed"
+        assert bench.handler.list_loads()[0].slots == 1, "the backoff has not passed"
         bench.now += 1
         await bench.announce("r1")
         await bench.ask(3)
         assert first.targets == ["/1", "/3"]
         assert bench.link.codes == ["answer"]
-        await bench.desk.stop()
+        await bench.handler.stop()
 
     run(main)
 
 
-def test_failures_say_what_is_known() -> None:
+def test_failures_report_the_known_outcome() -> None:
     """Guards against partial answers, and against ``not_run`` for what may have run.
 
     A runner fails before its answer, during it, or is unreachable. How far the call
@@ -216,7 +216,7 @@
         kinds = [type(message) for message in bench.link.sent]
         assert kinds == [Failure, Failure, Refusal]
         assert [m.outcome for m in bench.link.sent[:2]] == ["ran", "unknown"]
-        await bench.desk.stop()
+        await bench.handler.stop()
 
     run(main)
 
@@ -227,13 +227,13 @@
         runner = await bench.announce("r1")
         await bench.ask(1)
         await bench.ask(2)
-        await bench.desk.withdraw(bench.link, 2)
-        await bench.desk.withdraw(bench.link, 1)
+        await bench.handler.withdraw(bench.link, 2)
+        await bench.handler.withdraw(bench.link, 1)
         assert bench.link.codes == ["withdrawn"]
         await runner.answer(0)
         assert bench.link.codes == ["withdrawn", "answer"]
         assert runner.targets == ["/1"]
-        await bench.desk.stop()
+        await bench.handler.stop()
 
     run(main)
 
@@ -255,24 +255,24 @@
         await runner.answer(0)
         assert [message.body for message in bench.link.sent] == [b"/mine"]
         assert [message.body for message in other.sent] == [b"/theirs"]
-        await bench.desk.stop()
+        await bench.handler.stop()
 
     run(main)
 
 
-def test_a_closed_link_leaves_no_work_behind() -> None:
+def test_waiting_requests_of_a_closed_link_are_dropped() -> None:
     async def main() -> None:
         bench = Bench()
         runner = await bench.announce("r1")
         await bench.ask(1)
         await bench.ask(2)
         bench.link.closed = True
-        await bench.desk.close_origin(bench.link)
+        await bench.handler.close_origin(bench.link)
         await runner.answer(0)
         assert runner.targets == ["/1"]
-        assert bench.desk.open_count == 0
+        assert bench.handler.open_count == 0
         assert bench.metrics.counts()["agent.answers.dropped"] == 1
-        await bench.desk.stop()
+        await bench.handler.stop()
 
     run(main)
 
@@ -293,7 +293,7 @@
         codes = ["no_runner", "answer", "no_slot_in_time", "queue_full"]
         assert bench.link.codes == codes
         assert [m.retry_after_ms for m in bench.link.sent[2:]] == [800, 1200]
-        await bench.desk.stop()
+        await bench.handler.stop()
 
     run(main)
 
@@ -304,25 +304,25 @@
         runner = await bench.announce("r1")
         await bench.ask(1)
         await bench.ask(2)
-        drain = await curio.spawn(bench.desk.drain, 60.0)
+        drain = await curio.spawn(bench.handler.drain, 60.0)
         await settle()
         await bench.ask(3)
         await runner.answer(0)
         await runner.answer(1)
         assert await drain.join()
         assert bench.link.codes == ["draining", "answer", "answer"]
-        await bench.desk.stop()
+        await bench.handler.stop()
 
     run(main)
 
 
-def test_an_end_at_once_tells_the_truth_of_what_is_open() -> None:
+def test_an_immediate_stop_reports_the_true_outcomes() -> None:
     async def main() -> None:
         bench = Bench()
         await bench.announce("r1")
         await bench.ask(1)
         await bench.ask(2)
-        await bench.desk.stop()
+        await bench.handler.stop()
         assert bench.link.codes == ["agent_stopped", "draining"]
 
     run(main)
@@ -354,7 +354,7 @@
                 bench.now += 0.2
                 await bench.announce("r1", slots=2)
             elif step == "withdraw":
-                await bench.desk.withdraw(bench.link, asked)
+                await bench.handler.withdraw(bench.link, asked)
             elif done < len(runner.calls):
                 outcome = outcomes.get(step)
                 if outcome is Outcome.NOT_RUN:
@@ -362,7 +362,7 @@
                 error = CallError(step, outcome) if outcome else None
                 await runner.answer(done, error)
                 done += 1
-        await bench.desk.stop()
+        await bench.handler.stop()
         answered = [message.request_id for message in bench.link.sent]
         assert sorted(answered) == list(range(1, asked + 1))
         reached = {t for i, t in enumerate(runner.targets) if i not in unreached}
--- a/tests/unit/test_agent_held_runs.py
+++ b/tests/unit/test_agent_run_records.py
@@ -4,15 +4,15 @@
 
 import pytest
 
-from pistachiodeal.agent.held_runs import HeldRun, Phase
+from pistachiodeal.agent.run_records import Phase, RunRecord
 from pistachiodeal.model.resources import Resources
 from pistachiodeal.wire.task_messages import LeaseGrant
 
 EPOCH, PARTITION, BEAT = 5, 2, 7
 
 
-def build_run(phase: Phase = Phase.RUNNING) -> HeldRun:
-    return HeldRun(
+def build_run(phase: Phase = Phase.RUNNING) -> RunRecord:
+    return RunRecord(
         "t", 1, PARTITION, EPOCH, "kind", Resources(), phase, 0.0, 1.0, from_beat=BEAT
     )
 
--- a/tests/unit/test_agent_runners.py
+++ b/tests/unit/test_agent_runners.py
@@ -46,7 +46,7 @@
         self.changed.append(runner)
 
     def open(self) -> None:
-        self.table.open_for_runners(self.ledger)
+        self.table.set_ledger(self.ledger)
 
     def call(self, method: str, name: str, body: Any = None) -> WebResponse:
         data = body if isinstance(body, bytes) else orjson.dumps(body)
@@ -121,7 +121,7 @@
     assert bench.get_runner().announcement.size.cpu_milli == 4000
 
 
-def test_silent_runners_expire_but_not_by_our_own_freeze() -> None:
+def test_runners_expire_but_not_through_a_suspension_of_the_agent() -> None:
     """Guards against requests refused for a second after the agent was suspended.
 
     If the suspension is longer than the expiry of announcements, those that wait
--- a/tests/unit/test_agent_tasks.py
+++ b/tests/unit/test_agent_tasks.py
@@ -33,9 +33,9 @@
         bench.runtime.faults["start"] = ["after"]
         await bench.settle(build_start())
         assert await bench.send() == []
-        assert len(bench.keeper.refs({3})) == 1
+        assert len(bench.manager.list_refs({3})) == 1
         await bench.check()
-        assert [view.task_id for view in bench.keeper.runs()] == [TASK]
+        assert [view.task_id for view in bench.manager.runs()] == [TASK]
 
     run_bench(case)
 
@@ -53,11 +53,11 @@
         for _ in range(5):
             await bench.check()
             assert await bench.send() == []
-        assert bench.keeper.ledger.free == CAPACITY - SIZE
+        assert bench.manager.ledger.free == CAPACITY - SIZE
         bench.now += 62
         await bench.check()
         assert await bench.send() == [StartRefused(TASK, 1, "start_failed", "")]
-        assert bench.keeper.ledger.free == CAPACITY
+        assert bench.manager.ledger.free == CAPACITY
 
     run_bench(case)
 
@@ -84,7 +84,7 @@
     run_bench(case)
 
 
-def test_freeze_while_the_checkpoint_is_loaded():
+def test_suspension_while_the_checkpoint_is_loaded():
     """Guards against a task that starts after its owner has given it up.
 
     The agent is suspended while it loads the checkpoint, past the end of the lease;
@@ -100,7 +100,7 @@
         await bench.settle(build_start(checkpoint="checkpoint/x/1"))
         assert "start" not in bench.runtime.calls
         assert await bench.send() == [StartRefused(TASK, 1, "lease_expired", "")]
-        assert bench.keeper.ledger.free == CAPACITY
+        assert bench.manager.ledger.free == CAPACITY
 
     run_bench(case)
 
@@ -147,7 +147,7 @@
     run_bench(case)
 
 
-def test_finish_beats_cancel():
+def test_finish_takes_precedence_over_cancel():
     async def case(bench: Bench) -> None:
         await bench.settle(build_start())
         bench.runtime.end((TASK, 1), RunState.FINISHED)
@@ -173,12 +173,12 @@
         bench.runtime.runs[key] = type(run)(
             *key, run.kind, Resources(9000, 100, 0), RunState.RUNNING, tag=run.tag
         )
-        bench.create_keeper()
-        await bench.keeper.attach()
-        assert bench.keeper.room == Resources()
+        bench.create_manager()
+        await bench.manager.attach()
+        assert bench.manager.room == Resources()
         bench.now += 10
-        bench.keeper.note_beat(1, bench.now)
-        assert bench.keeper.ledger.free.cpu_milli < 0
+        bench.manager.record_beat(1, bench.now)
+        assert bench.manager.ledger.free.cpu_milli < 0
         tiny = Resources(0, 1, 0)
         await bench.settle(
             build_start(task_id="0003-b", size=tiny),
@@ -189,7 +189,7 @@
     run_bench(case)
 
 
-def test_end_is_told_until_acknowledged_then_forgotten():
+def test_end_is_resent_until_acknowledged_then_removed():
     async def case(bench: Bench) -> None:
         await bench.settle(build_start())
         bench.runtime.end((TASK, 1), RunState.FAILED)
@@ -200,11 +200,11 @@
         for _ in range(2):
             (ended,) = await bench.send(later=10)
             assert isinstance(ended, TaskEnded)
-        assert bench.keeper.refs({3}) == ()
+        assert bench.manager.list_refs({3}) == ()
         await bench.settle(TaskAck(TASK, 1))
         assert await bench.send(later=10) == []
         assert bench.runtime.runs == {}
-        assert bench.keeper.partitions() == set()
+        assert bench.manager.partitions() == set()
         await bench.settle(build_start())
         assert bench.runtime.runs == {}
 
@@ -221,24 +221,24 @@
     async def case(bench: Bench) -> None:
         await bench.settle(build_start())
         bench.runtime.gates["list"] = curio.Event()
-        look = await curio.spawn(bench.keeper._watcher.check_runs)
+        poll = await curio.spawn(bench.manager._watcher.check_runs)
         await curio.sleep(0)
         await bench.settle(CANCEL, TaskAck(TASK, 1))
         await bench.runtime.gates["list"].set()
-        await look.join()
-        assert bench.keeper.refs({3}) == ()
-        assert bench.keeper.ledger.free == CAPACITY
+        await poll.join()
+        assert bench.manager.list_refs({3}) == ()
+        assert bench.manager.ledger.free == CAPACITY
 
     run_bench(case)
 
 
-def test_run_of_which_the_worker_has_no_trace():
+def test_run_that_the_worker_no_longer_lists():
     async def case(bench: Bench) -> None:
         await bench.settle(build_start())
         bench.runtime.runs.clear()
         await bench.check()
         assert [message.state for message in await bench.send()] == ["unknown_run"]
-        assert bench.keeper.ledger.free == CAPACITY
+        assert bench.manager.ledger.free == CAPACITY
         await bench.settle(build_start())
         assert bench.runtime.runs == {}
 
@@ -249,10 +249,10 @@
     async def case(bench: Bench) -> None:
         bench.runtime.gates["stop"] = gate = curio.Event()
         await bench.settle(build_start())
-        worker = await curio.spawn(bench.keeper.run)
-        await bench.keeper.receive(CANCEL)
-        await bench.keeper.receive(TaskAck(TASK, 1))
-        await bench.keeper.receive(build_start(task_id="0003-b"))
+        worker = await curio.spawn(bench.manager.run)
+        await bench.manager.receive(CANCEL)
+        await bench.manager.receive(TaskAck(TASK, 1))
+        await bench.manager.receive(build_start(task_id="0003-b"))
         while not any(key[0] == "0003-b" for key in bench.runtime.runs):
             await curio.sleep(0)
         assert "forget" not in bench.runtime.calls
@@ -273,8 +273,8 @@
 
     async def case(bench: Bench) -> None:
         bench.runtime.faults["start"] = ["fenced"]
-        await bench.keeper.receive(build_start())
+        await bench.manager.receive(build_start())
         with pytest.raises(WorkerFencedError):
-            await bench.keeper.run()
+            await bench.manager.run()
 
     run_bench(case)
--- a/tests/unit/test_fuzz_leases.py
+++ b/tests/unit/test_fuzz_leases.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from pistachiodeal.agent.leases import LeaseBook
+from pistachiodeal.agent.leases import LeaseTracker
 from pistachiodeal.wire.task_messages import LeaseGrant, Renew
 from tests.unit.fake_agent_tasks import TASK, Bench, build_start
 
@@ -30,7 +30,7 @@
         self.allowed: dict[tuple[str, int], float] = {}
         self.first_beat: dict[tuple[str, int], int] = {}
         self.epoch = 5
-        self.bench.keeper.note_epoch(3, self.epoch)
+        self.bench.manager.record_epoch(3, self.epoch)
         self.attempt = 0
 
     def run(self, job) -> None:
@@ -47,16 +47,16 @@
         self.bench.now += seconds
         self.beat += 1
         self.sent_at[self.beat] = self.bench.now
-        self.bench.keeper.note_beat(self.beat, self.bench.now)
-        self.bench.keeper.note_beat(self.beat - 1, self.bench.now)
+        self.bench.manager.record_beat(self.beat, self.bench.now)
+        self.bench.manager.record_beat(self.beat - 1, self.bench.now)
 
     @rule(seconds=st.sampled_from([1.0, 29.0]))
     def freeze(self, seconds: float) -> None:
         self.bench.now += seconds
 
     @rule(step=EPOCH_STEPS)
-    def hear_of_epoch(self, step: int) -> None:
-        self.bench.keeper.note_epoch(3, self.epoch + step)
+    def receive_epoch(self, step: int) -> None:
+        self.bench.manager.record_epoch(3, self.epoch + step)
         self.epoch = max(self.epoch, self.epoch + step)
 
     @rule(back=BACK, lease_ms=LEASES_MS, step=EPOCH_STEPS, fault=FAULTS)
@@ -86,10 +86,10 @@
             self.epoch = epoch if self.allowed else self.epoch
         self.bench.runtime.faults["renew"] = [fault]
         grants = (LeaseGrant(3, epoch, lease_ms),)
-        self.run(self.bench.keeper.receive(Renew(beat, grants)))
-        renewer = self.bench.keeper._renewer
+        self.run(self.bench.manager.receive(Renew(beat, grants)))
+        renewer = self.bench.manager._renewer
         renewer._retry_s = 0
-        self.run(renewer.pass_on())
+        self.run(renewer.renew_pending())
 
     @invariant()
     def no_lease_is_longer_than_granted(self) -> None:
@@ -99,15 +99,15 @@
 
 
 def test_beats_kept_are_bounded_and_the_first_time_counts():
-    book = LeaseBook(beats_kept=3)
+    lease_tracker = LeaseTracker(max_beats=3)
     for beat in range(1, 6):
-        book.note_beat(beat, float(beat))
-    book.note_beat(5, 99.0)
-    assert book.find_end(2, 1000) is None
-    assert book.find_end(5, 1000) == 6.0
-    assert book.note_epoch(1, 4)
-    assert not book.note_epoch(1, 3)
-    assert book.epoch(1) == 4
+        lease_tracker.record_beat(beat, float(beat))
+    lease_tracker.record_beat(5, 99.0)
+    assert lease_tracker.compute_end(2, 1000) is None
+    assert lease_tracker.compute_end(5, 1000) == 6.0
+    assert lease_tracker.record_epoch(1, 4)
+    assert not lease_tracker.record_epoch(1, 3)
+    assert lease_tracker.epoch(1) == 4
 
 
 TestLeases = LeaseMachine.TestCase
--- a/tests/unit/test_fuzz_ledger.py
+++ b/tests/unit/test_fuzz_ledger.py
@@ -33,7 +33,7 @@
         self.runtime = self.bench.runtime
         self.beat = 1
         self.attempts: dict[str, int] = {}
-        self.over: set[tuple[str, int]] = set()
+        self.ended: set[tuple[str, int]] = set()
         self.kernel.run(self.open)
 
     async def open(self) -> None:
@@ -42,7 +42,7 @@
         self.bench.objects.stored["checkpoint"] = b"state"
         self.bench.objects.wait = self.wait_for_answer
         for _ in range(4):
-            await curio.spawn(self.bench.keeper._work.work, daemon=True)
+            await curio.spawn(self.bench.manager._executor.run_actions, daemon=True)
 
     async def wait_for_answer(self) -> None:
         self.runtime.blocked.append(("objects", gate := curio.Event()))
@@ -65,7 +65,7 @@
     def start(self, task: str, size: Resources, again: bool) -> None:
         """Send a Start that is valid, or sometimes one of an ended attempt."""
         attempt = self.attempts.setdefault(task, 1)
-        if (task, attempt) in self.over and not again:
+        if (task, attempt) in self.ended and not again:
             self.attempts[task] = attempt = attempt + 1
         start = build_start(
             task_id=task,
@@ -74,7 +74,7 @@
             beat=self.beat,
             checkpoint="checkpoint",
         )
-        self.run(self.bench.keeper.receive, start)
+        self.run(self.bench.manager.receive, start)
 
     @rule(first=TASKS, size=SIZES)
     def start_two(self, first: str, size: Resources) -> None:
@@ -84,7 +84,7 @@
     @rule(task=TASKS, evict=st.booleans())
     def stop(self, task: str, evict: bool) -> None:
         stop = Stop(task, self.attempts.get(task, 1), 3, 5, evict)
-        self.run(self.bench.keeper.receive, stop)
+        self.run(self.bench.manager.receive, stop)
 
     @rule(pick=PICK, fault=FAULTS)
     def answer(self, pick: int, fault: str) -> None:
@@ -117,7 +117,7 @@
     def pass_time(self, seconds: float) -> None:
         self.bench.now += seconds
         self.beat += 1
-        self.bench.keeper.note_beat(self.beat, self.bench.now)
+        self.bench.manager.record_beat(self.beat, self.bench.now)
         self.expire()
 
     def expire(self) -> None:
@@ -130,9 +130,9 @@
         return run is not None and run.state is RunState.RUNNING
 
     @rule()
-    def look(self) -> None:
+    def poll_runs(self) -> None:
         self.bench.now += 0.01
-        check = self.bench.keeper._watcher.check_runs
+        check = self.bench.manager._watcher.check_runs
         self.run(partial(curio.spawn, check, daemon=True))
 
     @rule(pick=PICK)
@@ -142,14 +142,14 @@
             self.runtime.end(running[pick % len(running)], RunState.FINISHED)
 
     @rule(acknowledge=st.booleans())
-    def tell_owner(self, acknowledge: bool) -> None:
+    def deliver_messages(self, acknowledge: bool) -> None:
         self.run(self.bench.send, 10)
         for message in self.bench.sent:
             if isinstance(message, StartRefused | TaskEnded):
-                self.over.add((message.task_id, message.attempt))
+                self.ended.add((message.task_id, message.attempt))
             if acknowledge and isinstance(message, TaskEnded):
                 ack = TaskAck(message.task_id, message.attempt)
-                self.run(self.bench.keeper.receive, ack)
+                self.run(self.bench.manager.receive, ack)
 
     @invariant()
     def worker_holds_what_runs(self) -> None:
@@ -158,17 +158,17 @@
         for key in running:
             room = room - self.runtime.runs[key].size
         assert Resources().fits(room)
-        assert Resources().fits(self.bench.keeper.ledger.free)
-        assert self.bench.keeper.ledger.free.fits(room)
-        assert not self.over & set(running)
+        assert Resources().fits(self.bench.manager.ledger.free)
+        assert self.bench.manager.ledger.free.fits(room)
+        assert not self.ended & set(running)
         assert len({task for task, _ in running}) == len(running)
 
 
-def test_what_was_found_running_leaves_no_room():
+def test_an_unchecked_reservation_leaves_no_room():
     ledger = create_ledger(Resources(10, 10, 0))
-    ledger.adopt("task/a", Resources(12, 1, 0))
+    ledger.reserve_unchecked("task/a", Resources(12, 1, 0))
     assert not ledger.reserve("runner/b", Resources(0, 1, 0))
-    ledger.adopt("task/a", Resources(1, 20, 0))
+    ledger.reserve_unchecked("task/a", Resources(1, 20, 0))
     ledger.release("task/a")
     assert ledger.free == ledger.capacity
     assert ledger.reserve("runner/b", Resources(9, 9, 0))
