--- a/pistachiodeal/agent/app.py
+++ b/pistachiodeal/agent/app.py
@@ -49,7 +49,7 @@
         self.leave = leave
         self._settings = settings
         self._attached = curio.Event()
-        self._abandoned_requests = False
+        self._requests_abandoned = False
         self._metrics = create_metrics(settings.statsd)
         self._policies = create_policy_cache()
         self._directory = MergedDirectory()
@@ -104,7 +104,7 @@
             return exit_codes.FAILURE
         finally:
             await drainer.cancel()
-        return exit_codes.FAILURE if self._abandoned_requests else exit_codes.OK
+        return exit_codes.FAILURE if self._requests_abandoned else exit_codes.OK
 
     async def close(self) -> None:
         """Close open requests and the connections to runners."""
@@ -115,12 +115,12 @@
         await watch.wait()
         await curio.spawn(self._abort_on_signal, watch, daemon=True)
         if not await self._drainer.drain(self.leave):
-            self._abandoned_requests = True
+            self._requests_abandoned = True
         await self._supervisor.stop()
 
     async def _abort_on_signal(self, watch: SignalWatch) -> None:
         await watch.wait()
-        self._abandoned_requests = True
+        self._requests_abandoned = True
         log.error(
             "agent: second signal, stopping with {} requests open",
             self._requests.open_count,
--- a/pistachiodeal/agent/tasks.py
+++ b/pistachiodeal/agent/tasks.py
@@ -133,10 +133,12 @@
         self.stop_accepting()
         try_until = self._clock() + self._settings.drain_s / 2
         while True:
-            left = [record for record in self._table.runs.values() if not record.ended]
-            if not left and self._outbox.empty:
+            remaining = [
+                record for record in self._table.runs.values() if not record.ended
+            ]
+            if not remaining and self._outbox.empty:
                 return
-            for record in left:
+            for record in remaining:
                 stop = partial(self._drain_run, record, try_until)
                 await self._executor.submit_if_idle(record.task_id, stop)
             await curio.sleep(self._settings.runtime.poll_s)
