--- a/pistachiodeal/agent/app.py
+++ b/pistachiodeal/agent/app.py
@@ -1,4 +1,4 @@
-"""The agent process: its parts, how they start, and how they stop."""
+"""The agent process: creates its components, and starts and stops them."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from pistachiodeal import exit_codes
 from pistachiodeal.agent.announce import LIMITS, AnnounceApi
 from pistachiodeal.agent.composition import create_identity, create_tasks
-from pistachiodeal.agent.directory import AgentDirectory
+from pistachiodeal.agent.directory import MergedDirectory
 from pistachiodeal.agent.dispatch import MessageDispatch
 from pistachiodeal.agent.draining import Drainer
-from pistachiodeal.agent.evidence import EvidenceExchange
-from pistachiodeal.agent.guarding import Guarding, create_guarding
-from pistachiodeal.agent.links import LinkKeeper
+from pistachiodeal.agent.guard_loop import GuardLoop, create_guard_loop
+from pistachiodeal.agent.interference_exchange import InterferenceExchange
+from pistachiodeal.agent.links import LinkManager
 from pistachiodeal.agent.reporting import Reporter
 from pistachiodeal.agent.requests import RequestHandler
 from pistachiodeal.agent.runners import RunnerTable
-from pistachiodeal.agent.status import StatusParts, build_status
+from pistachiodeal.agent.status import StatusSources, build_status
 from pistachiodeal.config.agent import AgentSettings
 from pistachiodeal.control.guard import create_guard
 from pistachiodeal.exceptions import PistachiodealError, WorkerError, WorkerFencedError
@@ -40,21 +40,21 @@
 
 
 class AgentApp:
-    """One agent; :meth:`run` returns the exit status.
+    """An agent with all its components; :meth:`run` returns the exit status.
 
-    :ivar leave: the worker leaves for good, so that a stop evicts its tasks.
+    :ivar leave: the worker is decommissioned, so a stop also evicts its tasks.
     """
 
     def __init__(self, settings: AgentSettings, leave: bool = False) -> None:
         self.leave = leave
         self._settings = settings
         self._attached = curio.Event()
-        self._cut = False
+        self._requests_abandoned = False
         self._metrics = create_metrics(settings.statsd)
         self._policies = create_policy_cache()
-        self._directory = AgentDirectory()
+        self._directory = MergedDirectory()
         self._runners = RunnerTable(settings.announce.expiry_s)
-        self._links = LinkKeeper(
+        self._links = LinkManager(
             settings, create_identity(settings), self._directory, self._list_partitions
         )
         self._requests = RequestHandler(
@@ -63,13 +63,13 @@
             self._metrics,
             window_s=settings.guard.window_s,
         )
-        self._runners.on_change = self._requests.note_change
+        self._runners.on_change = self._requests.handle_runner_change
         self._tasks = create_tasks(settings, self._links, self._policies, self._metrics)
-        self._directory.on_epoch = self._tasks.note_epoch
+        self._directory.on_epoch = self._tasks.record_epoch
         self._reporter = Reporter(
             settings.report_s,
             tasks=self._tasks,
-            list_loads=self._requests.figures,
+            list_loads=self._requests.list_loads,
             directory=self._directory,
             links=self._links,
         )
@@ -81,8 +81,10 @@
             reporter=self._reporter,
         )
         model = create_interference_model()
-        self._evidence = EvidenceExchange(model, self._links.send_to_any)
-        self._guarding = self._create_guarding(model)
+        self._interference_exchange = InterferenceExchange(
+            model, self._links.send_to_any
+        )
+        self._guard_loop = self._create_guard_loop(model)
         self._links.set_handler(self._create_dispatch())
         self._server = self._create_server()
         self._supervisor = self._create_supervisor()
@@ -93,33 +95,36 @@
         return self._server.port
 
     async def run(self, watch: SignalWatch) -> int:
-        """Run until a signal, or until the agent may not go on."""
+        """Run until a signal arrives or a component fails fatally."""
         drainer = await curio.spawn(self._drain_on_signal, watch, daemon=True)
         try:
             await self._supervisor.run()
         except PistachiodealError as error:
-            log.critical("agent: stopped, {}", error)
+            log.critical("agent: stopped by a fatal error: {}", error)
             return exit_codes.FAILURE
         finally:
             await drainer.cancel()
-        return exit_codes.FAILURE if self._cut else exit_codes.OK
+        return exit_codes.FAILURE if self._requests_abandoned else exit_codes.OK
 
     async def close(self) -> None:
-        """Close what is left open."""
+        """Close open requests and the connections to runners."""
         await self._requests.stop()
         await self._runners.close()
 
     async def _drain_on_signal(self, watch: SignalWatch) -> None:
         await watch.wait()
-        await curio.spawn(self._cut_on_signal, watch, daemon=True)
+        await curio.spawn(self._abort_on_signal, watch, daemon=True)
         if not await self._drainer.drain(self.leave):
-            self._cut = True
+            self._requests_abandoned = True
         await self._supervisor.stop()
 
-    async def _cut_on_signal(self, watch: SignalWatch) -> None:
+    async def _abort_on_signal(self, watch: SignalWatch) -> None:
         await watch.wait()
-        self._cut = True
-        log.error("agent: stopped at once, {} requests cut", self._requests.open_count)
+        self._requests_abandoned = True
+        log.error(
+            "agent: second signal, stopping with {} requests open",
+            self._requests.open_count,
+        )
         await self._supervisor.stop()
 
     async def _run_tasks(self) -> None:
@@ -128,7 +133,10 @@
         await self._tasks.run()
 
     async def _attach(self) -> None:
-        """Take the worker over; without it nothing can be accepted."""
+        """Attach to the worker, retrying until it succeeds.
+
+        Nothing is accepted before that.
+        """
         failures = 0
         while True:
             try:
@@ -138,9 +146,9 @@
                 raise
             except WorkerError as error:
                 failures += 1
-                log.error("agent: cannot attach, {}", error)
+                log.error("agent: attaching to the worker failed: {}", error)
             await curio.sleep(compute_pause(failures))
-        self._runners.open_for_runners(self._tasks.ledger)
+        self._runners.set_ledger(self._tasks.ledger)
         await self._attached.set()
 
     async def _run_links(self) -> None:
@@ -157,14 +165,14 @@
             directory=self._directory,
             links=self._links,
             policies=self._policies,
-            evidence=self._evidence,
+            interference_exchange=self._interference_exchange,
             reporter=self._reporter,
             metrics=self._metrics,
         )
 
-    def _create_guarding(self, model: InterferenceModel) -> Guarding:
+    def _create_guard_loop(self, model: InterferenceModel) -> GuardLoop:
         timeline = create_timeline()
-        return create_guarding(
+        return create_guard_loop(
             self._tasks,
             self._requests,
             create_guard(self._settings.guard, model, timeline),
@@ -174,9 +182,9 @@
             metrics=self._metrics,
         )
 
-    async def _run_guarding(self) -> None:
+    async def _run_guard_loop(self) -> None:
         await self._attached.wait()
-        await self._guarding.run()
+        await self._guard_loop.run()
 
     def _create_server(self) -> WebServer:
         announce = self._settings.announce
@@ -184,7 +192,7 @@
         return create_server(announce.host, announce.port, api.handle, LIMITS)
 
     def _build_status(self) -> dict[str, Any]:
-        parts = StatusParts(
+        sources = StatusSources(
             settings=self._settings,
             tasks=self._tasks,
             requests=self._requests,
@@ -193,7 +201,7 @@
             metrics=self._metrics,
         )
         return build_status(
-            parts, attached=self._attached.is_set(), draining=self._drainer.draining
+            sources, attached=self._attached.is_set(), draining=self._drainer.draining
         )
 
     def _create_supervisor(self) -> Supervisor:
@@ -203,8 +211,8 @@
         supervisor.add("runners", self._runners.run)
         supervisor.add("links", self._run_links)
         supervisor.add("reports", self._reporter.run)
-        supervisor.add("evidence", self._evidence.run)
-        supervisor.add("guard", self._run_guarding)
+        supervisor.add("evidence", self._interference_exchange.run)
+        supervisor.add("guard", self._run_guard_loop)
         return supervisor
 
 
@@ -212,7 +220,7 @@
 async def open_agent(
     settings: AgentSettings, leave: bool = False
 ) -> AsyncIterator[AgentApp]:
-    """Make an agent whose port is bound; closes it at the end."""
+    """Create an agent whose port is bound, and close it on exit."""
     app = AgentApp(settings, leave)
     try:
         yield app
--- a/pistachiodeal/agent/composition.py
+++ b/pistachiodeal/agent/composition.py
@@ -1,11 +1,11 @@
-"""Parts of the agent, made from its settings."""
+"""Creates components of the agent from its settings."""
 
 from __future__ import annotations
 
 import secrets
 
-from pistachiodeal.agent.links import LinkKeeper
-from pistachiodeal.agent.tasks import TaskKeeper, create_task_keeper
+from pistachiodeal.agent.links import LinkManager
+from pistachiodeal.agent.tasks import TaskManager, create_task_manager
 from pistachiodeal.config.agent import AgentSettings
 from pistachiodeal.metrics import Metrics
 from pistachiodeal.profiles.cache import PolicyCache
@@ -18,7 +18,7 @@
 
 
 def create_identity(settings: AgentSettings) -> Identity:
-    """Make the identity under which this start of the agent dials entries."""
+    """Create the identity that this agent process presents to entries."""
     return Identity(
         role=AGENT_ROLE,
         node=settings.node,
@@ -31,13 +31,13 @@
 
 def create_tasks(
     settings: AgentSettings,
-    links: LinkKeeper,
+    links: LinkManager,
     policies: PolicyCache,
     metrics: Metrics,
-) -> TaskKeeper:
-    """Make the task keeper, with clients of the worker and the object store."""
+) -> TaskManager:
+    """Create the task manager with its clients of the worker and the object store."""
     runtime = settings.runtime
-    return create_task_keeper(
+    return create_task_manager(
         create_worker_runtime(runtime.worker, timeout=runtime.timeout_s),
         create_object_store(
             runtime.objects, timeout=runtime.timeout_s, connections=OBJECT_CONNECTIONS
--- a/pistachiodeal/agent/peers.py
+++ b/pistachiodeal/agent/peers.py
@@ -1,4 +1,4 @@
-"""Entries as an agent sees them: their links, and the pauses between dials."""
+"""The state of an agent's link to each entry, and the backoff between dials."""
 
 from __future__ import annotations
 
@@ -10,39 +10,40 @@
 
 from pistachiodeal.wire.link import Link
 
-FIRST_PAUSE_S = 0.1
-MAX_PAUSE_S = 5.0
+FIRST_BACKOFF_S = 0.1
+MAX_BACKOFF_S = 5.0
 
 
-class Pauses:
-    """Growing pauses between dials, with jitter.
+class DialBackoff:
+    """Exponential backoff between dials, with jitter.
 
-    After an entry's death, or a store outage, all agents dial at the same
-    moment; without jitter they would do so again and again in one wave.
+    After the failure of an entry or a store outage, all agents dial at the same
+    time. Without jitter, their retries would stay synchronised.
     """
 
     def __init__(self, choose: Callable[[float, float], float] | None = None) -> None:
         self._choose = choose or random.uniform
-        self._limit = FIRST_PAUSE_S
+        self._limit = FIRST_BACKOFF_S
 
     def reset(self) -> None:
-        """Start with short pauses again."""
-        self._limit = FIRST_PAUSE_S
+        """Return to the shortest delay."""
+        self._limit = FIRST_BACKOFF_S
 
-    def take(self) -> float:
-        """Return the next pause, in seconds."""
-        pause = self._choose(0.0, self._limit)
-        self._limit = min(self._limit * 2, MAX_PAUSE_S)
-        return pause
+    def next_delay(self) -> float:
+        """Return the next delay, in seconds."""
+        delay = self._choose(0.0, self._limit)
+        self._limit = min(self._limit * 2, MAX_BACKOFF_S)
+        return delay
 
 
 @dataclass(slots=True, eq=False)
 class EntryPeer:
-    """One entry's address, and the state of the link to it.
+    """The address of an entry, and the state of the link to it.
 
-    :param failures: dials that failed in a row.
-    :param avoid_until: the entry said goodbye; another one is chosen until then.
-    :param leaving_since: when the link was found to be no longer wanted.
+    :param failures: number of consecutive failed dials.
+    :param avoid_until: time until which a substitute is selected, because the
+        entry sent a goodbye; monotonic clock, seconds.
+    :param retiring_since: when the agent began to retire the link, same clock.
     """
 
     address: str
@@ -50,5 +51,5 @@
     task: curio.Task | None = None
     failures: int = 0
     avoid_until: float = 0.0
-    leaving_since: float | None = None
-    pauses: Pauses = field(default_factory=Pauses)
+    retiring_since: float | None = None
+    backoff: DialBackoff = field(default_factory=DialBackoff)
--- a/pistachiodeal/agent/queueing.py
+++ b/pistachiodeal/agent/queueing.py
@@ -1,4 +1,4 @@
-"""Requests that wait on the agent, the earliest deadline first."""
+"""Queue of requests that wait for a runner, earliest deadline first."""
 
 from __future__ import annotations
 
@@ -16,21 +16,22 @@
 
 
 class Origin(Protocol):
-    """The link that a request came from, and that gets its answer."""
+    """The link on which a request arrived and its answer is sent."""
 
     async def send(self, message: Message) -> None:
         """Send a message; raises LinkClosedError."""
 
 
 @dataclass(slots=True, eq=False)
-class Pending:
-    """A request without an answer so far.
-
-    :param refuse_at: when it is refused if it still waits; before the deadline,
-        so that the refusal gets back in time.
-    :param sequence: unique; keeps requests of equal urgency in order.
-    :param waiting: in the queue, handed to no runner.
-    :param withdrawn: the entry gave it up after it was handed on.
+class PendingRequest:
+    """A request that is not answered yet.
+
+    :param refuse_at: time at which it is refused if it still waits; before the
+        deadline, so that the refusal reaches the entry in time.
+    :param sequence: unique; orders requests with equal deadlines by arrival.
+    :param waiting: it is in the queue, and no runner has it.
+    :param withdrawn: the entry has withdrawn it.
+    :param dispatches: number of times it was dispatched to a runner.
     """
 
     origin: Origin
@@ -41,61 +42,62 @@
     sequence: int
     waiting: bool = False
     withdrawn: bool = False
-    handovers: int = 0
+    dispatches: int = 0
 
     @property
     def key(self) -> tuple[int, int]:
-        """Return what names it: request ids are unique on one link only."""
+        """Return its unique key; request ids are unique only within one link."""
         return id(self.origin), self.request.request_id
 
 
 class ServiceQueue:
-    """Waiting requests of one service, the earliest deadline first."""
+    """The waiting requests of one service, earliest deadline first."""
 
     def __init__(self, window_s: float, clock: Callable[[], float]) -> None:
         self.filled = curio.Event()
         self.service_time = ServiceTime()
         self.latency = RecentLatency(window_s, clock)
         self.timer: curio.Task | None = None
-        self._waiting: list[tuple[float, int, Pending]] = []
+        self._waiting: list[tuple[float, int, PendingRequest]] = []
 
     def __len__(self) -> int:
         return len(self._waiting)
 
-    def add(self, pending: Pending) -> None:
-        """Put a request in its place."""
+    def add(self, pending: PendingRequest) -> None:
+        """Insert a request by its deadline."""
         pending.waiting = True
         insort(self._waiting, (pending.refuse_at, pending.sequence, pending))
 
-    def take(self) -> Pending:
-        """Remove and return the first one."""
+    def pop(self) -> PendingRequest:
+        """Remove and return the first request."""
         return self._remove(0)
 
-    def take_late(self, now: float) -> Pending | None:
-        """Remove and return the first one if its time to be refused has come."""
+    def pop_late(self, now: float) -> PendingRequest | None:
+        """Remove and return the first request if its ``refuse_at`` has passed."""
         if self._waiting and self._waiting[0][0] <= now:
             return self._remove(0)
         return None
 
-    def discard(self, pending: Pending) -> None:
-        """Remove one that waits."""
+    def discard(self, pending: PendingRequest) -> None:
+        """Remove a waiting request."""
         self._remove(self._find(pending))
 
-    def count_ahead(self, pending: Pending) -> int:
-        """Return how many go before this one."""
+    def count_ahead(self, pending: PendingRequest) -> int:
+        """Return the number of waiting requests ahead of this one."""
         return self._find(pending)
 
     def estimate_wait(self, ahead: int, slots: int) -> float:
-        """Return the seconds until a slot comes free for one with ``ahead`` before.
+        """Return the estimated wait for a slot, in seconds.
 
-        :param slots: slots of usable runners, all of them busy.
+        :param ahead: number of requests ahead in the queue.
+        :param slots: number of slots of usable runners, all of them busy.
         """
         return (ahead + 1) * self.service_time.mean / max(slots, 1)
 
-    def _find(self, pending: Pending) -> int:
+    def _find(self, pending: PendingRequest) -> int:
         return bisect_left(self._waiting, (pending.refuse_at, pending.sequence))
 
-    def _remove(self, index: int) -> Pending:
+    def _remove(self, index: int) -> PendingRequest:
         pending = self._waiting.pop(index)[2]
         pending.waiting = False
         return pending
@@ -103,9 +105,9 @@
 
 def create_pending(
     origin: Origin, request: Request, now: float, sequence: int
-) -> Pending:
-    """Return a request as received now."""
+) -> PendingRequest:
+    """Create the pending request for a request received at ``now``."""
     budget = request.budget_ms / 1000
     deadline = now + budget
     margin = min(RETURN_MARGIN_S, budget / 4)
-    return Pending(origin, request, now, deadline, deadline - margin, sequence)
+    return PendingRequest(origin, request, now, deadline, deadline - margin, sequence)
--- a/tests/unit/fake_agent_tasks.py
+++ b/tests/unit/fake_agent_tasks.py
@@ -1,4 +1,4 @@
-"""Fakes of the worker and the way to the owners, and a keeper between them."""
+"""Fakes of the worker and of the route to owners, with a task manager between."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import curio
 
-from pistachiodeal.agent.tasks import create_task_keeper
+from pistachiodeal.agent.tasks import create_task_manager
 from pistachiodeal.config.agent import AgentSettings
 from pistachiodeal.config.common import StatsdSettings
 from pistachiodeal.exceptions import (
@@ -43,7 +43,11 @@
 
 
 class FakeRuntime:
-    """Faults by operation: an error, ``after`` the effect, or a ``late`` effect."""
+    """A worker runtime with injected faults by operation.
+
+    A fault is an error raised ``before`` or ``after`` the effect, an effect that is
+    ``late``, or the worker's answer ``refused`` or ``fenced``.
+    """
 
     def __init__(self) -> None:
         self.runs: dict[tuple[str, int], Run] = {}
@@ -120,7 +124,7 @@
 
 
 class Bench:
-    """A keeper between fakes that works on demand; also the route to owners."""
+    """A task manager between fakes, driven by the test; also the route to owners."""
 
     def __init__(self) -> None:
         self.now = 1000.0
@@ -129,10 +133,10 @@
         self.sent: list[Any] = []
         self.linked = True
         self.acknowledges = False
-        self.create_keeper()
+        self.create_manager()
 
-    def create_keeper(self) -> None:
-        self.keeper = create_task_keeper(
+    def create_manager(self) -> None:
+        self.manager = create_task_manager(
             self.runtime,  # type: ignore[arg-type]
             self.objects,
             self,
@@ -143,44 +147,44 @@
         )
 
     async def attach(self) -> None:
-        await self.keeper.attach()
+        await self.manager.attach()
         self.now += SETTINGS.announce.expiry_s
-        self.keeper.note_beat(1, self.now)
+        self.manager.record_beat(1, self.now)
 
     async def send_to_owner(self, partition: int, message: Any) -> bool:
         if self.linked:
             self.sent.append(message)
         if self.acknowledges:
-            await self.keeper.receive(TaskAck(message.task_id, message.attempt))
+            await self.manager.receive(TaskAck(message.task_id, message.attempt))
         return self.linked
 
     async def settle(self, *messages: Any) -> None:
-        """Receive messages, and do all that they ask for."""
+        """Receive messages, and run all actions that they cause."""
         for message in messages:
-            await self.keeper.receive(message)
-        pool = await curio.spawn(self.keeper._work.work)
-        while self.keeper._work._waiting and not pool.terminated:
+            await self.manager.receive(message)
+        pool = await curio.spawn(self.manager._executor.run_actions)
+        while self.manager._executor._waiting and not pool.terminated:
             await curio.sleep(0)
         if pool.terminated:
             raise pool.exception
         await pool.cancel()
 
     async def check(self) -> None:
-        """Look at the runs a moment later, and do what follows from it."""
+        """Poll the runs a moment later, and run all actions that this causes."""
         self.now += 0.01
-        await self.keeper._watcher.check_runs()
+        await self.manager._watcher.check_runs()
         await self.settle()
 
     async def send(self, later: float = 0) -> list[Any]:
-        """Send what is due, and return it."""
+        """Send the due messages, and return them."""
         self.now += later
         self.sent.clear()
-        await self.keeper._outbox.send_due()
+        await self.manager._outbox.send_due()
         return list(self.sent)
 
 
 def run_bench(case: Any) -> None:
-    """Run a test with a keeper that is attached and takes tasks."""
+    """Run a test with a task manager that is attached and accepts tasks."""
 
     async def main() -> None:
         bench = Bench()
@@ -191,6 +195,6 @@
 
 
 def build_start(**changes: Any) -> Start:
-    """Return a start in partition 3 at epoch 5."""
+    """Return a Start in partition 3 at epoch 5."""
     start = Start(TASK, 1, 3, 5, 1, 60_000, "k", "p", SIZE, "{}", "", 0, 0)
     return replace(start, **changes)
--- a/tests/unit/test_agent_app.py
+++ b/tests/unit/test_agent_app.py
@@ -1,4 +1,4 @@
-"""What an agent tells entries, and what it does with what they tell it."""
+"""Messages between an agent and entries: reports, policies and signals."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 import pytest
 
 from pistachiodeal.agent.app import open_agent
-from pistachiodeal.agent.directory import AgentDirectory
+from pistachiodeal.agent.directory import MergedDirectory
 from pistachiodeal.agent.dispatch import MessageDispatch
-from pistachiodeal.agent.evidence import EvidenceExchange
+from pistachiodeal.agent.interference_exchange import InterferenceExchange
 from pistachiodeal.agent.reporting import Reporter
 from pistachiodeal.config.agent import AgentSettings
 from pistachiodeal.model.resources import Resources
@@ -34,22 +34,22 @@
 
 
 class FakeTasks:
-    """A task keeper with one run in partition 7."""
+    """A task manager with one run in partition 7."""
 
     def __init__(self, log: list[Any]) -> None:
         self._log = log
         self.ledger = SimpleNamespace(capacity=Resources(1000, 1000))
         self.room = Resources(-200, 500)
 
-    def note_beat(self, beat: int, sent_at: float) -> None:
+    def record_beat(self, beat: int, sent_at: float) -> None:
         self._log.append((beat, sent_at))
 
-    def refs(self, partitions: set[int]) -> tuple[TaskRef, ...]:
+    def list_refs(self, partitions: set[int]) -> tuple[TaskRef, ...]:
         return (TaskRef("t", 1, 4),) if 7 in partitions else ()
 
 
 class FakeLinks:
-    """Two links whose messages end up in one log."""
+    """Two links that record their messages in one log."""
 
     def __init__(self, log: list[Any]) -> None:
         self._log = log
@@ -65,15 +65,15 @@
         await link.send(message)
         return True
 
-    async def send_to_all(self, message: Any, but: Any = None) -> None:
+    async def send_to_all(self, message: Any, exclude: Any = None) -> None:
         for link in self.links:
-            if link is not but:
+            if link is not exclude:
                 await link.send(message)
 
 
 def create_reporter(log: list[Any], links: Any, now: float = 5.0) -> Reporter:
-    directory = AgentDirectory()
-    directory.note("e2", Directory((), (PartitionOwner(7, 4, "e2", "x"),)))
+    directory = MergedDirectory()
+    directory.update("e2", Directory((), (PartitionOwner(7, 4, "e2", "x"),)))
     return Reporter(
         0.5,
         tasks=cast(Any, FakeTasks(log)),
@@ -84,11 +84,11 @@
     )
 
 
-def test_a_beat_is_remembered_before_it_is_sent() -> None:
-    """Symptom: a task runs on when its lease has run out for its owner.
+def test_a_beat_is_recorded_before_it_is_sent() -> None:
+    """Guards against a task that keeps running after its lease ended for its owner.
 
-    Sequence: the agent is frozen between sending a report and noting the time.
-    Cause: the lease was counted from the note, which came after the sending.
+    If the time is recorded after sending, an agent that is suspended in between
+    counts the lease from too late a time.
     """
     log: list[Any] = []
     curio.run(create_reporter(log, FakeLinks(log)).report)
@@ -97,14 +97,14 @@
     assert sent_at == 5.0
     assert {report.beat for report in reports} == {beat}
     assert [report.tasks for report in reports] == [(), (TaskRef("t", 1, 4),)]
-    assert reports[0].free == Resources(0, 500), "overfull is no room, not less"
+    assert reports[0].free == Resources(0, 500), "overcommitted is reported as 0"
 
 
 def test_a_restarted_agent_uses_no_beat_again() -> None:
-    """Symptom: a frozen owner's old message extends a lease.
+    """Guards against a lease extended by an old message of a suspended owner.
 
-    Sequence: the agent restarts; a start with its earlier beat arrives late.
-    Cause: beats began at 1 again, so the old number named a fresh beat.
+    If beats begin at 1 again after a restart, a late Start that answers an earlier
+    beat matches a new one.
     """
     log: list[Any] = []
     earlier = create_reporter(log, FakeLinks([]), now=5.0)
@@ -115,11 +115,11 @@
     assert beats == sorted(set(beats))
 
 
-def test_policies_are_told_to_new_links_and_passed_on_once() -> None:
-    """Symptom: an entry serves an older profile than one already in force.
+def test_policies_are_sent_on_new_links_and_forwarded_once() -> None:
+    """Guards against an entry that serves an older profile than the one in force.
 
-    Sequence: it starts while the table is down; only agents know the newest.
-    Cause: agents took policies in and told nobody.
+    An entry that starts while the table is down can get the newest profile only
+    from agents, so agents have to forward policies.
     """
 
     async def main() -> None:
@@ -128,10 +128,10 @@
         dispatch = MessageDispatch(
             requests=cast(Any, None),
             tasks=cast(Any, None),
-            directory=AgentDirectory(),
+            directory=MergedDirectory(),
             links=cast(Any, links),
             policies=create_policy_cache(),
-            evidence=cast(Any, None),
+            interference_exchange=cast(Any, None),
             reporter=create_reporter([], links),
             metrics=cast(Any, None),
         )
@@ -142,7 +142,7 @@
         await dispatch.receive(second, new)
         await dispatch.receive(second, old)
         assert log == [("e2", new)]
-        await dispatch.greet(first)
+        await dispatch.on_open(first)
         assert log[1] == ("e1", new)
 
     curio.run(main)
@@ -159,7 +159,7 @@
 
     async def main() -> None:
         model = cast(Any, SimpleNamespace(take_evidence=lambda: news.pop(0)))
-        exchange = EvidenceExchange(model, send)
+        exchange = InterferenceExchange(model, send)
         for _ in range(3):
             await exchange.send()
 
--- a/tests/unit/test_agent_eviction.py
+++ b/tests/unit/test_agent_eviction.py
@@ -1,4 +1,4 @@
-"""Eviction on the agent: every crash or outage between two of its steps."""
+"""Eviction on the agent, with faults and outages between its steps."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import curio
 import pytest
 
-from pistachiodeal.agent.held_runs import Phase
+from pistachiodeal.agent.run_records import Phase
 from pistachiodeal.model.resources import Resources
 from pistachiodeal.store.protocols import RunState
 from pistachiodeal.wire.task_messages import LeaseGrant, Renew, Stop, TaskAck
@@ -24,11 +24,11 @@
 
 
 @pytest.mark.parametrize("fault", ["", "after", "before"])
-def test_stop_is_confirmed_before_it_is_told(fault):
-    """Symptom: an evicted task runs in two places.
+def test_stop_is_confirmed_before_it_is_reported(fault):
+    """Guards against an evicted task that runs on two workers.
 
-    Sequence: checkpoint, stop; the stop or its answer is lost; it is requeued.
-    Cause: a stop that was asked for counted as done.
+    If a requested stop counts as done, the task is requeued although the stop or
+    its response was lost.
     """
 
     async def case(bench: Bench) -> None:
@@ -46,29 +46,28 @@
 
 @pytest.mark.parametrize("down", ["worker", "store"])
 def test_eviction_without_a_checkpoint_leaves_the_task_running(down):
-    """Symptom: hours of work are lost to an eviction.
+    """Guards against an eviction that loses hours of work.
 
-    Sequence: the checkpoint fails, or can't be stored; the task is stopped.
-    Cause: the stop did not depend on the checkpoint.
+    The task must not be stopped if its checkpoint fails or cannot be stored.
     """
 
     async def case(bench: Bench) -> None:
         await bench.settle(build_start())
         bench.objects.down = down == "store"
         bench.runtime.faults["checkpoint"] = ["refused"] * (down == "worker")
-        await bench.keeper.evict(TASK)
+        await bench.manager.evict(TASK)
         await bench.settle()
         assert "stop" not in bench.runtime.calls
-        assert len(bench.keeper.runs()) == 1
+        assert len(bench.manager.runs()) == 1
 
     run_bench(case)
 
 
 def test_finish_between_checkpoint_and_stop():
-    """Symptom: a finished task runs again from its last checkpoint.
+    """Guards against a finished task that runs again from its last checkpoint.
 
-    Sequence: checkpoint stored; the task finishes; the stop is answered.
-    Cause: the answer's state was not looked at.
+    The task finishes between checkpoint and stop; the state in the response to the
+    stop shows it.
     """
 
     async def case(bench: Bench) -> None:
@@ -86,10 +85,10 @@
 
 
 def test_lease_ends_in_an_outage_of_all_stores():
-    """Symptom: after an outage the work since the last checkpoint is lost.
+    """Guards against the loss of work since the last checkpoint in an outage.
 
-    Sequence: no renewals; the worker ends the run; or the object store is out.
-    Cause: no checkpoint was made while it could be, or it was dropped.
+    Without renewals the worker ends the run, so a checkpoint is taken before. If
+    the object store is down too, the checkpoint is kept until it can be stored.
     """
 
     async def case(bench: Bench) -> None:
@@ -110,25 +109,25 @@
 def test_renewal_while_the_last_checkpoint_is_made():
     async def case(bench: Bench) -> None:
         def renew() -> None:
-            (held,) = bench.keeper.held
-            held.lease_until += 60
+            (record,) = bench.manager.records
+            record.lease_until += 60
 
         await bench.settle(build_start())
         bench.objects.before_call = renew
         bench.now += 56
         await bench.check()
-        assert [held.phase for held in bench.keeper.held] == [Phase.RUNNING]
+        assert [record.phase for record in bench.manager.records] == [Phase.RUNNING]
 
     run_bench(case)
 
 
-def test_drain_returns_when_every_owner_knows():
+def test_drain_returns_when_every_owner_has_acknowledged():
     async def case(bench: Bench) -> None:
         await bench.settle(build_start(), build_start(task_id="0003-b"))
         bench.runtime.faults["checkpoint"] = ["refused"]
         bench.acknowledges = True
-        worker = await curio.spawn(bench.keeper.run)
-        await bench.keeper.drain()
+        worker = await curio.spawn(bench.manager.run)
+        await bench.manager.drain()
         await worker.cancel()
         assert [ended.state for ended in bench.sent] == ["stopped"] * 2
         assert all(ended.checkpoint for ended in bench.sent)
@@ -138,19 +137,19 @@
     run_bench(case)
 
 
-def test_drain_does_without_a_checkpoint_after_half_its_time():
-    """Symptom: a worker that leaves runs into the limit, its tasks left running.
+def test_drain_stops_without_a_checkpoint_after_half_its_time():
+    """Guards against a drain that times out with tasks still running.
 
-    Sequence: drain asked for; every checkpoint refused; half the limit passes.
-    Cause: tries for a checkpoint without a bound of their own.
+    If every checkpoint is refused, the retries need a time limit of their own, half
+    that of the drain.
     """
 
     async def case(bench: Bench) -> None:
         await bench.settle(build_start())
         bench.runtime.faults["checkpoint"] = ["refused"] * 10_000
         bench.acknowledges = True
-        worker = await curio.spawn(bench.keeper.run)
-        drain = await curio.spawn(bench.keeper.drain)
+        worker = await curio.spawn(bench.manager.run)
+        drain = await curio.spawn(bench.manager.drain)
         while bench.runtime.calls.count("checkpoint") < 2:
             await curio.sleep(0)
         assert "stop" not in bench.runtime.calls
@@ -165,23 +164,23 @@
 def test_renewals_count_from_their_beat_and_go_in_one_call():
     async def case(bench: Bench) -> None:
         await bench.settle(build_start(), build_start(task_id="0003-b"))
-        bench.keeper.note_beat(2, sent_at := bench.now + 1)
+        bench.manager.record_beat(2, sent_at := bench.now + 1)
         bench.now += 20
-        await bench.keeper.receive(Renew(2, (LeaseGrant(3, 5, 60_000),)))
-        await bench.keeper.receive(Renew(2, (LeaseGrant(3, 4, 90_000),)))
-        await bench.keeper._renewer.pass_on()
+        await bench.manager.receive(Renew(2, (LeaseGrant(3, 5, 60_000),)))
+        await bench.manager.receive(Renew(2, (LeaseGrant(3, 4, 90_000),)))
+        await bench.manager._renewer.renew_pending()
         assert set(bench.runtime.leases.values()) == {sent_at + 60}
         assert bench.runtime.calls.count("renew") == 1
         await bench.settle(build_start(task_id="0003-c", size=Resources(), beat=2))
         started = dict(bench.runtime.leases)
-        await bench.keeper.receive(Renew(2, (LeaseGrant(3, 5, 90_000),)))
-        await bench.keeper._renewer.pass_on()
+        await bench.manager.receive(Renew(2, (LeaseGrant(3, 5, 90_000),)))
+        await bench.manager._renewer.renew_pending()
         assert bench.runtime.leases[("0003-c", 1)] == started[("0003-c", 1)]
         renewed = dict(bench.runtime.leases)
         assert renewed != started
-        bench.keeper.note_epoch(3, 6)
-        await bench.keeper.receive(Renew(2, (LeaseGrant(3, 5, 120_000),)))
-        await bench.keeper._renewer.pass_on()
+        bench.manager.record_epoch(3, 6)
+        await bench.manager.receive(Renew(2, (LeaseGrant(3, 5, 120_000),)))
+        await bench.manager._renewer.renew_pending()
         assert bench.runtime.leases == renewed
 
     run_bench(case)
--- a/tests/unit/test_agent_tasks.py
+++ b/tests/unit/test_agent_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks on the agent: what is said to owners, and when."""
+"""Tasks on the agent: which messages owners get, and when."""
 
 from __future__ import annotations
 
@@ -23,30 +23,28 @@
 
 
 def test_lost_answer_of_a_start_that_took_effect():
-    """Symptom: a task runs twice.
+    """Guards against a task that runs twice.
 
-    Sequence: the worker starts a task and its answer is lost; the agent says
-    refused; the owner starts the task elsewhere.
-    Cause: a lost answer read as a refusal.
+    The worker starts a task and its response is lost. If the agent treats that as a
+    refusal, the owner starts the task elsewhere.
     """
 
     async def case(bench: Bench) -> None:
         bench.runtime.faults["start"] = ["after"]
         await bench.settle(build_start())
         assert await bench.send() == []
-        assert len(bench.keeper.refs({3})) == 1
+        assert len(bench.manager.list_refs({3})) == 1
         await bench.check()
-        assert [view.task_id for view in bench.keeper.runs()] == [TASK]
+        assert [view.task_id for view in bench.manager.runs()] == [TASK]
 
     run_bench(case)
 
 
 def test_lost_start_is_refused_only_when_its_lease_is_over():
-    """Symptom: a task runs after its owner was told that it never will.
+    """Guards against a task that runs after its owner received a refusal.
 
-    Sequence: a start is held up; the list does not show it; the agent says
-    refused; the start arrives at the worker.
-    Cause: a list is no fence; only the end of the lease is.
+    A start is delayed, so the worker's list does not show it, and arrives later. A
+    list without it proves nothing; only the end of the lease does.
     """
 
     async def case(bench: Bench) -> None:
@@ -55,21 +53,20 @@
         for _ in range(5):
             await bench.check()
             assert await bench.send() == []
-        assert bench.keeper.ledger.free == CAPACITY - SIZE
+        assert bench.manager.ledger.free == CAPACITY - SIZE
         bench.now += 62
         await bench.check()
         assert await bench.send() == [StartRefused(TASK, 1, "start_failed", "")]
-        assert bench.keeper.ledger.free == CAPACITY
+        assert bench.manager.ledger.free == CAPACITY
 
     run_bench(case)
 
 
 def test_cancel_of_an_uncertain_start_stops_the_run_that_appears():
-    """Symptom: a cancelled task runs on.
+    """Guards against a cancelled task that keeps running.
 
-    Sequence: the answer of a start is lost; a cancel finds no run at the
-    worker; the start takes effect after it.
-    Cause: the cancel was forgotten once the worker knew no such run.
+    The response to a start is lost, a cancel finds no run at the worker, and then
+    the start takes effect; the cancel must still apply.
     """
 
     async def case(bench: Bench) -> None:
@@ -87,12 +84,11 @@
     run_bench(case)
 
 
-def test_freeze_while_the_checkpoint_is_loaded():
-    """Symptom: a task starts after its owner has given it up.
+def test_suspension_while_the_checkpoint_is_loaded():
+    """Guards against a task that starts after its owner has given it up.
 
-    Sequence: the agent is frozen while it loads the checkpoint, past the end
-    of the lease, and wakes up.
-    Cause: it went on with its next line without a look at the clock.
+    The agent is suspended while it loads the checkpoint, past the end of the lease;
+    it must check the clock before it goes on.
     """
 
     async def case(bench: Bench) -> None:
@@ -104,7 +100,7 @@
         await bench.settle(build_start(checkpoint="checkpoint/x/1"))
         assert "start" not in bench.runtime.calls
         assert await bench.send() == [StartRefused(TASK, 1, "lease_expired", "")]
-        assert bench.keeper.ledger.free == CAPACITY
+        assert bench.manager.ledger.free == CAPACITY
 
     run_bench(case)
 
@@ -132,11 +128,10 @@
 
 
 def test_start_that_arrives_after_the_answer_to_its_stop():
-    """Symptom: a task that was requeued runs in two places.
+    """Guards against a requeued task that runs on two workers.
 
-    Sequence: Start goes out on a slow link, Stop on a fast one; the answer is
-    ``unknown_run``; the Start arrives.
-    Cause: nothing was remembered of an attempt that never was here.
+    The Start is sent on a slow link and the Stop on a fast one. The Stop is answered
+    with ``unknown_run``, then the Start arrives and must be rejected.
     """
 
     async def case(bench: Bench) -> None:
@@ -152,7 +147,7 @@
     run_bench(case)
 
 
-def test_finish_beats_cancel():
+def test_finish_takes_precedence_over_cancel():
     async def case(bench: Bench) -> None:
         await bench.settle(build_start())
         bench.runtime.end((TASK, 1), RunState.FINISHED)
@@ -164,11 +159,11 @@
 
 
 def test_restarted_agent_counts_what_runs_before_it_accepts():
-    """Symptom: a worker holds more than it has.
+    """Guards against an overcommitted worker after a restart of its agent.
 
-    Sequence: an agent is replaced while tasks run, also of a size that it
-    would not accept now; the new one takes a task, or a stale owner's.
-    Cause: an empty ledger, and epochs that were forgotten.
+    Tasks run meanwhile, also of a size that would be refused now. With an empty
+    ledger or without epochs, the new agent would accept a task that does not fit, or
+    one of an earlier owner.
     """
 
     async def case(bench: Bench) -> None:
@@ -178,12 +173,12 @@
         bench.runtime.runs[key] = type(run)(
             *key, run.kind, Resources(9000, 100, 0), RunState.RUNNING, tag=run.tag
         )
-        bench.create_keeper()
-        await bench.keeper.attach()
-        assert bench.keeper.room == Resources()
+        bench.create_manager()
+        await bench.manager.attach()
+        assert bench.manager.room == Resources()
         bench.now += 10
-        bench.keeper.note_beat(1, bench.now)
-        assert bench.keeper.ledger.free.cpu_milli < 0
+        bench.manager.record_beat(1, bench.now)
+        assert bench.manager.ledger.free.cpu_milli < 0
         tiny = Resources(0, 1, 0)
         await bench.settle(
             build_start(task_id="0003-b", size=tiny),
@@ -194,7 +189,7 @@
     run_bench(case)
 
 
-def test_end_is_told_until_acknowledged_then_forgotten():
+def test_end_is_resent_until_acknowledged_then_removed():
     async def case(bench: Bench) -> None:
         await bench.settle(build_start())
         bench.runtime.end((TASK, 1), RunState.FAILED)
@@ -205,11 +200,11 @@
         for _ in range(2):
             (ended,) = await bench.send(later=10)
             assert isinstance(ended, TaskEnded)
-        assert bench.keeper.refs({3}) == ()
+        assert bench.manager.list_refs({3}) == ()
         await bench.settle(TaskAck(TASK, 1))
         assert await bench.send(later=10) == []
         assert bench.runtime.runs == {}
-        assert bench.keeper.partitions() == set()
+        assert bench.manager.partitions() == set()
         await bench.settle(build_start())
         assert bench.runtime.runs == {}
 
@@ -217,34 +212,33 @@
 
 
 def test_list_that_is_older_than_an_acknowledged_end():
-    """Symptom: a run that ended long ago is held for ever, and its room with it.
+    """Guards against an ended run that keeps its reservation forever.
 
-    Sequence: a list is asked for; the run ends, is acknowledged and
-    forgotten; the list arrives and shows it running.
-    Cause: an old list taken for the present.
+    While a list of runs is in transit, the run ends, is acknowledged and removed.
+    The list, which still shows it as running, must not bring it back.
     """
 
     async def case(bench: Bench) -> None:
         await bench.settle(build_start())
         bench.runtime.gates["list"] = curio.Event()
-        look = await curio.spawn(bench.keeper._watcher.check_runs)
+        poll = await curio.spawn(bench.manager._watcher.check_runs)
         await curio.sleep(0)
         await bench.settle(CANCEL, TaskAck(TASK, 1))
         await bench.runtime.gates["list"].set()
-        await look.join()
-        assert bench.keeper.refs({3}) == ()
-        assert bench.keeper.ledger.free == CAPACITY
+        await poll.join()
+        assert bench.manager.list_refs({3}) == ()
+        assert bench.manager.ledger.free == CAPACITY
 
     run_bench(case)
 
 
-def test_run_of_which_the_worker_has_no_trace():
+def test_run_that_the_worker_no_longer_lists():
     async def case(bench: Bench) -> None:
         await bench.settle(build_start())
         bench.runtime.runs.clear()
         await bench.check()
         assert [message.state for message in await bench.send()] == ["unknown_run"]
-        assert bench.keeper.ledger.free == CAPACITY
+        assert bench.manager.ledger.free == CAPACITY
         await bench.settle(build_start())
         assert bench.runtime.runs == {}
 
@@ -255,10 +249,10 @@
     async def case(bench: Bench) -> None:
         bench.runtime.gates["stop"] = gate = curio.Event()
         await bench.settle(build_start())
-        worker = await curio.spawn(bench.keeper.run)
-        await bench.keeper.receive(CANCEL)
-        await bench.keeper.receive(TaskAck(TASK, 1))
-        await bench.keeper.receive(build_start(task_id="0003-b"))
+        worker = await curio.spawn(bench.manager.run)
+        await bench.manager.receive(CANCEL)
+        await bench.manager.receive(TaskAck(TASK, 1))
+        await bench.manager.receive(build_start(task_id="0003-b"))
         while not any(key[0] == "0003-b" for key in bench.runtime.runs):
             await curio.sleep(0)
         assert "forget" not in bench.runtime.calls
@@ -271,16 +265,16 @@
 
 
 def test_fenced_agent_stops():
-    """Symptom: two agents give away one worker's room.
+    """Guards against two agents that assign the resources of one worker.
 
-    Sequence: a second agent attaches; the first goes on.
-    Cause: an error of the session treated like any other of the worker's.
+    After a second agent attaches, the first must stop, and not treat the fencing
+    error like any other error of the worker.
     """
 
     async def case(bench: Bench) -> None:
         bench.runtime.faults["start"] = ["fenced"]
-        await bench.keeper.receive(build_start())
+        await bench.manager.receive(build_start())
         with pytest.raises(WorkerFencedError):
-            await bench.keeper.run()
+            await bench.manager.run()
 
     run_bench(case)
