--- a/pistachiodeal/jobagent/leader_link.py
+++ b/pistachiodeal/jobagent/leader_link.py
@@ -10,8 +10,8 @@
 from pistachiodeal.jobagent.executor import Executor
 from pistachiodeal.jobagent.ledger import AgentLedger
 from pistachiodeal.jobagent.signals import AgentSignals
-from pistachiodeal.leader.directory import is_heard
-from pistachiodeal.leader.leader_row import LeaderRows
+from pistachiodeal.leader.directory import hears_leader
+from pistachiodeal.leader.leader_row import LeaderRowClient
 from pistachiodeal.peers import PeerContext, ask_who_leads, dial_peer
 from pistachiodeal.store.row_store import RowStore
 from pistachiodeal.task_groups import run_until_one_ends
@@ -47,7 +47,7 @@
         executor: Executor,
         signals: AgentSignals,
     ) -> None:
-        self._rows = LeaderRows(store, peers.directory, peers.events)
+        self._rows = LeaderRowClient(store, peers.directory, peers.events)
         self._peers = peers
         self._directory = peers.directory
         self._ledger = ledger
@@ -97,9 +97,9 @@
             async with dial_peer(self._peers, address) as link:
                 notice = await link.receive()
                 if isinstance(notice, LeaderNotice):
-                    self._directory.take_notice(notice)
+                    self._directory.apply_notice(notice)
                     if notice.address != address:
-                        if is_heard(notice):
+                        if hears_leader(notice):
                             self._unheard = ""
                         return bool(notice.address)
                 await self._serve(link)
@@ -142,7 +142,7 @@
         while True:
             message = await link.receive()
             if isinstance(message, LeaderNotice):
-                self._directory.take_notice(message)
+                self._directory.apply_notice(message)
                 self._told = self._directory.epoch > epoch
                 if self._told:
                     return
@@ -172,5 +172,5 @@
             for address in self._directory.list_others(self._directory.leader):
                 notice = await ask_who_leads(self._peers, address)
                 if notice is not None:
-                    self._directory.take_notice(notice)
+                    self._directory.apply_notice(notice)
         self._events.emit("leader.superseded", epoch=epoch, by=self._directory.epoch)
--- a/pistachiodeal/jobentry/handover.py
+++ b/pistachiodeal/jobentry/handover.py
@@ -15,7 +15,7 @@
 from pistachiodeal.events import EventLog
 from pistachiodeal.jobentry.seat import Seat
 from pistachiodeal.leader.election import Election
-from pistachiodeal.leader.fitness import MUCH_FITTER, is_weak
+from pistachiodeal.leader.fitness import HANDOVER_FITNESS_RATIO, is_below_minimum
 
 log = Logger("handover")
 
@@ -51,15 +51,15 @@
             await curio.sleep(WATCH_S)
             leadership = self._seat.leadership
             follower = self._seat.find_fittest()
-            if leadership is None or follower is None or not leadership.calm:
+            if leadership is None or follower is None or not leadership.stable:
                 continue
-            fitter = follower.holder.fitness >= MUCH_FITTER * self._fitness
-            if is_weak(self._fitness) and fitter:
+            fitter = follower.holder.fitness >= HANDOVER_FITNESS_RATIO * self._fitness
+            if is_below_minimum(self._fitness) and fitter:
                 await self.give("a fitter entry follows")
 
     async def leave(self) -> bool:
         """Stop leading, and never lead again; False if nobody could take over."""
-        await self._election.retire()
+        await self._election.stop_campaigning()
         if self._seat.leadership is None:
             return True
         return await self.give("this entry is stopping")
@@ -73,7 +73,7 @@
         leadership.pause()
         epoch = await self._election.hand_over(follower.holder)
         if not epoch:
-            await leadership.go_on()
+            await leadership.resume()
             return False
         self._events.emit(
             "leader.handed_over", epoch=epoch, to=follower.holder.node, why=why
--- a/pistachiodeal/jobentry/seat.py
+++ b/pistachiodeal/jobentry/seat.py
@@ -19,8 +19,8 @@
 from pistachiodeal.jobentry.relay import RelayServer
 from pistachiodeal.jobs.advice import Adviser
 from pistachiodeal.jobs.model import Queue
-from pistachiodeal.leader.commits import Authority
-from pistachiodeal.leader.leader_row import Holder
+from pistachiodeal.leader.commits import LeaderTerm
+from pistachiodeal.leader.leader_row import LeaderCandidate
 from pistachiodeal.leader.leadership import Leadership
 from pistachiodeal.peers import PeerContext
 from pistachiodeal.store.row_store import RowStore
@@ -52,7 +52,7 @@
     """An entry that follows this one, and could lead in its place."""
 
     link: Link
-    holder: Holder
+    holder: LeaderCandidate
 
 
 class Seat:
@@ -110,7 +110,7 @@
         await self._tell_all()
         await leadership.step_down(epoch)
 
-    async def lead(self, authority: Authority) -> None:
+    async def lead(self, authority: LeaderTerm) -> None:
         """Lead under an authority until another process takes over."""
         self._leadership = Leadership(
             self._store,
@@ -201,7 +201,7 @@
                 await self._take_notice(message)
 
     async def _take_notice(self, notice: LeaderNotice) -> None:
-        self._directory.take_notice(notice)
+        self._directory.apply_notice(notice)
         leadership = self._leadership
         if leadership is not None and notice.epoch > leadership.epoch:
             await self.make_way(notice.epoch)
@@ -211,7 +211,7 @@
         self._directory.note_entry(state.address)
         self._followers[link] = Follower(
             link,
-            Holder(
+            LeaderCandidate(
                 peer.node,
                 state.address,
                 peer.incarnation,
--- a/pistachiodeal/leader/advice.py
+++ b/pistachiodeal/leader/advice.py
@@ -40,7 +40,7 @@
     refused: set[str] = field(default_factory=set)
 
 
-class AdviceKeeper:
+class AdviceCache:
     """Asks the service, and answers the planner from what it said.
 
     :param changed: called when there is a new answer.
@@ -61,7 +61,7 @@
         ticket, until = known.tickets.get(worker, ("", 0.0)) if known else ("", 0.0)
         return ticket if read_boot_clock() + TICKET_MARGIN_S < until else ""
 
-    def forget_ticket(self, key: StepKey, worker: str) -> None:
+    def invalidate_ticket(self, key: StepKey, worker: str) -> None:
         """Note that a worker has refused a ticket; it may be of an earlier start."""
         known = self._steps.get(key)
         ticket, _ = known.tickets.get(worker, ("", 0.0)) if known else ("", 0.0)
@@ -69,7 +69,7 @@
             # Its entry stays, so that this worker is asked for again.
             known.tickets[worker] = (ticket, 0.0)
 
-    def want(self, key: StepKey, workers: Iterable[str]) -> None:
+    def request_tickets(self, key: StepKey, workers: Iterable[str]) -> None:
         """Note that a step waits for a ticket on any of some workers, best first."""
         known = self._steps.get(key) or _StepAdvice()
         asked = [worker for worker in workers if worker not in known.refused]
--- a/pistachiodeal/leader/commits.py
+++ b/pistachiodeal/leader/commits.py
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Authority:
+class LeaderTerm:
     """The row that makes a process the leader.
 
     :param asked_at: the row was surely not written before this, boot clock; the
@@ -70,7 +70,9 @@
 class CommitLog:
     """Writes what the book holds unsaved."""
 
-    def __init__(self, store: RowStore, authority: Authority, events: EventLog) -> None:
+    def __init__(
+        self, store: RowStore, authority: LeaderTerm, events: EventLog
+    ) -> None:
         self._store = store
         self._authority = authority
         self._events = events
--- a/pistachiodeal/leader/directory.py
+++ b/pistachiodeal/leader/directory.py
@@ -60,7 +60,7 @@
         while len(self._entries) > MOST_ENTRIES:
             del self._entries[next(iter(self._entries))]
 
-    def take_notice(self, notice: LeaderNotice) -> None:
+    def apply_notice(self, notice: LeaderNotice) -> None:
         """Take in what an entry says."""
         for entry in notice.entries:
             if entry.text not in self._entries:
@@ -99,6 +99,6 @@
         return LeaderNotice(self._epoch, self._leader, store_age_ms, entries, heard_ms)
 
 
-def is_heard(notice: LeaderNotice) -> bool:
+def hears_leader(notice: LeaderNotice) -> bool:
     """Tell whether the sender of a notice hears the leader that it names."""
     return bool(notice.address) and notice.heard_ms < HEARD_LIMIT_S * 1000
--- a/pistachiodeal/leader/election.py
+++ b/pistachiodeal/leader/election.py
@@ -21,10 +21,10 @@
     StoreError,
     StoreUncertainError,
 )
-from pistachiodeal.leader.commits import Authority
+from pistachiodeal.leader.commits import LeaderTerm
 from pistachiodeal.leader.fitness import may_wait_for_fitter
-from pistachiodeal.leader.leader_row import Holder, LeaderRow, LeaderRows
-from pistachiodeal.leader.witnesses import STORE_AGE_LIMIT_S, ask_witnesses
+from pistachiodeal.leader.leader_probe import STORE_AGE_LIMIT_S, ask_witnesses
+from pistachiodeal.leader.leader_row import LeaderCandidate, LeaderRow, LeaderRowClient
 from pistachiodeal.peers import PeerContext, dial_peer
 from pistachiodeal.store.row_store import RowStore
 from pistachiodeal.wire.job_messages import (
@@ -55,7 +55,7 @@
 RETRY_S = 0.2
 
 
-Lead = Callable[[Authority], Awaitable[None]]
+Lead = Callable[[LeaderTerm], Awaitable[None]]
 TakeAnswer = Callable[[JobAnswer | RelayAnswer], Awaitable[None]]
 
 
@@ -74,9 +74,9 @@
         *,
         fitness: float = 1.0,
     ) -> None:
-        self._rows = LeaderRows(store, peers.directory, peers.events)
+        self._rows = LeaderRowClient(store, peers.directory, peers.events)
         self._peers = peers
-        self._holder = Holder(
+        self._holder = LeaderCandidate(
             peers.identity.node, peers.address, peers.identity.incarnation, fitness
         )
         self._address = peers.address
@@ -142,13 +142,13 @@
             # more would be followed again at once: 70 links a second were seen.
             await curio.sleep(RETRY_S)
 
-    async def retire(self) -> None:
+    async def stop_campaigning(self) -> None:
         """Follow from now on, and never lead again: this process is stopping."""
         self._retired = True
         if self._link is not None:
             await self._tell_state(self._link)
 
-    async def hand_over(self, holder: Holder) -> int:
+    async def hand_over(self, holder: LeaderCandidate) -> int:
         """Name another process in the row that names this one.
 
         :return: the epoch under which it leads; 0 when it surely or likely doesn't.
@@ -222,7 +222,7 @@
                 return
             if not isinstance(message, LeaderNotice):
                 continue
-            self._directory.take_notice(message)
+            self._directory.apply_notice(message)
             if message.address != link.address:
                 raise LinkClosedError("it no longer leads", peer=link.address)
             if self._directory.epoch > self._rows.row.epoch:
@@ -318,7 +318,7 @@
             await self.resign()
             return
         row = self._rows.row
-        authority = Authority(row.epoch, row.version, asked_at, read_boot_clock())
+        authority = LeaderTerm(row.epoch, row.version, asked_at, read_boot_clock())
         # A leader that has failed leads again only under a higher epoch: its tokens
         # count from one in each.
         self._led_epoch = row.epoch
--- a/pistachiodeal/leader/attempts.py
+++ b/pistachiodeal/leader/failed_placements.py
@@ -38,7 +38,7 @@
     whole_at: float = 0.0
 
 
-class Attempts:
+class FailedPlacements:
     """Remembers failed attempts by step."""
 
     def __init__(self) -> None:
@@ -54,7 +54,7 @@
         failed = self._failed
         self._failed = {key: failed[key] for key in keys if key in failed}
 
-    def is_due(self, request: Request, now: float) -> bool:
+    def needs_full_check(self, request: Request, now: float) -> bool:
         """Tell whether a step has to be weighed against all workers."""
         attempt = self._failed.get(request.key)
         if attempt is None:
@@ -82,6 +82,6 @@
         attempt.round = this_round
         attempt.urgent, attempt.bold = request.urgent, request.bold
 
-    def note_whole(self, request: Request, now: float) -> None:
+    def note_full_check(self, request: Request, now: float) -> None:
         """Note that all workers were weighed."""
         self._failed[request.key].whole_at = now
--- a/pistachiodeal/leader/fitness.py
+++ b/pistachiodeal/leader/fitness.py
@@ -8,7 +8,7 @@
 LEAST_MBPS = 50.0
 # A weak leader makes way for a follower that is this much fitter. A lower factor would
 # move the lead, and 160 agents with it, for little.
-MUCH_FITTER = 1.5
+HANDOVER_FITNESS_RATIO = 1.5
 # A process that is nearly as fit as the last leader needn't wait for a better one.
 NEARLY_AS_FIT = 0.8
 
@@ -18,7 +18,7 @@
     return min(cores / LEAST_CORES, link_mbps / LEAST_MBPS)
 
 
-def is_weak(fitness: float) -> bool:
+def is_below_minimum(fitness: float) -> bool:
     """Tell whether a process had better leave the lead to others."""
     return fitness < 1.0
 
@@ -33,5 +33,5 @@
     :param last: fitness of the last leader, 0 if it isn't known.
     """
     if last <= 0:
-        return is_weak(fitness)
+        return is_below_minimum(fitness)
     return fitness < NEARLY_AS_FIT * last
--- a/pistachiodeal/leader/witnesses.py
+++ b/pistachiodeal/leader/leader_probe.py
@@ -4,7 +4,7 @@
 
 import random
 
-from pistachiodeal.leader.directory import is_heard
+from pistachiodeal.leader.directory import hears_leader
 from pistachiodeal.leader.leader_row import LeaderRow
 from pistachiodeal.peers import PeerContext, ask_who_leads
 
@@ -26,7 +26,7 @@
         if notice is None:
             continue
         fresh = notice.store_age_ms < STORE_AGE_LIMIT_S * 1000
-        if notice.epoch >= row.epoch and is_heard(notice) and fresh:
+        if notice.epoch >= row.epoch and hears_leader(notice) and fresh:
             return True
         answered += 1
         if answered == WITNESSES:
--- a/pistachiodeal/leader/leader_row.py
+++ b/pistachiodeal/leader/leader_row.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Holder:
+class LeaderCandidate:
     """A process that the row can name.
 
     :param nonce: its incarnation, so that it recognises a row of its own.
@@ -63,7 +63,7 @@
 NOBODY = LeaderRow(0, "", "", 0, ABSENT)
 
 
-class LeaderRows:
+class LeaderRowClient:
     """Reads and replaces the row for one process.
 
     :ivar row: the newest that is known.
@@ -109,7 +109,7 @@
         self.row = LeaderRow(directory.epoch, "", directory.leader, 0, UNREAD)
         return self.row
 
-    async def appoint(self, holder: Holder) -> TransactionResult:
+    async def appoint(self, holder: LeaderCandidate) -> TransactionResult:
         """Name a process under the next epoch, if the row has not changed.
 
         :raises StoreError: see ``RowStore``.
@@ -133,7 +133,7 @@
         :raises StoreError: see ``RowStore``.
         """
         row = self.row
-        nobody = Holder("", "", 0, row.fitness)
+        nobody = LeaderCandidate("", "", 0, row.fitness)
         await self._store.commit(build_replacement(row, row.epoch, nobody))
 
     def _build_unreadable_row(self, row: StoredRow, error: Exception) -> LeaderRow:
@@ -149,7 +149,9 @@
         return LeaderRow(epoch, "", "", 0, row.version)
 
 
-def build_replacement(row: LeaderRow, epoch: int, holder: Holder) -> Transaction:
+def build_replacement(
+    row: LeaderRow, epoch: int, holder: LeaderCandidate
+) -> Transaction:
     """Return the transaction that replaces a row which has not changed meanwhile."""
     value = orjson.dumps(
         {
--- a/pistachiodeal/leader/leadership.py
+++ b/pistachiodeal/leader/leadership.py
@@ -23,16 +23,16 @@
     split_key,
 )
 from pistachiodeal.jobs.tables import read_tables
-from pistachiodeal.leader.advice import AdviceKeeper
+from pistachiodeal.leader.advice import AdviceCache
 from pistachiodeal.leader.book import JobBook
 from pistachiodeal.leader.closures import ClosureWatch
-from pistachiodeal.leader.commits import REMOVALS, Authority, CommitLog
+from pistachiodeal.leader.commits import REMOVALS, CommitLog, LeaderTerm
 from pistachiodeal.leader.feed import JobFeed
-from pistachiodeal.leader.lessons import LessonKeeper
+from pistachiodeal.leader.learned_state import LessonKeeper
 from pistachiodeal.leader.planner import Planner
 from pistachiodeal.leader.reconcile import Reconciler
 from pistachiodeal.leader.sessions import AgentSessions
-from pistachiodeal.leader.settling import Settling
+from pistachiodeal.leader.startup_wait import Settling
 from pistachiodeal.leader.workers import Fleet, split_place
 from pistachiodeal.scheduling.interference import InterferenceModel
 from pistachiodeal.store.row_store import RowStore, StoredRow
@@ -62,7 +62,7 @@
     def __init__(
         self,
         store: RowStore,
-        authority: Authority,
+        authority: LeaderTerm,
         find_queue: Callable[[Queue], Queue],
         limits: LimitSettings,
         events: EventLog,
@@ -87,7 +87,7 @@
         interference = InterferenceModel()
         self._advice = None
         if adviser is not None:
-            self._advice = AdviceKeeper(adviser, events, self._changed.set)
+            self._advice = AdviceCache(adviser, events, self._changed.set)
         self._reconciler = Reconciler(
             self._book, self._fleet, interference, events, advice=self._advice
         )
@@ -161,7 +161,7 @@
         self._feed.announce(key)
 
     @property
-    def calm(self) -> bool:
+    def stable(self) -> bool:
         """Tell whether a change of the leader would disturb little now."""
         lasted_s = read_boot_clock() - self._loaded_at
         return (
@@ -175,7 +175,7 @@
         """Decide and write nothing more, since the lead is being handed over."""
         self._paused = True
 
-    async def go_on(self) -> None:
+    async def resume(self) -> None:
         """Decide again: nobody has taken the lead over."""
         self._paused = False
         await self._touch()
--- a/pistachiodeal/leader/planner.py
+++ b/pistachiodeal/leader/planner.py
@@ -11,9 +11,9 @@
 from pistachiodeal.events import EventLog
 from pistachiodeal.jobs.model import Queue
 from pistachiodeal.jobs.record import JobRecord, StepRecord, Task
-from pistachiodeal.leader.advice import AdviceKeeper
-from pistachiodeal.leader.attempts import Attempts
+from pistachiodeal.leader.advice import AdviceCache
 from pistachiodeal.leader.book import JobBook
+from pistachiodeal.leader.failed_placements import FailedPlacements
 from pistachiodeal.leader.fleet_views import FleetViews, Views
 from pistachiodeal.leader.moves import Mover
 from pistachiodeal.leader.preemptor import FindQueue, Preemptor
@@ -68,12 +68,12 @@
         *,
         limits: LimitSettings,
         events: EventLog,
-        advice: AdviceKeeper | None = None,
+        advice: AdviceCache | None = None,
     ) -> None:
         self._interference = interference
         self._mover = Mover(book, fleet, reconciler, limits)
         self._views = FleetViews(book, fleet)
-        self._attempts = Attempts()
+        self._attempts = FailedPlacements()
         self._preemptor = Preemptor(book, fleet, reconciler, find_queue, limits)
         self._probation = Probation(book, reconciler, interference, events)
         # A task that takes twice as long elsewhere needs a whole worker's time more.
@@ -171,7 +171,7 @@
             self._want_advice(request, queue, views)
         self._place_suspects(request, allowed, suspects)
         waiting = [task for task in waiting if not is_suspect(task)]
-        whole = queue.advised or self._attempts.is_due(request, now)
+        whole = queue.advised or self._attempts.needs_full_check(request, now)
         if not whole:
             allowed = self._attempts.list_changed(request, allowed)
         candidates = Candidates(request, allowed, self._interference)
@@ -181,7 +181,7 @@
                 self._want_advice(request, queue, views)
                 self._attempts.note_failure(request, self._views.round)
                 if whole:
-                    self._attempts.note_whole(request, now)
+                    self._attempts.note_full_check(request, now)
                     self._explain_wait(request, candidates.obstacles)
                 self._preemptor.make_room(task, queue, views)
                 return
@@ -257,7 +257,9 @@
         model = self._interference
         able = [view for view in views if not find_obstacle(request, view, model)]
         able.sort(key=lambda view: score(request, view, model))
-        self._advice.want(request.key, (split_place(view.place)[1] for view in able))
+        self._advice.request_tickets(
+            request.key, (split_place(view.place)[1] for view in able)
+        )
 
     def _explain_wait(
         self, request: Request, obstacles: Mapping[Obstacle, int]
--- a/pistachiodeal/leader/reconcile.py
+++ b/pistachiodeal/leader/reconcile.py
@@ -9,11 +9,11 @@
 from pistachiodeal.jobs.model import EndKind, LossCause, OrderState
 from pistachiodeal.jobs.record import Task
 from pistachiodeal.jobs.runtime import CallResult
-from pistachiodeal.leader.advice import AdviceKeeper
+from pistachiodeal.leader.advice import AdviceCache
 from pistachiodeal.leader.book import JobBook
 from pistachiodeal.leader.crashes import CrashTracker
-from pistachiodeal.leader.listed import ListedRuns, RunKey, index_report
 from pistachiodeal.leader.neighbours import NeighbourWatch
+from pistachiodeal.leader.report_index import ReportIndex, RunKey, index_report
 from pistachiodeal.leader.workers import (
     PLACE_SEPARATOR,
     Attachment,
@@ -47,7 +47,7 @@
         interference: InterferenceModel,
         events: EventLog,
         *,
-        advice: AdviceKeeper | None = None,
+        advice: AdviceCache | None = None,
     ) -> None:
         self._advice = advice
         self._book = book
@@ -183,14 +183,14 @@
         for place in places:
             self.lose(place, why, kept)
 
-    def _move_runs(self, others: list[str], place: str, listed: ListedRuns) -> None:
+    def _move_runs(self, others: list[str], place: str, listed: ReportIndex) -> None:
         """Take in that orders for earlier incarnations were carried out by this one.
 
         Queued again, such a task would run twice, or again after its end.
         """
         for other in others:
             for name, task in list(self._book.get_runs(other).items()):
-                if listed.has((name, task.run)):
+                if listed.contains((name, task.run)):
                     self._events.emit(
                         "run.moved", task=name, run=task.run, place=place, was=other
                     )
@@ -200,7 +200,7 @@
         self,
         worker: WorkerState,
         attachment: Attachment,
-        listed: ListedRuns,
+        listed: ReportIndex,
         now: float,
     ) -> None:
         for name, task in list(self._book.get_runs(worker.place).items()):
@@ -268,7 +268,7 @@
         if outcome.detail == CallResult.NO_TICKET and self._advice is not None:
             record = self._book.records[task.name.job_id]
             key = record.find_step(task.name).key
-            self._advice.forget_ticket(key, worker.worker)
+            self._advice.invalidate_ticket(key, worker.worker)
         self._book.requeue(task)
         if outcome.outcome == OrderState.REFUSED:
             # Placed again at once, it would be refused again as fast as orders travel.
@@ -324,7 +324,7 @@
             self.stop(other, "the job has failed")
 
     def _stop_strays(
-        self, worker: WorkerState, attachment: Attachment, listed: ListedRuns
+        self, worker: WorkerState, attachment: Attachment, listed: ReportIndex
     ) -> None:
         worker.strays = {}
         runs = self._book.get_runs(worker.place)
--- a/pistachiodeal/leader/listed.py
+++ b/pistachiodeal/leader/report_index.py
@@ -16,21 +16,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ListedRuns:
+class ReportIndex:
     """A report's runs by task and run."""
 
     running: dict[RunKey, RunningTask]
     ends: dict[RunKey, EndedTask]
     outcomes: dict[RunKey, OrderOutcome]
 
-    def has(self, key: RunKey) -> bool:
+    def contains(self, key: RunKey) -> bool:
         """Tell whether the report says anything of a run."""
         return key in self.running or key in self.ends or key in self.outcomes
 
 
-def index_report(report: WorkerReport) -> ListedRuns:
+def index_report(report: WorkerReport) -> ReportIndex:
     """Return a report's runs by task and run."""
-    return ListedRuns(
+    return ReportIndex(
         {(one.task, one.run): one for one in report.running},
         {(one.task, one.run): one for one in report.ends},
         {(one.task, one.run): one for one in report.outcomes},
--- a/tests/unit/test_foreign_writers.py
+++ b/tests/unit/test_foreign_writers.py
@@ -17,7 +17,7 @@
 from pistachiodeal.jobs.rows import decode_job, encode_job
 from pistachiodeal.jobs.runtime import CallResult, WorkerBeat
 from pistachiodeal.leader.book import JobBook
-from pistachiodeal.leader.commits import CONTROL_TABLE, LEADER_KEY, Authority
+from pistachiodeal.leader.commits import CONTROL_TABLE, LEADER_KEY, LeaderTerm
 from pistachiodeal.leader.directory import Directory
 from pistachiodeal.leader.election import Election
 from pistachiodeal.leader.feed import JobFeed
@@ -194,9 +194,9 @@
     state = RowsState()
     write = RowWrite(CONTROL_TABLE, LEADER_KEY, b"\xff")
     state.apply(Transaction((), (write,)))
-    taken: list[Authority] = []
+    taken: list[LeaderTerm] = []
 
-    async def lead(authority: Authority) -> None:
+    async def lead(authority: LeaderTerm) -> None:
         taken.append(authority)
         await curio.sleep(60)
 
--- a/tests/unit/test_leader_advice.py
+++ b/tests/unit/test_leader_advice.py
@@ -10,7 +10,7 @@
 from pistachiodeal.config.deployment import LimitSettings
 from pistachiodeal.exceptions import AdviceError
 from pistachiodeal.jobs.advice import Advice
-from pistachiodeal.leader.advice import WORKERS_A_CALL, AdviceKeeper
+from pistachiodeal.leader.advice import WORKERS_A_CALL, AdviceCache
 from pistachiodeal.leader.book import JobBook
 from pistachiodeal.leader.planner import Planner
 from pistachiodeal.leader.reconcile import Reconciler
@@ -49,7 +49,7 @@
         self.book = JobBook(events)
         fleet = Fleet()
         model = InterferenceModel()
-        self.advice = AdviceKeeper(adviser, events, self.note_change)
+        self.advice = AdviceCache(adviser, events, self.note_change)
         self.reconciler = reconciler = Reconciler(
             self.book, fleet, model, events, advice=self.advice
         )
--- a/tests/unit/test_leader_commits.py
+++ b/tests/unit/test_leader_commits.py
@@ -12,7 +12,7 @@
 from pistachiodeal.jobs.record import read_state
 from pistachiodeal.jobs.rows import UNDIVIDED_PARTITION
 from pistachiodeal.leader.book import JobBook
-from pistachiodeal.leader.commits import Authority, CommitLog
+from pistachiodeal.leader.commits import CommitLog, LeaderTerm
 from pistachiodeal.leader.leadership import WRITERS, Leadership
 from pistachiodeal.store.row_store import (
     ABSENT,
@@ -26,7 +26,7 @@
 from tests.standins.rows import MemoryRows, RowsState
 
 
-def take_office(state: RowsState, epoch: int, version: int) -> Authority:
+def take_office(state: RowsState, epoch: int, version: int) -> LeaderTerm:
     """Write the leader's row."""
     transaction = Transaction(
         (RowCondition("control", "leader", version),),
@@ -35,7 +35,7 @@
     result = state.apply(transaction)
     assert result.committed
     now = read_boot_clock()
-    return Authority(epoch, result.version, now, now)
+    return LeaderTerm(epoch, result.version, now, now)
 
 
 def create_leader(state: RowsState) -> tuple[JobBook, CommitLog, list[str]]:
--- a/tests/unit/test_leader_election.py
+++ b/tests/unit/test_leader_election.py
@@ -13,8 +13,8 @@
 from pistachiodeal.exceptions import LinkClosedError
 from pistachiodeal.jobagent.leader_link import LEAST_GRANT_MS
 from pistachiodeal.jobs.model import JobState
-from pistachiodeal.leader.commits import Authority
-from pistachiodeal.leader.directory import HEARD_LIMIT_S, Directory, is_heard
+from pistachiodeal.leader.commits import LeaderTerm
+from pistachiodeal.leader.directory import HEARD_LIMIT_S, Directory, hears_leader
 from pistachiodeal.leader.election import Election
 from pistachiodeal.leader.fitness import compute_fitness
 from pistachiodeal.peers import PeerContext
@@ -58,7 +58,7 @@
         elections = []
         for name, cores, link_mbps in (("weak", 0.3, 10.0), ("strong", 2.1, 200.0)):
 
-            async def lead(_: Authority, name: str = name) -> None:
+            async def lead(_: LeaderTerm, name: str = name) -> None:
                 await lead_for_ever(name)
 
             address = f"127.0.0.1:{take_port()}"
@@ -83,7 +83,7 @@
     leaders: list[str] = []
 
     async def main() -> None:
-        async def lead(_: Authority) -> None:
+        async def lead(_: LeaderTerm) -> None:
             leaders.append("weak")
             await curio.sleep(60)
 
@@ -111,10 +111,10 @@
 
     async def main() -> None:
         directory = Directory(())
-        directory.take_notice(LeaderNotice(1, "10.0.0.1:1", 100, (), 0))
-        assert is_heard(directory.build_notice())
+        directory.apply_notice(LeaderNotice(1, "10.0.0.1:1", 100, (), 0))
+        assert hears_leader(directory.build_notice())
         await curio.sleep(HEARD_LIMIT_S + 0.1)
-        assert not is_heard(directory.build_notice())
+        assert not hears_leader(directory.build_notice())
 
     curio.run(main)
 
@@ -336,7 +336,7 @@
     """
     epochs: list[int] = []
 
-    async def fail_once(authority: Authority) -> None:
+    async def fail_once(authority: LeaderTerm) -> None:
         epochs.append(authority.epoch)
         if len(epochs) == 1:
             raise RuntimeError("a fault in a round of decisions")
--- a/tests/unit/test_leader_lessons.py
+++ b/tests/unit/test_leader_learned_state.py
@@ -9,10 +9,10 @@
 from pistachiodeal.leader.commits import (
     CONTROL_TABLE,
     LEADER_KEY,
-    Authority,
     CommitLog,
+    LeaderTerm,
 )
-from pistachiodeal.leader.lessons import (
+from pistachiodeal.leader.learned_state import (
     KEEP_S,
     LESSONS_KEY,
     LessonKeeper,
@@ -38,7 +38,7 @@
     write = RowWrite(CONTROL_TABLE, LEADER_KEY, str(epoch).encode())
     result = await store.commit(Transaction((), (write,)))
     return CommitLog(
-        store, Authority(epoch, result.version, 0.0, 0.0), create_quiet_log()
+        store, LeaderTerm(epoch, result.version, 0.0, 0.0), create_quiet_log()
     )
 
 
