--- a/pistachiodeal/leader/directory.py
+++ b/pistachiodeal/leader/directory.py
@@ -1,20 +1,20 @@
-"""Where entries are, and which of them leads, as far as a process has heard."""
+"""Addresses of the entries and of the leader, as other processes report them."""
 
 from __future__ import annotations
 
 from pistachiodeal.clock import read_boot_clock
 from pistachiodeal.wire.job_messages import Label, LeaderNotice
 
-# A leader sends a notice every 0.25 s; a process that heard none for this long has
-# likely lost it too, and is no witness that it lives.
-HEARD_LIMIT_S = 0.8
-# Addresses kept: more entries than a deployment of 28,000 workers has, bounded all the
-# same, as VMs are replaced for years.
-MOST_ENTRIES = 512
+# A leader sends a notice every 0.25 s. A process that received none for this long has
+# probably lost the leader too and can't confirm that it is alive.
+LEADER_SILENCE_LIMIT_S = 0.8
+# Maximum number of addresses: more than the entries of a deployment of 28,000 workers.
+# The bound is needed because VMs are replaced, and addresses change, over years.
+MAX_ENTRIES = 512
 
 
 class Directory:
-    """Addresses of entries.
+    """Known addresses of entries, and the newest known leader.
 
     :param seeds: addresses from the settings, which may be stale.
     """
@@ -29,21 +29,21 @@
 
     @property
     def revision(self) -> int:
-        """Return a number that rises with each change of the list of entries."""
+        """Return a number that increases with each change of the list of entries."""
         return self._revision
 
     @property
     def epoch(self) -> int:
-        """Return the highest epoch heard of."""
+        """Return the highest known epoch."""
         return self._epoch
 
     @property
     def leader(self) -> str:
-        """Return the leader's address, empty while none is known."""
+        """Return the leader's address, empty if none is known."""
         return self._leader
 
     def note_leader(self, epoch: int, address: str) -> None:
-        """Take in who leads; an older epoch changes nothing."""
+        """Record the leader of an epoch, unless a newer epoch is known."""
         if epoch > self._epoch:
             self._store_seen_at = self._heard_at = 0.0
         if epoch >= self._epoch:
@@ -51,17 +51,17 @@
         self.note_entry(address)
 
     def note_entry(self, address: str) -> None:
-        """Take in that an entry was heard of."""
+        """Record an entry as the most recently seen one."""
         if not address:
             return
         if self._entries.pop(address, None) is None:
             self._revision += 1
         self._entries[address] = read_boot_clock()
-        while len(self._entries) > MOST_ENTRIES:
+        while len(self._entries) > MAX_ENTRIES:
             del self._entries[next(iter(self._entries))]
 
     def apply_notice(self, notice: LeaderNotice) -> None:
-        """Take in what an entry says."""
+        """Record what a notice says of the entries and of the leader."""
         for entry in notice.entries:
             if entry.text not in self._entries:
                 self.note_entry(entry.text)
@@ -74,21 +74,22 @@
         self._heard_at = max(self._heard_at, now - notice.heard_ms / 1000)
 
     def note_unreachable(self, address: str) -> None:
-        """Take in that a process gave no handshake; it is not heard any more."""
+        """Record that an address gave no handshake; if it leads, it is not heard."""
         if address == self._leader:
             self._heard_at = 0.0
 
     def list_others(self, *without: str) -> list[str]:
-        """Return the other entries, the one heard of last first."""
+        """Return all entries but some, the most recently seen one first."""
         return [one for one in reversed(self._entries) if one not in without]
 
     def build_notice(
         self, store_age_ms: int | None = None, *, with_entries: bool = True
     ) -> LeaderNotice:
-        """Return what to tell a process that asks.
+        """Return a notice that names the leader, to send to another process.
 
-        :param store_age_ms: the leader's, if this process leads; else what was heard
-            from the leader last, aged since.
+        :param store_age_ms: if this process leads, the time since the store confirmed
+            it. By default, the last value received from the leader plus the time since.
+        :param with_entries: whether to include the addresses of the entries.
         """
         heard_ms = 0
         if store_age_ms is None:
@@ -100,5 +101,5 @@
 
 
 def hears_leader(notice: LeaderNotice) -> bool:
-    """Tell whether the sender of a notice hears the leader that it names."""
-    return bool(notice.address) and notice.heard_ms < HEARD_LIMIT_S * 1000
+    """Tell whether the sender of a notice has recently heard the leader it names."""
+    return bool(notice.address) and notice.heard_ms < LEADER_SILENCE_LIMIT_S * 1000
--- a/pistachiodeal/leader/fitness.py
+++ b/pistachiodeal/leader/fitness.py
@@ -1,37 +1,43 @@
-"""How fit a process is to lead, by what its VM gives it."""
+"""Rates how suitable a process is as the leader, by the resources of its VM."""
 
 from __future__ import annotations
 
-# A process below these is weak: as the leader of some dozens of workers it would decide
-# too late for short jobs.
-LEAST_CORES = 0.35
-LEAST_MBPS = 50.0
-# A weak leader makes way for a follower that is this much fitter. A lower factor would
-# move the lead, and 160 agents with it, for little.
+# The minimum for a leader. With less, the leader of some dozens of workers would make
+# its decisions too late for short jobs.
+MIN_CORES = 0.35
+MIN_LINK_MBPS = 50.0
+# A leader below the minimum hands over to a follower whose fitness is at least this
+# many times its own. With a lower ratio, leadership and with it 160 agents would move
+# for little gain.
 HANDOVER_FITNESS_RATIO = 1.5
-# A process that is nearly as fit as the last leader needn't wait for a better one.
-NEARLY_AS_FIT = 0.8
+# A process with at least this share of the last leader's fitness campaigns at once.
+CAMPAIGN_FITNESS_RATIO = 0.8
 
 
 def compute_fitness(cores: float, link_mbps: float) -> float:
-    """Return how many times the least that a leader needs a process has."""
-    return min(cores / LEAST_CORES, link_mbps / LEAST_MBPS)
+    """Return the resources of a process as a multiple of the leader's minimum.
+
+    The scarcer of the two resources counts.
+    """
+    return min(cores / MIN_CORES, link_mbps / MIN_LINK_MBPS)
 
 
 def is_below_minimum(fitness: float) -> bool:
-    """Tell whether a process had better leave the lead to others."""
+    """Tell whether a process has less than the minimum for a leader."""
     return fitness < 1.0
 
 
-def may_wait_for_fitter(fitness: float, last: float) -> bool:
-    """Tell whether an entry may well be up that is clearly fitter.
+def should_defer_to_fitter(fitness: float, last_leader_fitness: float) -> bool:
+    """Tell whether a clearly fitter entry is probably running.
 
-    The last leader shows what there is: a weak one makes way for a fitter one while all
-    is calm. Where all entries are small, each would else wait for a strong one that
-    isn't there: 1 s without a leader after each loss.
+    The fitness of the last leader indicates what the other entries have, since a leader
+    below the minimum hands over to a fitter one when the deployment is stable. Without
+    this comparison, a deployment of only small entries would wait for a large one that
+    doesn't exist, and be without a leader for 1 s after each loss.
 
-    :param last: fitness of the last leader, 0 if it isn't known.
+    :param fitness: of this process.
+    :param last_leader_fitness: 0 if it isn't known.
     """
-    if last <= 0:
+    if last_leader_fitness <= 0:
         return is_below_minimum(fitness)
-    return fitness < NEARLY_AS_FIT * last
+    return fitness < CAMPAIGN_FITNESS_RATIO * last_leader_fitness
--- a/pistachiodeal/leader/leader_probe.py
+++ b/pistachiodeal/leader/leader_probe.py
@@ -1,4 +1,4 @@
-"""Whether other entries hear the leader that this one has lost."""
+"""Asks other entries whether they still hear a leader that this entry has lost."""
 
 from __future__ import annotations
 
@@ -8,16 +8,17 @@
 from pistachiodeal.leader.leader_row import LeaderRow
 from pistachiodeal.peers import PeerContext, ask_who_leads
 
-# A leader writes or looks at its row every 0.65 s at most: an age above this means that
-# the store refuses the leader, or that its answers take long.
+# A leader writes or reads its row at least every 0.65 s. A greater age than this means
+# that the store refuses the leader or answers slowly.
 STORE_AGE_LIMIT_S = 1.4
-# So many entries are asked whether they hear the leader. With all of them asked, its
-# loss would cost calls by the square of their number: over a thousand for 35 entries.
-WITNESSES = 5
+# A probe ends after this many answers. If each entry asked all others, the loss of a
+# leader would cost a number of calls quadratic in the number of entries: over a
+# thousand for 35 entries.
+MAX_ANSWERS = 5
 
 
-async def ask_witnesses(peers: PeerContext, row: LeaderRow) -> bool | None:
-    """Tell whether another entry hears the leader of a row; None if none answers."""
+async def probe_leader_via_peers(peers: PeerContext, row: LeaderRow) -> bool | None:
+    """Tell whether another entry hears a row's leader, None if no entry answers."""
     answered = 0
     others = peers.directory.list_others(peers.address, row.address)
     random.shuffle(others)
@@ -29,6 +30,6 @@
         if notice.epoch >= row.epoch and hears_leader(notice) and fresh:
             return True
         answered += 1
-        if answered == WITNESSES:
+        if answered == MAX_ANSWERS:
             break
     return False if answered else None
--- a/pistachiodeal/leader/leader_row.py
+++ b/pistachiodeal/leader/leader_row.py
@@ -1,4 +1,4 @@
-"""The row that names the leader."""
+"""Reads and writes the row of the store that names the leader."""
 
 from __future__ import annotations
 
@@ -26,15 +26,16 @@
 
 log = Logger("leader_row")
 
-# The version of a row that was heard of and not read: no condition on it holds.
-UNREAD = -1
+# The version of a row that other processes reported and that was not read: no
+# conditional write against it succeeds.
+UNREAD_VERSION = -1
 
 
 @dataclass(frozen=True, slots=True)
 class LeaderCandidate:
-    """A process that the row can name.
+    """A process that can become the leader.
 
-    :param nonce: its incarnation, so that it recognises a row of its own.
+    :param nonce: its incarnation, by which it recognises a row that it wrote itself.
     :param fitness: see :mod:`pistachiodeal.leader.fitness`.
     """
 
@@ -46,10 +47,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaderRow:
-    """The row that names the leader.
+    """The decoded row that names the leader.
 
-    :param nonce: of the process that it names.
-    :param fitness: of the last process that it named, 0 if that isn't known.
+    :param nonce: incarnation of the leader.
+    :param fitness: of the last leader that the row named, 0 if it isn't known.
     """
 
     epoch: int
@@ -60,87 +61,87 @@
     fitness: float = 0.0
 
 
-NOBODY = LeaderRow(0, "", "", 0, ABSENT)
+NO_LEADER = LeaderRow(0, "", "", 0, ABSENT)
 
 
 class LeaderRowClient:
-    """Reads and replaces the row for one process.
+    """Reads and replaces the leader's row on behalf of one process.
 
-    :ivar row: the newest that is known.
+    :ivar row: the newest known state of the row.
     """
 
     def __init__(self, store: RowStore, directory: Directory, events: EventLog) -> None:
         self._store = store
         self._directory = directory
         self._events = events
-        self._read_s = 0.0
-        self.row = NOBODY
+        self._last_read_s = 0.0
+        self.row = NO_LEADER
 
     @property
-    def read_s(self) -> float:
-        """Return how long the last answered read has taken, seconds."""
-        return self._read_s
+    def last_read_s(self) -> float:
+        """Return the duration of the last successful read, seconds."""
+        return self._last_read_s
 
     async def read(self) -> LeaderRow | None:
-        """Return the row as it is now, None when the store gives no answer."""
+        """Return the current row, None if the store doesn't answer."""
         asked_at = read_boot_clock()
         try:
             page = await read_row(self._store, CONTROL_TABLE, LEADER_KEY)
         except StoreError as error:
-            log.debug("leader_row: cannot read it: {}", error)
+            log.debug("leader_row: cannot read the leader's row: {}", error)
             return None
-        self._read_s = read_boot_clock() - asked_at
+        self._last_read_s = read_boot_clock() - asked_at
         if not page.rows:
-            return NOBODY
+            return NO_LEADER
         try:
             row = decode_leader_row(page.rows[0])
         except ProtocolError as error:
-            return self._build_unreadable_row(page.rows[0], error)
+            return self._build_vacant_row(page.rows[0], error)
         if row.address:
             self._directory.note_leader(row.epoch, row.address)
         return row
 
-    def build_heard_row(self) -> LeaderRow:
-        """Take what others say of the leader for its row.
+    def adopt_reported_leader(self) -> LeaderRow:
+        """Use the leader that other processes reported as the row.
 
-        Nobody can campaign against it: no condition on its version holds.
+        The row can't be replaced, since no condition on its version holds.
         """
         directory = self._directory
-        self.row = LeaderRow(directory.epoch, "", directory.leader, 0, UNREAD)
+        self.row = LeaderRow(directory.epoch, "", directory.leader, 0, UNREAD_VERSION)
         return self.row
 
-    async def appoint(self, holder: LeaderCandidate) -> TransactionResult:
-        """Name a process under the next epoch, if the row has not changed.
+    async def set_leader(self, candidate: LeaderCandidate) -> TransactionResult:
+        """Write a new leader under the next epoch, if the row has not changed.
 
         :raises StoreError: see ``RowStore``.
         """
         epoch = self.row.epoch + 1
-        result = await self._store.commit(build_replacement(self.row, epoch, holder))
+        result = await self._store.commit(build_replacement(self.row, epoch, candidate))
         if result.committed:
             self.row = LeaderRow(
                 epoch,
-                holder.node,
-                holder.address,
-                holder.nonce,
+                candidate.node,
+                candidate.address,
+                candidate.nonce,
                 result.version,
-                holder.fitness,
+                candidate.fitness,
             )
         return result
 
-    async def vacate(self) -> None:
-        """Name nobody, so that others needn't wait for silence.
+    async def clear_leader(self) -> None:
+        """Write a row without a leader, so that followers needn't wait for a timeout.
 
         :raises StoreError: see ``RowStore``.
         """
         row = self.row
-        nobody = LeaderCandidate("", "", 0, row.fitness)
-        await self._store.commit(build_replacement(row, row.epoch, nobody))
+        no_candidate = LeaderCandidate("", "", 0, row.fitness)
+        await self._store.commit(build_replacement(row, row.epoch, no_candidate))
 
-    def _build_unreadable_row(self, row: StoredRow, error: Exception) -> LeaderRow:
-        """Take a row that another writer has spoilt for a vacant one.
+    def _build_vacant_row(self, row: StoredRow, error: Exception) -> LeaderRow:
+        """Treat a row that can't be decoded as one without a leader.
 
-        Left as it is, nobody could ever take the lead again. The epoch goes on from
-        the highest one heard of, so that runners obey whoever takes it.
+        Otherwise no process could ever become the leader again. The epoch continues
+        from the highest known one, so that runners accept the next leader.
         """
         self._events.emit(
             "row.unreadable", table=CONTROL_TABLE, key=row.key, cause=str(error)
@@ -150,16 +151,16 @@
 
 
 def build_replacement(
-    row: LeaderRow, epoch: int, holder: LeaderCandidate
+    row: LeaderRow, epoch: int, candidate: LeaderCandidate
 ) -> Transaction:
-    """Return the transaction that replaces a row which has not changed meanwhile."""
+    """Return the transaction that replaces the row if its version is unchanged."""
     value = orjson.dumps(
         {
             "epoch": epoch,
-            "node": holder.node,
-            "address": holder.address,
-            "nonce": holder.nonce,
-            "fitness": holder.fitness,
+            "node": candidate.node,
+            "address": candidate.address,
+            "nonce": candidate.nonce,
+            "fitness": candidate.fitness,
         }
     )
     return Transaction(
@@ -169,9 +170,9 @@
 
 
 def decode_leader_row(row: StoredRow) -> LeaderRow:
-    """Return what the store has.
+    """Decode the leader's row.
 
-    :raises ProtocolError: the value was not written by this project.
+    :raises ProtocolError: the value is malformed.
     """
     try:
         document = orjson.loads(row.value)
@@ -181,7 +182,7 @@
             document["address"],
             document["nonce"],
             row.version,
-            # Rows of earlier versions don't tell it.
+            # Rows written by earlier versions lack this field.
             document.get("fitness", 0.0),
         )
         check_fields(found)
--- a/tests/unit/test_leader_election.py
+++ b/tests/unit/test_leader_election.py
@@ -1,4 +1,4 @@
-"""Who takes the lead when several entries could."""
+"""Which entry becomes the leader if several could."""
 
 from __future__ import annotations
 
@@ -14,7 +14,11 @@
 from pistachiodeal.jobagent.leader_link import LEAST_GRANT_MS
 from pistachiodeal.jobs.model import JobState
 from pistachiodeal.leader.commits import LeaderTerm
-from pistachiodeal.leader.directory import HEARD_LIMIT_S, Directory, hears_leader
+from pistachiodeal.leader.directory import (
+    LEADER_SILENCE_LIMIT_S,
+    Directory,
+    hears_leader,
+)
 from pistachiodeal.leader.election import Election
 from pistachiodeal.leader.fitness import compute_fitness
 from pistachiodeal.peers import PeerContext
@@ -41,11 +45,11 @@
 
 
 def test_a_weak_entry_leaves_the_lead_to_a_strong_one():
-    """Symptom: for 13 s short jobs took 20 s instead of 2.
+    """Guards against a leader whose VM is too small.
 
-    Sequence: the leader is refused by the store; of the followers, one on a third of a
-    core with a slow link is the first to notice, and takes over.
-    Cause: whoever campaigned first led, whatever its VM.
+    The first entry to campaign used to lead, whatever its resources. An entry on a
+    third of a core with a slow link noticed first that the store refused the leader,
+    and for 13 s short jobs took 20 s instead of 2.
     """
     leaders: list[str] = []
 
@@ -79,7 +83,7 @@
 
 
 def test_a_weak_entry_leads_when_nobody_else_does():
-    """The load: all entries of a deployment are small."""
+    """All entries of a deployment may be small; one of them still has to lead."""
     leaders: list[str] = []
 
     async def main() -> None:
@@ -102,28 +106,28 @@
 
 
 def test_a_follower_that_lost_the_leader_is_no_witness_that_it_lives():
-    """Symptom: nobody leads for 3 s after the leader's VM went silent.
+    """Guards against 3 s without a leader after its VM stops responding.
 
-    Sequence: two followers lose the leader in the same moment, and ask each other.
-    Cause: each passed on what the leader had said of its store 1.2 s before, and the
-    other took that for a sign of life.
+    Two followers lose the leader at the same time and ask each other. Each passed on
+    the leader's last notice, 1.2 s old, and the other took it as proof that the leader
+    is alive.
     """
 
     async def main() -> None:
         directory = Directory(())
         directory.apply_notice(LeaderNotice(1, "10.0.0.1:1", 100, (), 0))
         assert hears_leader(directory.build_notice())
-        await curio.sleep(HEARD_LIMIT_S + 0.1)
+        await curio.sleep(LEADER_SILENCE_LIMIT_S + 0.1)
         assert not hears_leader(directory.build_notice())
 
     curio.run(main)
 
 
 def test_a_leader_that_is_killed_is_replaced_at_once():
-    """Symptom: nobody leads for 0.8 to 1.5 s after the leader's process was killed.
+    """Guards against 0.8 to 1.5 s without a leader after its process is killed.
 
-    Sequence: the leader is killed; connections to it are refused. Cause: followers
-    took each other for witnesses until the leader's last word was 1.4 s old.
+    Connections to the killed leader are refused, but followers trusted each other's
+    notices until the leader's last one was 1.4 s old.
     """
 
     async def main() -> float:
@@ -137,16 +141,16 @@
                 await curio.sleep(0.01)
             return time.monotonic() - killed_at
 
-    # The best of three, as a busy machine only makes it slower.
+    # The best of three runs, since load on the machine only makes it slower.
     assert min(curio.run(main) for _ in range(3)) < 0.7
 
 
 def test_a_row_of_a_process_that_leads_no_more_is_not_followed_in_a_loop():
-    """Symptom: two entries open 70 links a second to a third one.
+    """Guards against two entries that open 70 links a second to a third one.
 
-    Sequence: the leader is killed and starts again while the store is away, so the row
-    names a process that answers and does not lead. Cause: following ended at once, and
-    began anew without a pause.
+    The leader is killed and restarts during a store outage, so the row names a process
+    that answers but doesn't lead. Followers disconnected and reconnected to it without
+    a pause.
     """
 
     async def main() -> str:
@@ -174,11 +178,11 @@
 
 
 def test_a_leader_that_the_store_turns_away_makes_way_for_its_successor():
-    """Symptom: for seven seconds no task starts on most workers, although one leads.
+    """Guards against seven seconds in which no task starts on most workers.
 
-    Sequence: the store gives no answer to the leader, and serves the others; one of
-    them takes the row. Cause: the old leader could not see that, and kept the links of
-    agents and followers; a follower that saw the changed row took it for no news.
+    The store answers all entries but the leader, and one of them replaces it. The old
+    leader couldn't detect that and kept its links to agents and followers; a follower
+    that read the changed row didn't act on it.
     """
 
     async def main() -> float:
@@ -202,9 +206,9 @@
 
 @dataclass
 class FakeLeader:
-    """An entry that says who leads, and answers reports with a small grant.
+    """An entry that claims to lead, and answers reports with a short grant.
 
-    :ivar reports: how many it has answered.
+    :ivar reports: the number of answered reports.
     """
 
     epoch: int
@@ -238,11 +242,11 @@
 
 
 def test_an_agent_leaves_a_leader_that_nobody_else_reaches():
-    """Symptom: a worker gets no task for eleven seconds.
+    """Guards against a worker that gets no task for eleven seconds.
 
-    Sequence: the leader is cut off from the store and from the other entries, and not
-    from an agent; another entry takes the row. Cause: nothing told the agent, and the
-    old leader's link to it was well.
+    The leader is partitioned from the store and the other entries, but not from an
+    agent, and another entry replaces it. The agent learned nothing of that and kept its
+    working link to the old leader.
     """
 
     async def main() -> tuple[int, int]:
@@ -270,10 +274,10 @@
 
 
 def test_after_everything_was_down_work_starts_once_the_workers_are_there():
-    """Symptom: the first task starts 0.6 s after the leader has read its rows.
+    """Guards against a first task that starts 0.6 s after the leader read its rows.
 
-    Sequence: all processes end and start again; agents list their workers within
-    0.1 s. Cause: the new leader waited by the clock, and not for the workers.
+    After a complete restart, agents list their workers within 0.1 s, but the new leader
+    waited for a fixed time instead of for the workers.
     """
 
     async def main() -> float:
@@ -297,16 +301,15 @@
             await cluster.wait_for_state(second, JobState.ACTIVE)
             return time.monotonic() - loaded_at
 
-    # The best of three, as a busy machine only makes it slower.
+    # The best of three runs, since load on the machine only makes it slower.
     assert min(curio.run(main) for _ in range(3)) < 0.5
 
 
 def test_the_first_entry_that_is_back_leads_without_a_witness():
-    """Symptom: nobody leads for up to 3 s after everything was down.
+    """Guards against up to 3 s without a leader after a complete restart.
 
-    Sequence: all entries end; one that did not lead is back first, and connections to
-    the leader's address and to the others are refused. Cause: it waited for another
-    entry to say that the leader is gone.
+    An entry that did not lead starts first, and connections to the leader and all other
+    entries are refused. It waited for another entry to confirm that the leader is gone.
     """
 
     async def main() -> float:
@@ -323,21 +326,21 @@
                 await curio.sleep(0.01)
             return time.monotonic() - began_at
 
-    # The best of three, as a busy machine only makes it slower.
+    # The best of three runs, since load on the machine only makes it slower.
     assert min(curio.run(main) for _ in range(3)) < 0.6
 
 
 def test_a_leader_that_has_failed_leads_again_under_a_higher_epoch():
-    """Symptom: two agents' calls carry one fencing token.
+    """Guards against two agents' calls with the same fencing token.
 
-    Sequence: leading ends by an error, which its supervisor logs; the row still names
-    this process. Cause: it would lead again under the same epoch, in which tokens
-    count from one.
+    The leader fails with an error, which its supervisor logs, and the row still names
+    this process. If it led again under the same epoch, its tokens would be numbered
+    from one again.
     """
     epochs: list[int] = []
 
-    async def fail_once(authority: LeaderTerm) -> None:
-        epochs.append(authority.epoch)
+    async def fail_once(term: LeaderTerm) -> None:
+        epochs.append(term.epoch)
         if len(epochs) == 1:
             raise RuntimeError("a fault in a round of decisions")
         await curio.sleep(60)
