--- a/pistachiodeal/leader/closures.py
+++ b/pistachiodeal/leader/closures.py
@@ -1,9 +1,9 @@
-"""Data centres in which nothing may be started until the operator opens them again.
+"""Keeps track of the data centres that the operator has closed to new runs.
 
-The leader places nothing there. An order may still be on its way, or with a leader that
-stood still, when a data centre is closed; so each directive says until when its starts
-may begin, and that moment follows from the leader's last look at the closed data
-centres. See ``docs/design/closed-data-centres.md``.
+The leader places nothing there. When a data centre is closed, an order may still be in
+transit, or held by a leader that was suspended. So each directive has a deadline for
+its starts, which counts from the leader's last read of the closed data centres. See
+``docs/design/closed-data-centres.md``.
 """
 
 from __future__ import annotations
@@ -20,17 +20,17 @@
 
 log = Logger("leader")
 
-LOOK_S = 0.4
+REFRESH_S = 0.4
 RETRY_S = 0.15
-# An agent may have checked an order just before its time was over, and the runner takes
-# a moment to begin.
+# An agent may check an order just before its deadline, and the runner then takes some
+# time to start it.
 START_MARGIN_S = 1.0
 
 
 class ClosureWatch:
-    """Keeps the fleet's closed data centres as the operator has them.
+    """Keeps the fleet's closed data centres up to date with the operator's list.
 
-    :param closing_s: nothing may start later than this after a closing.
+    :param closing_s: how long after a closing runs may still start.
     """
 
     def __init__(
@@ -41,49 +41,49 @@
         self._allowed_s = max(0.0, closing_s - START_MARGIN_S)
         self._events = events
         self._version = 0
-        self._seen_at = 0.0
+        self._refreshed_at = 0.0
 
     @property
     def starts_until(self) -> float:
-        """Return until when starts may begin that are decided now, boot clock.
+        """Return the deadline for starts that are decided now, boot clock.
 
-        What was closed after the last look is not in force before then.
+        A closing after the last read takes effect only later than this.
         """
-        return self._seen_at + self._allowed_s
+        return self._refreshed_at + self._allowed_s
 
-    async def look(self) -> None:
-        """Read which data centres are closed.
+    async def refresh(self) -> None:
+        """Read and apply which data centres are closed.
 
         :raises StoreError: the store has not answered.
         """
         asked_at = read_boot_clock()
         closed = await read_closed(self._store)
-        # Answers may overtake each other.
+        # Answers may arrive out of order.
         if closed.version < self._version:
             return
         self._version = closed.version
-        self._seen_at = max(self._seen_at, asked_at)
-        self._take(closed)
+        self._refreshed_at = max(self._refreshed_at, asked_at)
+        self._apply(closed)
 
     async def run(self) -> None:
-        """Look for ever."""
+        """Refresh periodically, without end."""
         while True:
-            pause_s = LOOK_S
+            pause_s = REFRESH_S
             try:
-                await self.look()
+                await self.refresh()
             except StoreError as error:
-                log.debug("leader: cannot look at closed data centres: {}", error)
+                log.debug("leader: cannot read the closed data centres: {}", error)
                 pause_s = RETRY_S
             await curio.sleep(pause_s)
 
-    def _take(self, closed: ClosedDataCentres) -> None:
-        before = self._fleet.closed
-        if closed.names == before:
+    def _apply(self, closed: ClosedDataCentres) -> None:
+        closed_before = self._fleet.closed
+        if closed.names == closed_before:
             return
         self._fleet.close(closed.names)
-        for name in sorted(closed.names - before):
+        for name in sorted(closed.names - closed_before):
             self._emit("data_centre.closed", name, closed.version)
-        for name in sorted(before - closed.names):
+        for name in sorted(closed_before - closed.names):
             self._emit("data_centre.opened", name, closed.version)
 
     def _emit(self, event: str, name: str, version: int) -> None:
--- a/pistachiodeal/leader/commits.py
+++ b/pistachiodeal/leader/commits.py
@@ -1,9 +1,10 @@
-"""Writes the leader's decisions, many jobs a transaction, fenced by the epoch.
+"""Writes the leader's decisions in fenced transactions of many jobs each.
 
-Each transaction demands that the leader's row and every job's row are at the version
-that the leader knows. Without the first, a leader that was replaced could go on.
+Each transaction is conditional on the versions of the leader's row and of the rows of
+all its jobs. Without the first condition, a replaced leader could go on writing.
 Without the second, a transaction whose answer was lost could be carried out seconds
-later and put an older state over a newer one: a task would run again after its end.
+later and overwrite a newer state with an older one, so that a finished task would run
+again.
 """
 
 from __future__ import annotations
@@ -38,95 +39,98 @@
 
 CONTROL_TABLE = "control"
 LEADER_KEY = "leader"
-# A transaction takes 100 entries; each job needs a condition and a write, and the
-# leader's row one condition.
-JOBS_A_TRANSACTION = 49
-# Half of what one call may carry, since values grow by a third on the wire.
-TRANSACTION_BYTES = 500_000
+# A transaction holds at most 100 entries: one condition and one write for each job,
+# and one condition on the leader's row.
+MAX_JOBS_PER_TRANSACTION = 49
+# Half the limit of one call, since values grow by a third on the wire.
+MAX_TRANSACTION_BYTES = 500_000
 RETRY_S = 0.1
-LONGEST_RETRY_S = 0.5
-# The leader's right to grant leases counts from its last confirmed look at its row.
-CONFIRM_S = 0.4
-# Jobs whose rows go in one transaction: three rows each.
-REMOVALS = 30
+MAX_RETRY_S = 0.5
+# How often the leader reads its row if it writes nothing. Leases are granted for a
+# time that counts from the last confirmation.
+CONFIRM_INTERVAL_S = 0.4
+# Jobs whose rows are removed at a time, three rows each.
+MAX_REMOVALS = 30
 
 
 @dataclass(frozen=True, slots=True)
 class LeaderTerm:
-    """The row that makes a process the leader.
+    """One term of a leader, as its write of the leader's row has established it.
 
-    :param asked_at: the row was surely not written before this, boot clock; the
-        leader's own right counts from here.
-    :param taken_by: it was surely written by then; a predecessor may have thought
-        itself in office until here.
+    :param row_version: of the leader's row; another version means another leader.
+    :param asked_at: when the write or read of the row began, boot clock. The leader's
+        own authority to grant leases counts from here.
+    :param acquired_by: when it was answered. The predecessor may have considered itself
+        the leader until here.
     """
 
     epoch: int
     row_version: int
     asked_at: float
-    taken_by: float
+    acquired_by: float
 
 
-class CommitLog:
-    """Writes what the book holds unsaved."""
+class FencedWriter:
+    """Writes rows on condition that this process still leads."""
 
-    def __init__(
-        self, store: RowStore, authority: LeaderTerm, events: EventLog
-    ) -> None:
+    def __init__(self, store: RowStore, term: LeaderTerm, events: EventLog) -> None:
         self._store = store
-        self._authority = authority
+        self._term = term
         self._events = events
-        self._confirmed_at = authority.asked_at
+        self._confirmed_at = term.asked_at
         self._last_write_s = 0.0
 
     @property
     def epoch(self) -> int:
         """Return the epoch of this leader."""
-        return self._authority.epoch
+        return self._term.epoch
 
     @property
     def confirmed_at(self) -> float:
-        """Return the last moment at which this process was certainly the leader."""
+        """Return when this process was last confirmed as the leader, boot clock."""
         return self._confirmed_at
 
     @property
     def last_write_s(self) -> float:
-        """Return how long the last write of jobs has taken."""
+        """Return the duration of the last write of jobs, seconds."""
         return self._last_write_s
 
     async def write(self, book: JobBook) -> None:
-        """Write one batch; return when it is durable and its effects have run.
+        """Write one batch of unsaved jobs; return once it is durable and applied.
+
+        The effects of a decision, such as sending its order, run after the write.
 
         :raises FencedError: another process leads now.
         """
-        batch = book.take_unsaved(JOBS_A_TRANSACTION)
+        batch = book.take_unsaved(MAX_JOBS_PER_TRANSACTION)
         while batch:
             part, batch = _split(batch)
             await self._write_part(book, part)
 
     async def confirm(self) -> None:
-        """Look at the leader's row when the last look is long ago.
+        """Read the leader's row if the last confirmation is too old.
 
         :raises FencedError: another process leads now.
         """
         asked_at = read_boot_clock()
-        if asked_at - self._confirmed_at < CONFIRM_S:
+        if asked_at - self._confirmed_at < CONFIRM_INTERVAL_S:
             return
         try:
             page = await read_row(self._store, CONTROL_TABLE, LEADER_KEY)
         except StoreError as error:
-            log.debug("leader: cannot confirm: {}", error)
+            log.debug("leader: cannot read the leader's row: {}", error)
             return
-        if not page.rows or page.rows[0].version != self._authority.row_version:
+        if not page.rows or page.rows[0].version != self._term.row_version:
             raise FencedError(step="leader.confirm")
         self._confirmed_at = max(self._confirmed_at, asked_at)
 
     async def remove(self, records: list[JobRecord]) -> bool:
-        """Remove the rows of jobs that nobody may ask for; tell whether it was done.
+        """Remove the rows of expired jobs; tell whether all were removed.
 
-        Submissions go first, each partition by itself and without a fence: what is
-        final stays final whoever leads. Progress that is left behind by a crash in
-        between is of no job, while a submission without its progress would run again.
+        Submissions are removed first, one transaction for each partition and without
+        fencing, since a final state stays final whoever leads. A crash in between
+        leaves progress rows without a job, which are harmless, whereas a submission
+        without its progress would run again.
 
         :raises FencedError: another process leads now.
         """
@@ -146,16 +150,16 @@
         except StoreError as error:
             log.debug("leader: cannot remove old jobs: {}", error)
             return False
-        return await self.keep(
+        return await self.write_rows(
             *(RowWrite(PROGRESS_TABLE, record.job_id, None) for record in records)
         )
 
-    async def keep(self, *writes: RowWrite) -> bool:
-        """Write rows while this process leads; tell whether it was done.
+    async def write_rows(self, *writes: RowWrite) -> bool:
+        """Write rows if this process still leads; tell whether they were written.
 
         :raises FencedError: another process leads now.
         """
-        conditions = (self._build_own_condition(),)
+        conditions = (self._build_leader_condition(),)
         try:
             result = await self._store.commit(Transaction(conditions, writes))
         except StoreError as error:
@@ -176,16 +180,16 @@
             except StoreError as error:
                 self._events.emit("commit.retry", jobs=len(part), cause=str(error))
                 await curio.sleep(pause)
-                pause = min(pause * 2, LONGEST_RETRY_S)
+                pause = min(pause * 2, MAX_RETRY_S)
                 continue
             if result.committed:
                 for record, _ in part:
                     record.row_version = result.version
                 break
             self._check_fence(result)
-            self._adopt(result, part)
-            # A try whose answer was lost wrote just this; to write it once more would
-            # cost another 0.7 s on a slow store.
+            self._adopt_row_versions(result, part)
+            # An earlier attempt whose answer was lost has written the same values.
+            # Writing them again would cost another 0.7 s on a slow store.
             if _is_written(values, result):
                 break
         self._confirmed_at = max(self._confirmed_at, asked_at)
@@ -197,7 +201,7 @@
                 effect()
 
     def _build(self, values: list[tuple[JobRecord, bytes]]) -> Transaction:
-        conditions = [self._build_own_condition()]
+        conditions = [self._build_leader_condition()]
         writes = []
         for record, value in values:
             conditions.append(
@@ -206,22 +210,22 @@
             writes.append(RowWrite(PROGRESS_TABLE, record.job_id, value))
         return Transaction(tuple(conditions), tuple(writes))
 
-    def _build_own_condition(self) -> RowCondition:
-        version = self._authority.row_version
+    def _build_leader_condition(self) -> RowCondition:
+        version = self._term.row_version
         return RowCondition(CONTROL_TABLE, LEADER_KEY, version)
 
     def _check_fence(self, result: TransactionResult) -> None:
         if result.committed:
             return
         row = result.found.get((CONTROL_TABLE, LEADER_KEY))
-        if row is None or row.version != self._authority.row_version:
+        if row is None or row.version != self._term.row_version:
             raise FencedError(step="leader.commit")
 
-    def _adopt(
+    def _adopt_row_versions(
         self, result: TransactionResult, part: list[tuple[JobRecord, list[Effect]]]
     ) -> None:
-        # Only this epoch writes these rows, so another version is that of an earlier
-        # try whose answer was lost.
+        # Only the leader of this epoch writes these rows, so a different version stems
+        # from an earlier attempt whose answer was lost.
         for record, _ in part:
             row = result.found.get((PROGRESS_TABLE, record.job_id))
             record.row_version = row.version if row and not row.removed else 0
@@ -230,7 +234,7 @@
 def _is_written(
     values: list[tuple[JobRecord, bytes]], result: TransactionResult
 ) -> bool:
-    """Tell whether the rows already hold what was to be written."""
+    """Tell whether the rows already hold the values to be written."""
     found = result.found
     rows = [found.get((PROGRESS_TABLE, record.job_id)) for record, _ in values]
     return all(
@@ -242,10 +246,10 @@
 def _split(
     batch: list[tuple[JobRecord, list[Effect]]],
 ) -> tuple[list[tuple[JobRecord, list[Effect]]], list[tuple[JobRecord, list[Effect]]]]:
-    """Return as many jobs as one call may carry, and the rest."""
+    """Return the jobs that fit into one transaction, and the rest."""
     size = 0
     for number, (record, _) in enumerate(batch):
         size += len(encode_progress(record))
-        if size > TRANSACTION_BYTES and number:
+        if size > MAX_TRANSACTION_BYTES and number:
             return batch[:number], batch[number:]
     return batch, []
--- a/pistachiodeal/leader/feed.py
+++ b/pistachiodeal/leader/feed.py
@@ -1,4 +1,8 @@
-"""Keeps the book in step with the jobs table, by a feed and by announcements."""
+"""Keeps the leader's jobs up to date with the jobs table of the store.
+
+The leader follows the table by long polls. Entries also announce the rows that they
+have written, since the store may omit changes from a poll.
+"""
 
 from __future__ import annotations
 
@@ -23,19 +27,19 @@
 
 log = Logger("leader")
 
-# A poll whose connection lost its other end hears nothing until it is given up, and a
-# cancellation that nobody hears leaves tasks running. So polls are short.
+# Long polls are short because a poll on a half-open connection receives nothing until
+# it times out, and tasks whose cancellation isn't received keep running.
 FEED_WAIT_S = 0.8
-# A job that an entry has announced is read by itself when the feed is this late.
-ANNOUNCED_S = 0.3
+# An announced row is read directly if the feed has not delivered it after this long.
+ANNOUNCED_READ_DELAY_S = 0.3
 RETRY_S = 0.2
 
 
 class JobFeed:
-    """Takes in what entries write into the jobs table.
+    """Applies the rows that entries write into the jobs table.
 
     :param cancel: cancels a job by its id.
-    :param changed: called after rows were taken in.
+    :param changed: called after rows have been applied.
     """
 
     def __init__(
@@ -50,20 +54,20 @@
         self._book = book
         self._events = events
         self._cancel = cancel
-        self._touch = changed
+        self._on_changed = changed
         self._feed_version = 0
         self._announced: dict[str, float] = {}
 
     def start_after(self, version: int) -> None:
-        """Follow from a version of the store, up to which the table has been read."""
+        """Set the version of the store up to which the table has been read."""
         self._feed_version = version
 
     def announce(self, key: str) -> None:
-        """Note that a row of the jobs table is durable; the feed should show it.
+        """Expect a row of the jobs table that is durable now.
 
-        A cancellation is taken in at once: an entry that asks the store tells callers
-        of it by now, and another, that asks here, would tell them that the job is
-        active again.
+        A cancellation is applied immediately. An entry that reads the store already
+        reports the job as cancelled, and an entry that asks the leader would otherwise
+        report it as active again.
         """
         job_id, cancels = split_key(key)
         if cancels:
@@ -71,7 +75,7 @@
         self._announced.setdefault(key, read_boot_clock())
 
     async def follow(self) -> None:
-        """Follow the table for ever."""
+        """Follow the table without end."""
         while True:
             try:
                 page = await self._store.follow(
@@ -87,19 +91,19 @@
             self._apply_rows(page.rows)
             self._feed_version = max(self._feed_version, page.version)
             if page.rows:
-                await self._touch()
+                await self._on_changed()
 
     async def check_announced(self) -> None:
-        """Read what was announced and the feed has not shown.
+        """Read announced rows that the feed has not delivered.
 
-        The store may drop its history and let a feed go on as if nothing had changed;
-        an accepted job would then wait for the next leader.
+        The store may drop its history while polls go on as if nothing had changed.
+        Without this read, an accepted job would wait until the next leader.
         """
         now = read_boot_clock()
         for key, announced_at in list(self._announced.items()):
             if self._is_known(key):
                 del self._announced[key]
-            elif now - announced_at > ANNOUNCED_S:
+            elif now - announced_at > ANNOUNCED_READ_DELAY_S:
                 await self._read_row(key)
 
     def _is_known(self, key: str) -> bool:
@@ -116,7 +120,7 @@
         self._events.emit("job.announced", key=key, found=len(page.rows))
         self._announced.pop(key, None)
         self._apply_rows(page.rows)
-        await self._touch()
+        await self._on_changed()
 
     async def _reread(self) -> None:
         try:
@@ -127,7 +131,7 @@
             return
         self._apply_rows(page.rows)
         self._feed_version = page.version
-        await self._touch()
+        await self._on_changed()
 
     def _apply_rows(self, rows: tuple[StoredRow, ...]) -> None:
         for row in rows:
--- a/pistachiodeal/leader/leadership.py
+++ b/pistachiodeal/leader/leadership.py
@@ -1,4 +1,4 @@
-"""Leads under one epoch: loads all jobs, then decides until another takes over."""
+"""Leads for one epoch: loads all jobs, then plans until another process leads."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 from pistachiodeal.leader.advice import AdviceCache
 from pistachiodeal.leader.book import JobBook
 from pistachiodeal.leader.closures import ClosureWatch
-from pistachiodeal.leader.commits import REMOVALS, CommitLog, LeaderTerm
+from pistachiodeal.leader.commits import MAX_REMOVALS, FencedWriter, LeaderTerm
 from pistachiodeal.leader.feed import JobFeed
-from pistachiodeal.leader.learned_state import LessonKeeper
+from pistachiodeal.leader.learned_state import LearnedStatePersister
 from pistachiodeal.leader.planner import Planner
 from pistachiodeal.leader.reconcile import Reconciler
 from pistachiodeal.leader.sessions import AgentSessions
-from pistachiodeal.leader.startup_wait import Settling
+from pistachiodeal.leader.startup_wait import StartupWait
 from pistachiodeal.leader.workers import Fleet, split_place
 from pistachiodeal.scheduling.interference import InterferenceModel
 from pistachiodeal.store.row_store import RowStore, StoredRow
@@ -40,29 +40,31 @@
 
 log = Logger("leader")
 
-# A round takes what has gathered since the last one. It rests for this long, and as
-# long as it took: without the rest planning would leave no time for reports.
+# A round of planning handles all changes since the last one. The pause after it lasts
+# as long as the round took, and at least this long: without it, planning would leave no
+# time for reports.
 PLAN_PAUSE_S = 0.01
-PLAN_REST = 1.0
+PLAN_REST_FACTOR = 1.0
 TICK_S = 0.25
 RETRY_S = 0.2
-# Writes on their way at a time, each with jobs of its own, for a store that is slow.
+# Concurrent writes to a slow store, each of different jobs.
 WRITERS = 3
-# A write that takes longer than this is of a slow store; usual are 4 to 10 ms.
+# A longer write means that the store is slow; 4 to 10 ms are usual.
 SLOW_WRITE_S = 0.06
-# A final state is kept a little longer than promised.
+# Final states are kept slightly longer than the configured time.
 KEPT_MARGIN_S = 30.0
-# A leader that has led for less, or whose store is away, has enough to do.
-CALM_S = 2.0
+# A leader that has led for less than this, or that has not reached the store for this
+# long, should not hand over.
+STABLE_AFTER_S = 2.0
 
 
 class Leadership:
-    """What a leader knows and does."""
+    """The state and the background loops of a leader, for one epoch."""
 
     def __init__(
         self,
         store: RowStore,
-        authority: LeaderTerm,
+        term: LeaderTerm,
         find_queue: Callable[[Queue], Queue],
         limits: LimitSettings,
         events: EventLog,
@@ -70,8 +72,8 @@
         adviser: Adviser | None = None,
     ) -> None:
         self._store = store
-        self._authority = authority
-        self._took_at = authority.taken_by
+        self._term = term
+        self._acquired_by = term.acquired_by
         self._kept_s = limits.kept_s + KEPT_MARGIN_S
         self._events = events
         self._changed = curio.Event()
@@ -82,8 +84,10 @@
         self._closures = ClosureWatch(
             store, self._fleet, limits.closing_ms / 1000, events
         )
-        self._feed = JobFeed(store, self._book, events, self._cancel, self._touch)
-        self._commits = CommitLog(store, authority, events)
+        self._feed = JobFeed(
+            store, self._book, events, self._cancel, self._notify_changed
+        )
+        self._writer = FencedWriter(store, term, events)
         interference = InterferenceModel()
         self._advice = None
         if adviser is not None:
@@ -91,9 +95,9 @@
         self._reconciler = Reconciler(
             self._book, self._fleet, interference, events, advice=self._advice
         )
-        self._lessons = LessonKeeper(
+        self._learned_state = LearnedStatePersister(
             store,
-            self._commits,
+            self._writer,
             interference,
             self._book.expectations.durations,
             events,
@@ -109,7 +113,7 @@
             advice=self._advice,
         )
         self._sessions = AgentSessions(
-            self._commits,
+            self._writer,
             self._fleet,
             self._reconciler,
             self._closures,
@@ -118,23 +122,23 @@
         )
         self._loaded = False
         self._loaded_at = 0.0
-        self._settling = Settling(self._fleet)
+        self._startup_wait = StartupWait(self._fleet)
         self._paused = False
 
     @property
     def epoch(self) -> int:
         """Return the epoch."""
-        return self._authority.epoch
+        return self._term.epoch
 
     @property
     def loaded(self) -> bool:
-        """Tell whether all jobs are known."""
+        """Tell whether all jobs have been loaded."""
         return self._loaded
 
     @property
     def store_age_s(self) -> float:
-        """Return how long ago the store last confirmed this leader."""
-        return read_boot_clock() - self._commits.confirmed_at
+        """Return the time since the store last confirmed this leader, seconds."""
+        return read_boot_clock() - self._writer.confirmed_at
 
     @property
     def sessions(self) -> AgentSessions:
@@ -152,45 +156,46 @@
         return self._fleet
 
     def find_state(self, job_id: str) -> JobState | None:
-        """Return the durable state of a job, None when it isn't known (yet)."""
+        """Return the durable state of a job, None if it is unknown or not loaded."""
         record = self._book.records.get(job_id) if self._loaded else None
         return record.shown if record is not None else None
 
     def announce(self, key: str) -> None:
-        """Note that a row of the jobs table is durable; see :class:`JobFeed`."""
+        """Expect a durable row of the jobs table; see :meth:`JobFeed.announce`."""
         self._feed.announce(key)
 
     @property
     def stable(self) -> bool:
-        """Tell whether a change of the leader would disturb little now."""
+        """Tell whether a hand-over would cause little disruption now."""
         lasted_s = read_boot_clock() - self._loaded_at
         return (
-            self._settling.done
-            and lasted_s > CALM_S
-            and self._commits.last_write_s < SLOW_WRITE_S
-            and self.store_age_s < CALM_S
+            self._startup_wait.done
+            and lasted_s > STABLE_AFTER_S
+            and self._writer.last_write_s < SLOW_WRITE_S
+            and self.store_age_s < STABLE_AFTER_S
         )
 
     def pause(self) -> None:
-        """Decide and write nothing more, since the lead is being handed over."""
+        """Stop planning and writing while leadership is being handed over."""
         self._paused = True
 
     async def resume(self) -> None:
-        """Decide again: nobody has taken the lead over."""
+        """Plan and write again, since the hand-over has failed."""
         self._paused = False
-        await self._touch()
+        await self._notify_changed()
 
     async def step_down(self, epoch: int) -> None:
-        """End, since another process leads under a higher epoch.
+        """Stop leading, since another process leads under a higher epoch.
 
-        A leader that the store turns away can't see for itself that it was replaced.
-        While it goes on, its agents and followers stay with it and get no work.
+        A leader that the store refuses can't detect by itself that it was replaced.
+        As long as it goes on, its agents and followers stay connected to it and get no
+        work.
         """
         self._events.emit("leader.superseded", epoch=self.epoch, by=epoch)
         await self._superseded.set()
 
     async def run(self) -> None:
-        """Lead.
+        """Lead until another process does.
 
         :raises FencedError: another process leads now.
         """
@@ -202,39 +207,39 @@
 
     async def _lead(self) -> None:
         await self._load()
-        keepers: list[Child] = [
+        loops: list[Child] = [
             self._feed.follow,
-            *(partial(self._keep_writing, number) for number in range(WRITERS)),
-            self._keep_planning,
-            self._keep_right,
-            self._lessons.run,
+            *(partial(self._run_writer, number) for number in range(WRITERS)),
+            self._run_planner,
+            self._run_upkeep,
+            self._learned_state.run,
             self._closures.run,
         ]
         if self._advice is not None:
-            keepers.append(self._advice.run)
-        await run_until_one_ends(*keepers)
+            loops.append(self._advice.run)
+        await run_until_one_ends(*loops)
 
     async def _load(self) -> None:
         while not self._loaded:
             try:
-                await gather(self._closures.look, self._read_everything)
+                await gather(self._closures.refresh, self._read_jobs)
                 self._loaded = True
-                await self._touch()
+                await self._notify_changed()
             except StoreError as error:
                 log.info("leader: cannot read the jobs yet: {}", error)
                 await curio.sleep(RETRY_S)
         self._loaded_at = read_boot_clock()
         nodes = {split_place(place)[0] for place in self._book.list_places()}
-        self._settling.begin(nodes, self._loaded_at)
+        self._startup_wait.begin(nodes, self._loaded_at)
         self._events.emit(
             "leader.loaded",
             epoch=self.epoch,
             jobs=len(self._book.records),
             open=len(self._book.open_records),
-            took_ms=int((self._loaded_at - self._took_at) * 1000),
+            took_ms=int((self._loaded_at - self._acquired_by) * 1000),
         )
 
-    async def _read_everything(self) -> None:
+    async def _read_jobs(self) -> None:
         jobs, progress = await read_tables(self._store)
         values = {row.key: row for row in progress.rows}
         cancelled = []
@@ -253,7 +258,8 @@
         undivided = row.partition == UNDIVIDED_PARTITION
         if known is not None:
             if known.undivided != undivided:
-                # Handed in again after submissions were divided; it is one job.
+                # Submitted once before and once after submissions were partitioned; it
+                # is one job.
                 known.undivided = True
                 self._events.emit("row.twofold", key=row.key, partition=row.partition)
             return
@@ -277,12 +283,14 @@
         for task in self._book.cancel(job_id):
             self._reconciler.stop(task, "its job is cancelled")
 
-    async def _keep_writing(self, number: int) -> None:
-        """Write what is decided; one of several writers that share the work.
+    async def _run_writer(self, number: int) -> None:
+        """Write decisions, as one of several concurrent writers.
+
+        With a single writer, a decision made during a slow write would wait for that
+        write and then for its own. Writers beyond the first start only if a write takes
+        long, so that a fast store gets no more calls than from one writer.
 
-        What is decided while a slow store takes a write would wait for that one and
-        then for its own. Writers beyond the first only begin where a write takes long:
-        a store that answers soon gets no more calls than from one writer.
+        :param number: of the writer, 0 for the first.
         """
         while True:
             await self._unsaved.wait()
@@ -290,58 +298,58 @@
             if number:
                 await curio.sleep(number * SLOW_WRITE_S)
             while self._book.has_writable and not self._paused:
-                await self._commits.write(self._book)
+                await self._writer.write(self._book)
                 await self._sessions.send_orders()
                 await self._changed.set()
                 if self._book.has_unsaved:
                     await self._unsaved.set()
 
-    async def _keep_planning(self) -> None:
+    async def _run_planner(self) -> None:
         while True:
             await curio.ignore_after(TICK_S, self._changed.wait)
             self._changed.clear()
             began_at = read_boot_clock()
-            if self._settling.is_done(began_at) and not self._paused:
-                whole = self._planner.plan()
-                if not whole:
+            if self._startup_wait.is_done(began_at) and not self._paused:
+                complete = self._planner.plan()
+                if not complete:
                     await self._changed.set()
             took_s = read_boot_clock() - began_at
             await self._sessions.send_orders()
             if self._book.has_unsaved:
                 await self._unsaved.set()
-            await curio.sleep(max(PLAN_PAUSE_S, PLAN_REST * took_s))
+            await curio.sleep(max(PLAN_PAUSE_S, PLAN_REST_FACTOR * took_s))
 
-    async def _keep_right(self) -> None:
+    async def _run_upkeep(self) -> None:
         while True:
             await curio.sleep(TICK_S)
             if self._paused:
-                # The row may name the successor already. Ending for that would close
-                # the links before everybody has been told who leads.
+                # The row may already name the successor. Stopping because of that would
+                # close the links before all peers have been told who leads.
                 continue
-            await self._commits.confirm()
+            await self._writer.confirm()
             for place in self._book.list_places():
-                if self._sessions.is_lost(self._took_at, place):
+                if self._sessions.is_lost(self._acquired_by, place):
                     self._reconciler.lose(place, "its leases have run out")
-                    await self._touch()
+                    await self._notify_changed()
             await self._feed.check_announced()
             await self._remove_old()
 
     async def _remove_old(self) -> None:
-        old = self._book.list_expired(read_boot_clock(), self._kept_s)[:REMOVALS]
+        old = self._book.list_expired(read_boot_clock(), self._kept_s)[:MAX_REMOVALS]
         if not old:
             return
-        if await self._commits.remove(old):
+        if await self._writer.remove(old):
             for record in old:
                 self._book.remove(record)
 
-    async def _touch(self) -> None:
+    async def _notify_changed(self) -> None:
         await self._changed.set()
         if self._book.has_unsaved:
             await self._unsaved.set()
 
 
 async def lead(leadership: Leadership) -> None:
-    """Lead until fenced; the end is no error of the process."""
+    """Lead until fenced, which is no error of the process."""
     try:
         await leadership.run()
     except FencedError as error:
--- a/pistachiodeal/leader/learned_state.py
+++ b/pistachiodeal/leader/learned_state.py
@@ -1,8 +1,8 @@
-"""What a leader has learnt outlives it, as one row of the store.
+"""Persists what a leader has learned in one row of the store, for its successor.
 
-The failure that this answers: five changes of the leader within 40 s, and everything
-down at once near the end. Each successor took every pair of images for untried, and
-found out at the cost of serving tasks over their aim what its predecessor had known.
+Without it, each new leader treats every pair of images as untried, and learns again
+which ones interfere while serving tasks exceed their latency target. Five changes of
+the leader within 40 s and a complete restart have shown this.
 """
 
 from __future__ import annotations
@@ -16,31 +16,32 @@
 from pistachiodeal.events import EventLog
 from pistachiodeal.exceptions import ProtocolError, StoreError
 from pistachiodeal.jobs.checks import check_fields
-from pistachiodeal.leader.commits import CONTROL_TABLE, CommitLog
+from pistachiodeal.leader.commits import CONTROL_TABLE, FencedWriter
 from pistachiodeal.scheduling.durations import DurationFit, DurationModel
 from pistachiodeal.scheduling.interference import InterferenceModel, Lesson
 from pistachiodeal.store.row_store import RowStore, RowWrite, read_row
 
 log = Logger("lessons")
 
-LESSONS_KEY = "lessons"
-# A pair is known after a second or two, so this loses little; one small write.
-KEEP_S = 2.0
+LEARNED_STATE_KEY = "lessons"
+# A pair is learned within a second or two, so losing this much costs little. The write
+# is small.
+SAVE_INTERVAL_S = 2.0
 RETRY_S = 0.2
-# Writes of one partition wait for each other. On a store that takes this long, and not
-# some 5 ms, jobs go first.
+# Writes to one partition wait for each other. If a write takes this long instead of
+# about 5 ms, jobs take precedence.
 SLOW_WRITE_S = 0.1
-# 40 bytes a pair and 80 a queue: far below what a row may hold.
-MOST_LESSONS = 500
-MOST_QUEUES = 100
-FIT_FIGURES = len(fields(DurationFit))
+# At 40 bytes for a pair and 80 for a queue, the row stays far below the size limit.
+MAX_PAIRS = 500
+MAX_QUEUES = 100
+FIT_FIELD_COUNT = len(fields(DurationFit))
 
 
 @dataclass(frozen=True, slots=True)
-class Lessons:
-    """All that a leader leaves to its successor.
+class LearnedState:
+    """Everything that a leader passes on to its successor.
 
-    :param pairs: which images disturb each other.
+    :param pairs: which images interfere with each other.
     :param durations: how long tasks take, by queue.
     """
 
@@ -48,25 +49,25 @@
     durations: dict[str, DurationFit]
 
 
-class LessonKeeper:
-    """Reads what a predecessor has learnt, and writes what this leader learns."""
+class LearnedStatePersister:
+    """Loads the learned state of the predecessor, then saves that of this leader."""
 
     def __init__(
         self,
         store: RowStore,
-        commits: CommitLog,
+        writer: FencedWriter,
         model: InterferenceModel,
         durations: DurationModel,
         events: EventLog,
     ) -> None:
         self._store = store
-        self._commits = commits
+        self._writer = writer
         self._model = model
         self._durations = durations
         self._events = events
 
     async def run(self) -> None:
-        """Read once, then write for ever.
+        """Load the state once, then save it whenever it changes.
 
         :raises FencedError: another process leads now.
         """
@@ -74,59 +75,61 @@
             await curio.sleep(RETRY_S)
         written = b""
         while True:
-            await curio.sleep(KEEP_S)
-            value = encode_lessons(self._collect())
-            if value == written or self._commits.last_write_s > SLOW_WRITE_S:
+            await curio.sleep(SAVE_INTERVAL_S)
+            value = encode_learned_state(self._collect())
+            if value == written or self._writer.last_write_s > SLOW_WRITE_S:
                 continue
-            if await self._commits.keep(RowWrite(CONTROL_TABLE, LESSONS_KEY, value)):
+            if await self._writer.write_rows(
+                RowWrite(CONTROL_TABLE, LEARNED_STATE_KEY, value)
+            ):
                 written = value
 
-    def _collect(self) -> Lessons:
-        newest = list(self._durations.fits.items())[-MOST_QUEUES:]
-        return Lessons(self._model.list_lessons(MOST_LESSONS), dict(newest))
+    def _collect(self) -> LearnedState:
+        newest = list(self._durations.fits.items())[-MAX_QUEUES:]
+        return LearnedState(self._model.list_lessons(MAX_PAIRS), dict(newest))
 
     async def _load(self) -> bool:
         try:
-            page = await read_row(self._store, CONTROL_TABLE, LESSONS_KEY)
+            page = await read_row(self._store, CONTROL_TABLE, LEARNED_STATE_KEY)
         except StoreError as error:
-            log.debug("lessons: cannot read them yet: {}", error)
+            log.debug("lessons: cannot read the learned state yet: {}", error)
             return False
         for row in page.rows:
             try:
-                lessons = decode_lessons(row.value)
+                learned = decode_learned_state(row.value)
             except ProtocolError as error:
                 self._events.emit(
                     "row.unreadable", table=CONTROL_TABLE, key=row.key, cause=str(error)
                 )
                 continue
-            self._model.adopt(lessons.pairs)
-            for queue, fit in lessons.durations.items():
+            self._model.adopt(learned.pairs)
+            for queue, fit in learned.durations.items():
                 self._durations.adopt(queue, fit)
             self._events.emit(
                 "lessons.adopted",
-                pairs=len(lessons.pairs),
-                queues=len(lessons.durations),
+                pairs=len(learned.pairs),
+                queues=len(learned.durations),
             )
         return True
 
 
-def encode_lessons(lessons: Lessons) -> bytes:
-    """Return the value of the row."""
+def encode_learned_state(learned: LearnedState) -> bytes:
+    """Return the value to store in the row."""
     pairs = [
-        [one.filling, one.serving, round(one.press, 2), round(one.variance, 3)]
-        for one in lessons.pairs
+        [pair.filling, pair.serving, round(pair.press, 2), round(pair.variance, 3)]
+        for pair in learned.pairs
     ]
     durations = {
         queue: [round(figure, 3) for figure in astuple(fit)]
-        for queue, fit in lessons.durations.items()
+        for queue, fit in learned.durations.items()
     }
     return orjson.dumps({"pairs": pairs, "durations": durations})
 
 
-def decode_lessons(value: bytes) -> Lessons:
-    """Return what a row says.
+def decode_learned_state(value: bytes) -> LearnedState:
+    """Decode the value of the row.
 
-    :raises ProtocolError: the value was not written by this project.
+    :raises ProtocolError: the value is malformed.
     """
     try:
         document = orjson.loads(value)
@@ -136,11 +139,12 @@
             for queue, figures in document["durations"].items()
         }
         if any(
-            len(figures) != FIT_FIGURES for figures in document["durations"].values()
+            len(figures) != FIT_FIELD_COUNT
+            for figures in document["durations"].values()
         ):
-            raise ValueError("a queue has too few figures, or too many")
-        for one in (*pairs, *durations.values()):
-            check_fields(one)
+            raise ValueError("a queue has too few or too many figures")
+        for item in (*pairs, *durations.values()):
+            check_fields(item)
     except (ValueError, KeyError, TypeError, AttributeError) as error:
         raise ProtocolError(repr(error), step="lessons.decode") from error
-    return Lessons(pairs, durations)
+    return LearnedState(pairs, durations)
--- a/pistachiodeal/leader/sessions.py
+++ b/pistachiodeal/leader/sessions.py
@@ -1,4 +1,4 @@
-"""The leader's links: one session for each agent and each entry."""
+"""The leader's sessions with agents, one for each link."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from pistachiodeal.clock import read_boot_clock
 from pistachiodeal.events import EventLog
 from pistachiodeal.leader.closures import ClosureWatch
-from pistachiodeal.leader.commits import CommitLog
+from pistachiodeal.leader.commits import FencedWriter
 from pistachiodeal.leader.reconcile import Reconciler
 from pistachiodeal.leader.workers import Attachment, Fleet, WorkerState
 from pistachiodeal.wire.job_messages import TOKENS_GRANTED, WorkerReport
@@ -16,22 +16,23 @@
 
 log = Logger("leader")
 
-# How long leases run without the leader. Longer: running work outlives a longer outage
-# of the store or of the leader; shorter: the tasks of a worker that is gone without a
-# trace wait less. Outages of some seconds are common, and workers that vanish are not.
+# How long leases run without contact to the leader. A longer time lets running tasks
+# survive a longer outage of the store or the leader. A shorter time lets the tasks of a
+# worker that vanished restart sooner. Outages of some seconds are common, and workers
+# rarely vanish.
 GRANT_S = 11.0
-# The runner's clock may be 2% slow and ends runs a little after their lease.
+# A runner's clock may be 2% slow, and a runner ends runs slightly after their lease.
 LOST_MARGIN_S = 0.5
-# Bits for the tokens of one epoch.
+# A fencing token has the epoch in its high bits and a number below these bits.
 TOKEN_SHIFT = 30
 
 
 class AgentSessions:
-    """Serves agents: takes reports, sends directives, knows who is attached."""
+    """Serves agents: applies their reports and sends them directives."""
 
     def __init__(
         self,
-        commits: CommitLog,
+        writer: FencedWriter,
         fleet: Fleet,
         reconciler: Reconciler,
         closures: ClosureWatch,
@@ -39,7 +40,7 @@
         events: EventLog,
         changed: curio.Event,
     ) -> None:
-        self._commits = commits
+        self._writer = writer
         self._closures = closures
         self._fleet = fleet
         self._reconciler = reconciler
@@ -49,10 +50,10 @@
         self._links: dict[str, tuple[Link, Attachment]] = {}
 
     async def serve(self, link: Link) -> None:
-        """Serve one agent until its link ends."""
+        """Serve one agent until its link closes."""
         node = link.peer.node
         self._tokens += TOKENS_GRANTED
-        token = (self._commits.epoch << TOKEN_SHIFT) + self._tokens
+        token = (self._writer.epoch << TOKEN_SHIFT) + self._tokens
         attachment = Attachment(node, token)
         worker = self._fleet.get(node)
         self._fleet.locate(worker, link.peer.data_centre)
@@ -63,7 +64,7 @@
             while True:
                 message = await link.receive()
                 if isinstance(message, WorkerReport):
-                    await self._take_report(link, worker, attachment, message)
+                    await self._handle_report(link, worker, attachment, message)
         finally:
             if worker.attachment is attachment:
                 worker.attachment = None
@@ -72,20 +73,25 @@
             await self._changed.set()
 
     async def send_orders(self) -> None:
-        """Send what waits in the outboxes."""
+        """Send the contents of all outboxes."""
         for node, (link, attachment) in list(self._links.items()):
             worker = self._fleet.get(node)
             if attachment.beat and not attachment.outbox.empty:
                 await self._send(link, worker, attachment)
 
-    def is_lost(self, took_at: float, place: str) -> bool:
-        """Tell whether every lease at a place has certainly run out."""
+    def is_lost(self, acquired_by: float, place: str) -> bool:
+        """Tell whether every lease at a place has certainly expired.
+
+        :param acquired_by: when this process became the leader, boot clock. The
+            predecessor may have granted leases until then.
+        :param place: node and worker.
+        """
         worker = self._fleet.get(place.partition("/")[0])
-        until = max(worker.granted_until, took_at + GRANT_S) + LOST_MARGIN_S
+        until = max(worker.granted_until, acquired_by + GRANT_S) + LOST_MARGIN_S
         present = worker.attachment is not None and worker.place == place
         return not present and read_boot_clock() > until
 
-    async def _take_report(
+    async def _handle_report(
         self,
         link: Link,
         worker: WorkerState,
@@ -103,21 +109,21 @@
     ) -> None:
         if worker.closed:
             attachment.withdraw_starts()
-        # The grant may not outlive this process's own right to lead: a successor
-        # waits for it from the moment of its own take-over.
-        until = min(attachment.heard_at, self._commits.confirmed_at) + GRANT_S
-        grant_ms = _measure_ms(attachment, until)
+        # The grant must not outlast the last confirmation of this leader plus GRANT_S:
+        # a successor waits for old grants only from the time of its own election.
+        until = min(attachment.heard_at, self._writer.confirmed_at) + GRANT_S
+        grant_ms = _compute_ms_after_report(attachment, until)
         worker.granted_until = max(worker.granted_until, until)
         directive = attachment.build_directive(
-            self._commits.epoch,
+            self._writer.epoch,
             worker.worker,
             worker.ends_noted,
             grant_ms,
-            _measure_ms(attachment, self._closures.starts_until),
+            _compute_ms_after_report(attachment, self._closures.starts_until),
         )
         await link.send(directive)
 
 
-def _measure_ms(attachment: Attachment, until: float) -> int:
-    """Return the time from an agent's newest report to a moment of the boot clock."""
+def _compute_ms_after_report(attachment: Attachment, until: float) -> int:
+    """Return the time from an agent's newest report until a time, milliseconds."""
     return max(0, int((until - attachment.heard_at) * 1000))
--- a/tests/unit/test_closed_data_centres.py
+++ b/tests/unit/test_closed_data_centres.py
@@ -27,16 +27,16 @@
 from tests.unit.test_job_cluster import wait_for
 from tests.unit.test_jobagent_executor import build_stage
 from tests.unit.test_leader_planner import QUEUE, Cluster
-from tests.unit.test_leader_sessions import NODE, Stage
+from tests.unit.test_leader_sessions import NODE, SessionsFixture
 
-# A closing is in force within this.
+# The time within which a closing takes effect.
 IN_FORCE_S = 1.0
 WAIT_S = 5.0
 CLOSING_S = 5.0
 
 
 def list_starts(cluster: JobCluster, worker: str) -> list[str]:
-    """Return the tasks that a worker has begun, over all its incarnations."""
+    """Return the tasks that a worker has started, in all its incarnations."""
     begun = cluster.witness.begun
     names = [name for name in begun if name.startswith(f"{worker}-")]
     return [task for name in names for task in begun[name]]
@@ -80,7 +80,7 @@
 
 
 def test_a_new_leader_starts_nothing_in_a_closed_data_centre():
-    """Guards against a successor that decides before it knows what is closed."""
+    """Guards against a successor that plans before it has read what is closed."""
 
     async def main():
         async with run_cluster(entries=3, work_s=1.0) as cluster:
@@ -101,8 +101,8 @@
     curio.run(main)
 
 
-def test_a_successor_decides_only_once_it_knows_what_is_closed():
-    """Guards against tasks placed where their orders are refused, by a slow look."""
+def test_a_successor_plans_only_once_it_has_read_what_is_closed():
+    """Guards against orders that are refused, if reading the closings is slow."""
 
     async def main():
         async with run_cluster(entries=3) as cluster:
@@ -125,7 +125,7 @@
 
 
 def test_what_runs_in_a_closed_data_centre_goes_on():
-    """Guards against work that is thrown away since its data centre was closed."""
+    """Guards against running tasks being stopped when their data centre is closed."""
 
     async def main():
         async with run_cluster(agents=1, work_s=1.5) as cluster:
@@ -140,7 +140,7 @@
 
 
 def test_a_closing_is_noticed_while_history_is_dropped_and_the_store_is_slow():
-    """Guards against a closing that is known only by a change that was lost."""
+    """Guards against relying on a change feed that may lose a closing."""
 
     async def main():
         async with run_cluster() as cluster:
@@ -155,7 +155,7 @@
 
 
 def test_unknown_names_and_all_data_centres_may_be_closed():
-    """Guards against a leader that ends, or starts work, when everything is closed."""
+    """Guards against a leader that fails, or starts tasks, if all are closed."""
 
     async def main():
         async with run_cluster() as cluster:
@@ -185,7 +185,7 @@
     return attachment
 
 
-def test_orders_that_have_not_left_are_taken_back():
+def test_orders_that_have_not_been_sent_are_withdrawn():
     """Guards against an order that was decided before a closing and sent after it."""
     fleet = Fleet()
     attachment = attach_worker(fleet, "a")
@@ -197,7 +197,7 @@
 
 
 def test_only_workers_of_closed_data_centres_are_closed():
-    """Guards against views of other workers that are built anew for each closing."""
+    """Guards against rebuilding the views of other workers for each closing."""
     fleet = Fleet()
     for name in ("a", "b"):
         attach_worker(fleet, name)
@@ -211,7 +211,7 @@
 
 
 class LateRows(MemoryRows):
-    """A store whose answers are on their way for a while."""
+    """A store whose answers are delayed after they have been read."""
 
     late_s = 0.0
 
@@ -230,18 +230,18 @@
 
 
 def test_an_older_answer_changes_nothing():
-    """Guards against an answer that was overtaken, and opens what is closed."""
+    """Guards against an out-of-order answer that reopens a closed data centre."""
 
     async def main():
         state = RowsState()
         fleet, store = Fleet(), LateRows(state)
         watch = ClosureWatch(store, fleet, CLOSING_S, create_quiet_log())
         store.late_s = 0.3
-        late = await curio.spawn(watch.look)
+        late = await curio.spawn(watch.refresh)
         await curio.sleep(0.1)
         store.late_s = 0.0
         close_data_centre(state, "a")
-        await watch.look()
+        await watch.refresh()
         await late.join()
         assert fleet.closed == {"a"}
 
@@ -249,14 +249,14 @@
 
 
 def test_starts_end_before_a_closing_that_was_not_seen_is_in_force():
-    """Guards against a leader that stands still, wakes, and sends what it decided."""
+    """Guards against a leader that is suspended, resumes and sends old decisions."""
 
     async def main():
         state = RowsState()
         watch = ClosureWatch(MemoryRows(state), Fleet(), CLOSING_S, create_quiet_log())
         assert watch.starts_until <= CLOSING_S
         before = read_boot_clock()
-        await watch.look()
+        await watch.refresh()
         assert before < watch.starts_until < before + CLOSING_S - 0.5
 
     curio.run(main)
@@ -264,7 +264,7 @@
 
 @pytest.mark.parametrize(("starts_ms", "expected"), [(1_000, 1), (0, 0), (-1, 1)])
 def test_an_agent_begins_no_order_whose_time_is_over(starts_ms: int, expected: int):
-    """Guards against starts by an order that was held up on its way."""
+    """Guards against starts by an order that was delayed in transit."""
 
     async def main():
         async with build_stage() as stage:
@@ -276,16 +276,16 @@
 
 
 def test_a_directive_holds_no_start_for_a_closed_data_centre():
-    """Guards against a leader that wakes between a decision and its order."""
+    """Guards against a leader that is suspended between a decision and its order."""
 
     async def main():
-        stage = Stage()
-        link = await stage.attach()
+        fixture = SessionsFixture()
+        link = await fixture.attach()
         await link.report(1)
-        attachment = stage.fleet.get(NODE).attachment
+        attachment = fixture.fleet.get(NODE).attachment
         attachment.order_start(RunOrder("t", 1, "", "", False, 0), "job", "text")
-        stage.fleet.close(frozenset((link.peer.data_centre,)))
-        await stage.sessions.send_orders()
+        fixture.fleet.close(frozenset((link.peer.data_centre,)))
+        await fixture.sessions.send_orders()
         assert not link.sent[-1].starts
         assert link.sent[-1].stops == (RunRef("t", 1),)
 
@@ -312,7 +312,7 @@
 
 @pytest.mark.parametrize("kind", KINDS)
 def test_no_kind_of_task_is_placed_in_a_closed_data_centre(kind: str):
-    """Guards against a way of placing tasks that passes the closing by."""
+    """Guards against a placement path that ignores closings."""
     cluster = Cluster(workers=2)
     for node, data_centre in (("n0", "a"), ("n1", "b")):
         cluster.fleet.locate(cluster.fleet.get(node), data_centre)
@@ -330,7 +330,7 @@
 
 
 def test_urgent_work_stops_nothing_in_a_closed_data_centre():
-    """Guards against runs that give way to a task that may not start there."""
+    """Guards against runs preempted for a task that may not start there."""
     cluster = Cluster(workers=1)
     cluster.fleet.locate(cluster.fleet.get("n0"), "a")
     large = replace(QUEUE, name="large", priority=2)
--- a/tests/unit/test_leader_commits.py
+++ b/tests/unit/test_leader_commits.py
@@ -1,4 +1,4 @@
-"""The leader's writes: fenced, conditional, grouped."""
+"""The leader's fenced and conditional transactions."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from pistachiodeal.jobs.record import read_state
 from pistachiodeal.jobs.rows import UNDIVIDED_PARTITION
 from pistachiodeal.leader.book import JobBook
-from pistachiodeal.leader.commits import CommitLog, LeaderTerm
+from pistachiodeal.leader.commits import FencedWriter, LeaderTerm
 from pistachiodeal.leader.leadership import WRITERS, Leadership
 from pistachiodeal.store.row_store import (
     ABSENT,
@@ -26,7 +26,7 @@
 from tests.standins.rows import MemoryRows, RowsState
 
 
-def take_office(state: RowsState, epoch: int, version: int) -> LeaderTerm:
+def write_leader_row(state: RowsState, epoch: int, version: int) -> LeaderTerm:
     """Write the leader's row."""
     transaction = Transaction(
         (RowCondition("control", "leader", version),),
@@ -38,7 +38,7 @@
     return LeaderTerm(epoch, result.version, now, now)
 
 
-def create_leader(state: RowsState) -> tuple[JobBook, CommitLog, list[str]]:
+def create_leader(state: RowsState) -> tuple[JobBook, FencedWriter, list[str]]:
     """Return a leader with one job whose only task is placed."""
     events = create_quiet_log()
     book = JobBook(events)
@@ -47,19 +47,25 @@
     seen: list[str] = []
     task = next(book.records[job.job_id].iterate_tasks())
     book.place(task, 1, "node/worker", lambda: seen.append("ordered"))
-    return book, CommitLog(MemoryRows(state), take_office(state, 1, 0), events), seen
+    return (
+        book,
+        FencedWriter(MemoryRows(state), write_leader_row(state, 1, 0), events),
+        seen,
+    )
 
 
 def test_an_order_leaves_only_once_its_decision_is_durable():
-    """Symptom: a run that no successor knows of. Sequence: the order leaves, the leader
-    dies before its write. Cause: effects ran before the write was answered.
+    """Guards against a run that no successor knows of.
+
+    If effects ran before the write was answered, an order could be sent by a leader
+    that crashes before its write.
     """
 
     async def main():
         state = RowsState()
-        book, commits, seen = create_leader(state)
+        book, fenced_writer, seen = create_leader(state)
         assert seen == []
-        await commits.write(book)
+        await fenced_writer.write(book)
         assert seen == ["ordered"]
         assert ("progress", build_job(1).job_id) in state.rows
 
@@ -67,16 +73,18 @@
 
 
 def test_a_replaced_leader_writes_and_orders_nothing():
-    """Symptom: two leaders place the same task. Sequence: a successor takes the row
-    before the write. Cause: the write did not demand the leader's row.
+    """Guards against two leaders that place the same task.
+
+    A successor replaces the leader's row before the write, and the write was not
+    conditional on that row.
     """
 
     async def main():
         state = RowsState()
-        book, commits, seen = create_leader(state)
-        take_office(state, 2, state.rows["control", "leader"].version)
+        book, fenced_writer, seen = create_leader(state)
+        write_leader_row(state, 2, state.rows["control", "leader"].version)
         with pytest.raises(FencedError):
-            await commits.write(book)
+            await fenced_writer.write(book)
         assert seen == []
         assert ("progress", build_job(1).job_id) not in state.rows
 
@@ -84,16 +92,16 @@
 
 
 def test_a_write_that_is_carried_out_late_does_not_bring_an_older_state_back():
-    """Symptom: a task runs again after its end was acknowledged.
+    """Guards against a task that runs again after its end was acknowledged.
 
-    Sequence: the write of a placement gets no answer; its repeat and the write of the
-    task's end are carried out; then the first one is. Cause: it did not demand the
-    version of the row that it replaces.
+    The write of a placement gets no answer. Its retry and the write of the task's end
+    are carried out, and then the first write, which was not conditional on the version
+    of the row.
     """
 
     async def main():
         state = RowsState()
-        book, commits, _ = create_leader(state)
+        book, fenced_writer, _ = create_leader(state)
         late: list[Transaction] = []
 
         class LateRows(MemoryRows):
@@ -101,12 +109,12 @@
                 late.append(transaction)
                 return await super().commit(transaction)
 
-        commits._store = LateRows(state)  # noqa: SLF001
-        await commits.write(book)
+        fenced_writer._store = LateRows(state)  # noqa: SLF001
+        await fenced_writer.write(book)
         record = book.records[build_job(1).job_id]
         task = next(record.iterate_tasks())
         book.end_run(task, EndKind.DONE, "", lambda: None)
-        await commits.write(book)
+        await fenced_writer.write(book)
         assert not state.apply(late[0]).committed
         row: StoredRow = state.rows["progress", record.job_id]
         assert read_state(row.value) is JobState.COMPLETED
@@ -115,15 +123,17 @@
 
 
 def test_a_lost_answer_is_recognised_as_our_own_write():
-    """Symptom: the leader stops writing a job for ever. Sequence: a write is done and
-    its answer lost; the repeat finds another version. Cause: taken for a conflict.
+    """Guards against a leader that never writes a job again.
+
+    A write is carried out but its answer is lost. The retry finds another version,
+    which was taken for a conflict.
     """
 
     async def main():
         state = RowsState()
-        book, commits, seen = create_leader(state)
+        book, fenced_writer, seen = create_leader(state)
         state.faults.lost = 1.0
-        writing = await curio.spawn(commits.write, book)
+        writing = await curio.spawn(fenced_writer.write, book)
         await curio.sleep(0.05)
         state.faults.lost = 0.0
         await curio.timeout_after(2.0, writing.join)
@@ -133,20 +143,20 @@
     curio.run(main)
 
 
-def test_a_slow_store_holds_up_only_what_it_is_asked():
-    """Symptom: 1.0 s from a decision to its order on a store that takes 0.5 s.
+def test_a_slow_write_does_not_delay_another_decision():
+    """Guards against 1.0 s from a decision to its order on a store that takes 0.5 s.
 
-    Sequence: a write is on its way; another job's run is decided. Cause: there was one
-    writer, so the second decision waited for the first answer and then for its own.
+    A second job's run is decided during the write of the first. With one writer, the
+    second decision waited for that write and then for its own.
     """
 
     async def main() -> dict[int, float]:
         state = RowsState()
-        authority = take_office(state, 1, 0)
+        term = write_leader_row(state, 1, 0)
         state.faults.slow_s = 0.4
         events = create_quiet_log()
         leadership = Leadership(
-            MemoryRows(state), authority, lambda queue: queue, LimitSettings(), events
+            MemoryRows(state), term, lambda queue: queue, LimitSettings(), events
         )
         ordered: dict[int, float] = {}
         began_at = read_boot_clock()
@@ -164,26 +174,26 @@
 
         async with curio.TaskGroup(wait=any) as group:
             for writer in range(WRITERS):
-                await group.spawn(leadership._keep_writing, writer)
+                await group.spawn(leadership._run_writer, writer)
             decide(1)
-            await leadership._touch()
+            await leadership._notify_changed()
             await curio.sleep(0.05)
             decide(2)
-            await leadership._touch()
+            await leadership._notify_changed()
             await group.spawn(curio.sleep, 1.1)
         return ordered
 
     ordered = curio.run(main)
-    # By one writer the second order left after 0.8 s.
+    # With one writer, the second order was sent after 0.8 s.
     assert ordered[1] < 0.6
     assert ordered[2] < 0.7
 
 
 def test_a_job_is_never_written_twice_at_a_time():
-    """Symptom: an older state of a job comes back.
+    """Guards against a newer state of a job being overwritten by an older one.
 
-    Sequence: a job changes again while its row is being written. Cause to guard
-    against: two writes of one row on their way, carried out in the wrong order.
+    A job changes again while its row is being written. Two concurrent writes of the row
+    could be carried out in the wrong order.
     """
     book, _, _ = create_leader(RowsState())
     batch = book.take_unsaved(10)
@@ -199,18 +209,18 @@
 
 
 def test_a_write_whose_answer_was_lost_is_not_written_once_more():
-    """Symptom: each lost answer of a slow store costs two more writes of 0.7 s.
+    """Guards against two more writes of 0.7 s for each lost answer of a slow store.
 
-    Sequence: a write is done and its answer is lost; the repeat finds the row changed.
-    Cause: it only took the new version, and wrote the same value again.
+    A write is carried out but its answer is lost, so the retry finds the row changed.
+    It only adopted the new version and wrote the same value again.
     """
 
     async def main() -> tuple[int, list[str]]:
         state = RowsState()
-        book, commits, seen = create_leader(state)
+        book, fenced_writer, seen = create_leader(state)
         before = state.transactions
         state.faults.lost = 1.0
-        writer = await curio.spawn(commits.write, book)
+        writer = await curio.spawn(fenced_writer.write, book)
         while state.transactions == before:
             await curio.sleep(0.005)
         state.faults.lost = 0.0
@@ -221,24 +231,24 @@
 
 
 def test_a_removal_leaves_no_submission_without_its_progress():
-    """Symptom: a job that ended long ago runs again under the next leader.
+    """Guards against a job that ended long ago and runs again under the next leader.
 
-    Sequence: its rows are removed, and the leader dies in between, or a row in the old
-    partition is left behind. Cause: progress went first, or only one place was looked
-    at. The stand-in refuses a transaction over several partitions.
+    The leader crashes while it removes the job's rows, progress first, or it leaves
+    behind a row in the old partition. The fake store refuses transactions over several
+    partitions.
     """
 
     async def main() -> RowsState:
         state = RowsState()
         state.faults.transaction_s = 0.001
-        book, commits, _ = create_leader(state)
+        book, fenced_writer, _ = create_leader(state)
         record = book.records[build_job(1).job_id]
         record.undivided = True
         for partition in ("", UNDIVIDED_PARTITION):
             write = RowWrite("jobs", record.job_id, b"row", partition)
             state.apply(Transaction((), (write,)))
-        await commits.write(book)
-        assert await commits.remove([record])
+        await fenced_writer.write(book)
+        assert await fenced_writer.remove([record])
         return state
 
     state = curio.run(main)
@@ -249,19 +259,21 @@
     assert removed[-1] == "progress"
 
 
-def test_the_right_of_a_leader_counts_from_before_its_write():
-    """Symptom: a task runs twice. Sequence: a write takes 0.3 s; the row is replaced
-    right after it was done. Cause: the right counted from the answer, and leases that
-    hang on it outlived what the successor waits for.
+def test_a_confirmation_counts_from_before_the_write():
+    """Guards against a task that runs twice.
+
+    A write takes 0.3 s, and the leader's row is replaced right after it was carried
+    out. If the confirmation counted from the answer, leases could outlast the time that
+    the successor waits for them.
     """
 
     async def main() -> tuple[float, float]:
         state = RowsState()
-        book, commits, _ = create_leader(state)
+        book, fenced_writer, _ = create_leader(state)
         state.faults.slow_s = 0.3
         asked_at = read_boot_clock()
-        await commits.write(book)
-        return commits.confirmed_at, asked_at
+        await fenced_writer.write(book)
+        return fenced_writer.confirmed_at, asked_at
 
     confirmed_at, asked_at = curio.run(main)
     assert asked_at <= confirmed_at < asked_at + 0.2
--- a/tests/unit/test_leader_handover.py
+++ b/tests/unit/test_leader_handover.py
@@ -1,4 +1,4 @@
-"""The lead goes from one entry to another: how long nobody places, and who gets it."""
+"""Hand-over of leadership: how long no task is placed, and which entry succeeds."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 async def measure_stop(cluster: JobCluster) -> float:
-    """Stop the leader as planned; return how long a job then waits to begin."""
+    """Stop the leader as planned; return how long a new job then waits to start."""
     leader = await wait_for_leader(cluster)
     await wait_for_followers(leader, len(cluster.entries) - 1)
     await curio.sleep(0.3)
@@ -45,27 +45,26 @@
     return took_s
 
 
-def test_a_planned_stop_leaves_no_gap():
-    """Symptom: 0.9 to 1.1 s pass between two placements when the leader is stopped.
+def test_a_planned_stop_hands_over_without_a_pause():
+    """Guards against 0.9 to 1.1 s without placements when the leader is stopped.
 
-    Sequence: it leaves its row vacant and closes its links; followers ask each other
-    whether it lives, read the row, campaign, and agents search for the successor.
-    Cause: nobody was told anything.
+    A leader that only clears its row and closes its links leaves the followers to probe
+    it, read the row and campaign, and the agents to search for the successor.
     """
 
     async def main() -> float:
         async with run_cluster(entries=3, agents=2) as cluster:
             return await measure_stop(cluster)
 
-    # The best of three, as a busy machine only makes it slower.
+    # The best of three runs, since load on the machine only makes it slower.
     assert min(curio.run(main) for _ in range(3)) < 0.4
 
 
 def test_a_planned_stop_while_the_store_is_slow():
-    """Symptom: nobody led for 5.3 s when the leader was stopped on a slow store.
+    """Guards against 5.3 s without a leader when it is stopped on a slow store.
 
-    Sequence: one write to vacate the row, one to take it, two reads after another, and
-    all of them once more for the entry that was stopped next. Cause: as above.
+    Without a hand-over, the row was cleared by one write and taken by another after two
+    reads, and all of that again for the entry that was stopped next.
     """
 
     async def main() -> float:
@@ -75,16 +74,16 @@
             cluster.state.faults.transaction_s = 0.3
             return await measure_stop(cluster)
 
-    # Write the row, look at it, read the tables, insert the job, write its run: 0.7,
-    # 0.4, 0.4, 0.7 and 0.7 s; and half a second for all else.
+    # Write the row, read it, read the tables, insert the job, write its run: 0.7, 0.4,
+    # 0.4, 0.7 and 0.7 s, and half a second for everything else.
     assert curio.run(main) < 3.5
 
 
-def test_a_stopping_entry_is_no_successor():
-    """Symptom: the lead changes with each stop of a rolling restart.
+def test_a_stopping_entry_does_not_become_the_leader():
+    """Guards against a change of leader with each stop of a rolling restart.
 
-    Sequence: a follower is stopped, then the leader. Cause: the leader chose a
-    follower that was about to end.
+    A follower is stopped, then the leader, which handed over to the follower that was
+    about to end.
     """
 
     async def main() -> None:
@@ -102,7 +101,7 @@
 
 
 def test_a_last_entry_that_stops_has_nobody_to_hand_over_to():
-    """Its caller then leaves the row vacant."""
+    """The caller then clears the leader's row."""
 
     async def main() -> bool:
         async with run_cluster(entries=1, agents=0) as cluster:
@@ -113,8 +112,10 @@
 
 
 def test_a_successor_that_dies_at_once_is_replaced():
-    """Symptom: nobody leads any more. Sequence: the row names a successor, which is
-    killed before it has taken office. Cause: the old leader went on, fenced.
+    """Guards against a deployment that stays without a leader.
+
+    The row names a successor that is killed before it leads, while the old leader goes
+    on although it is fenced.
     """
 
     async def main() -> None:
@@ -141,13 +142,13 @@
     curio.run(main)
 
 
-def test_a_successor_that_was_never_told_finds_itself_in_the_row():
-    """Symptom: nobody leads any more, and every worker's leases run out.
+def test_a_successor_without_an_appointment_finds_itself_in_the_row():
+    """Guards against a deployment without a leader in which all leases expire.
 
-    Sequence: on a slow store the leader's row is replaced 0.7 s before it is told so;
-    a look at the row ends it meanwhile, and its links; the appointment is lost. The
-    successor reads that the row names it. Cause: it took itself for the leader that it
-    had heard of, dialled its own address, and followed itself.
+    On a slow store the leader's row is replaced 0.7 s before the leader gets the
+    answer. It reads the row meanwhile, stops and closes its links, and the appointment
+    is lost. The successor reads its own name in the row, took that for another leader,
+    dialled its own address and followed itself.
     """
 
     async def main() -> float:
@@ -171,12 +172,12 @@
     assert min(curio.run(main) for _ in range(3)) < 1.0
 
 
-def test_a_hand_over_on_a_slow_store_is_told_to_everybody():
-    """Symptom: agents and entries search for a successor although there is one.
+def test_a_hand_over_on_a_slow_store_is_announced_to_all_peers():
+    """Guards against agents and entries that search for a successor that exists.
 
-    Sequence: the row is replaced, and the answer takes 0.4 s; a look at the row in
-    between shows that another leads. Cause: the leader ended for that, and closed its
-    links before it had told anybody.
+    The row is replaced, and the answer takes 0.4 s. Meanwhile the old leader reads the
+    row, sees another leader, and used to stop and close its links before it had
+    announced the successor.
     """
 
     async def main() -> str:
@@ -192,11 +193,11 @@
     assert "leader_appointed 1\n" in curio.run(main)
 
 
-def test_a_weak_leader_makes_way_in_a_calm_moment():
-    """Symptom: for nine seconds half of the tasks waited 0.3 s and not 0.02 s.
+def test_a_weak_leader_hands_over_when_the_cluster_is_stable():
+    """Guards against a weak leader that leads for as long as it runs.
 
-    Sequence: a weak entry takes the lead while the strong ones restart; they come back
-    and follow it. Cause: a leader kept the lead for as long as it lived.
+    A weak entry becomes the leader while the strong ones restart and then follow it.
+    For nine seconds half of the tasks waited 0.3 s instead of 0.02 s.
     """
 
     async def main() -> str:
@@ -217,12 +218,11 @@
 
 
 def test_a_leader_that_writes_is_not_replaced_because_the_store_is_slow():
-    """Symptom: a live leader is replaced, and 160 agents and 34 entries move, just as
-    the store is well again.
+    """Guards against the replacement of a live leader just as the store recovers.
 
-    Sequence: the store takes 0.5 s for each answer; the leader's last confirmed look
-    is 1.6 s old, and a follower's own look succeeds. Cause: an age that a refused
-    leader has was taken for a refusal, whatever an answer takes.
+    It makes 160 agents and 34 entries reconnect. The store takes 0.5 s for each answer,
+    the leader's last confirmation is 1.6 s old, and a follower's own read succeeds.
+    That age was taken for a refusal, without regard to the time that answers take.
     """
 
     async def main() -> tuple[int, int]:
--- a/tests/unit/test_leader_learned_state.py
+++ b/tests/unit/test_leader_learned_state.py
@@ -1,4 +1,4 @@
-"""What a leader learnt of neighbours is there for its successor."""
+"""A successor loads what its predecessor has learned about interference."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 from pistachiodeal.leader.commits import (
     CONTROL_TABLE,
     LEADER_KEY,
-    CommitLog,
+    FencedWriter,
     LeaderTerm,
 )
 from pistachiodeal.leader.learned_state import (
-    KEEP_S,
-    LESSONS_KEY,
-    LessonKeeper,
-    Lessons,
-    decode_lessons,
-    encode_lessons,
+    LEARNED_STATE_KEY,
+    SAVE_INTERVAL_S,
+    LearnedState,
+    LearnedStatePersister,
+    decode_learned_state,
+    encode_learned_state,
 )
 from pistachiodeal.scheduling.durations import DurationFit, DurationModel
 from pistachiodeal.scheduling.interference import (
@@ -30,34 +30,36 @@
 from tests.standins.job_cluster import create_quiet_log
 from tests.standins.rows import MemoryRows, RowsState
 
-HARSH = Lesson("harsh", "s", 1.4, 0.05)
+SLOW_PAIR = Lesson("harsh", "s", 1.4, 0.05)
 
 
-async def take_lead(store: MemoryRows, epoch: int) -> CommitLog:
-    """Return the writes of a leader that has just taken the row."""
+async def start_term(store: MemoryRows, epoch: int) -> FencedWriter:
+    """Write the leader's row for a new epoch; return the writer of that leader."""
     write = RowWrite(CONTROL_TABLE, LEADER_KEY, str(epoch).encode())
     result = await store.commit(Transaction((), (write,)))
-    return CommitLog(
+    return FencedWriter(
         store, LeaderTerm(epoch, result.version, 0.0, 0.0), create_quiet_log()
     )
 
 
 async def lead_for(store: MemoryRows, epoch: int, model: InterferenceModel) -> None:
-    """Keep the lessons of one leader for a little longer than a write takes."""
-    commits = await take_lead(store, epoch)
-    keeper = LessonKeeper(store, commits, model, DurationModel(), create_quiet_log())
-    await curio.ignore_after(KEEP_S + 0.3, keeper.run)
+    """Persist the state of one leader for slightly longer than one save interval."""
+    writer = await start_term(store, epoch)
+    persister = LearnedStatePersister(
+        store, writer, model, DurationModel(), create_quiet_log()
+    )
+    await curio.ignore_after(SAVE_INTERVAL_S + 0.3, persister.run)
 
 
-def test_a_successor_knows_what_its_predecessor_learnt():
-    """Symptom: after each change of the leader serving tasks are over their aim again.
+def test_a_successor_loads_the_learned_state():
+    """Guards against serving tasks over their target after each change of the leader.
 
-    Sequence: a leader learns that a pair disturbs and is replaced. Cause: what it had
-    learnt was in its memory only.
+    A leader learns that a pair of images interferes and is replaced, but what it
+    learned was only in its memory.
     """
     store = MemoryRows(RowsState())
     first, second = InterferenceModel(), InterferenceModel()
-    first.adopt([HARSH])
+    first.adopt([SLOW_PAIR])
 
     async def main() -> None:
         await lead_for(store, 1, first)
@@ -68,20 +70,22 @@
     assert second.get_press("harsh", "other") == FIRST_PRESS
 
 
-def test_a_replaced_leader_writes_no_lessons():
+def test_a_replaced_leader_saves_no_learned_state():
     store = MemoryRows(RowsState())
     model = InterferenceModel()
-    model.adopt([HARSH])
+    model.adopt([SLOW_PAIR])
 
     async def main() -> None:
-        commits = await take_lead(store, 1)
-        await take_lead(store, 2)
-        keeper = LessonKeeper(
-            store, commits, model, DurationModel(), create_quiet_log()
+        writer = await start_term(store, 1)
+        await start_term(store, 2)
+        persister = LearnedStatePersister(
+            store, writer, model, DurationModel(), create_quiet_log()
         )
         with pytest.raises(FencedError):
-            await curio.timeout_after(KEEP_S + 1.0, keeper.run)
-        page = await store.read(CONTROL_TABLE, LESSONS_KEY, LESSONS_KEY + "\0", 1)
+            await curio.timeout_after(SAVE_INTERVAL_S + 1.0, persister.run)
+        page = await store.read(
+            CONTROL_TABLE, LEARNED_STATE_KEY, LEARNED_STATE_KEY + "\0", 1
+        )
         assert not page.rows
 
     curio.run(main)
@@ -98,19 +102,19 @@
         b'{"pairs":[],"durations":{"q":["x",1,1,1,1]}}',
     ],
 )
-def test_lessons_of_another_writer_are_left_aside(value):
+def test_a_malformed_learned_state_is_refused(value):
     with pytest.raises(ProtocolError):
-        decode_lessons(value)
+        decode_learned_state(value)
 
 
-def test_what_was_seen_here_goes_before_what_was_heard():
+def test_own_observations_take_precedence_over_loaded_ones():
     model = InterferenceModel()
-    model.adopt([HARSH])
+    model.adopt([SLOW_PAIR])
     model.adopt([Lesson("harsh", "s", 0.1, 0.05)])
     assert model.get_press("harsh", "s") == pytest.approx(1.4)
 
 
-def test_lessons_are_read_back_as_they_were():
+def test_the_learned_state_survives_encoding():
     fit = DurationFit(3.0, 1.5, -0.5, 2.0, -0.25)
-    lessons = Lessons([HARSH], {"queue": fit})
-    assert decode_lessons(encode_lessons(lessons)) == lessons
+    learned = LearnedState([SLOW_PAIR], {"queue": fit})
+    assert decode_learned_state(encode_learned_state(learned)) == learned
--- a/tests/unit/test_leader_sessions.py
+++ b/tests/unit/test_leader_sessions.py
@@ -1,4 +1,4 @@
-"""What a leader grants an agent, and which of its links it listens to."""
+"""Which grants a leader gives an agent, and which of the agent's links count."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 
 
 @dataclass
-class FakeCommits:
-    """The leader's right: its epoch, and when it was confirmed last."""
+class FakeWriter:
+    """The leader's epoch, and when the store confirmed it last."""
 
     epoch: int = 3
     confirmed_at: float = field(default_factory=read_boot_clock)
@@ -31,14 +31,14 @@
 
 @dataclass
 class FakeClosures:
-    """When starts have to begin that are decided now."""
+    """The deadline for starts that are decided now."""
 
     starts_until: float = field(default_factory=lambda: read_boot_clock() + 4.0)
 
 
 @dataclass(eq=False)
 class FakeLink:
-    """A link of one agent; what the leader sends is kept."""
+    """A link of one agent, which records what the leader sends."""
 
     peer: Identity = field(default_factory=lambda: Identity(AGENT_ROLE, NODE, 1, "dc"))
     incoming: curio.Queue = field(default_factory=curio.Queue)
@@ -51,7 +51,7 @@
         self.sent.append(message)
 
     async def report(self, beat: int, *, draining: bool = False) -> None:
-        """Send a report of the worker, and let the leader answer."""
+        """Send a report of the worker, and wait for the leader's answer."""
         report = WorkerReport(
             beat,
             3,
@@ -73,18 +73,18 @@
         await curio.sleep(SETTLE_S)
 
 
-class Stage:
-    """A leader's sessions."""
+class SessionsFixture:
+    """A leader's sessions with fakes around them."""
 
     def __init__(self) -> None:
         events = create_quiet_log()
-        self.commits, self.fleet = FakeCommits(), Fleet()
+        self.writer, self.fleet = FakeWriter(), Fleet()
         self.closures = FakeClosures()
         reconciler = Reconciler(
             JobBook(events), self.fleet, InterferenceModel(), events
         )
         self.sessions = AgentSessions(
-            self.commits,  # type: ignore[arg-type]
+            self.writer,  # type: ignore[arg-type]
             self.fleet,
             reconciler,
             self.closures,  # type: ignore[arg-type]
@@ -100,18 +100,18 @@
         return link
 
 
-def test_a_grant_counts_from_the_last_confirmed_look():
-    """Symptom: a task runs twice.
+def test_a_grant_counts_from_the_last_confirmation():
+    """Guards against a task that runs twice.
 
-    Sequence: the store turns a leader away for eight seconds; it goes on answering its
-    agents; its successor waits for grants from the moment at which it took the row.
-    Cause: the old leader's grants counted from each report, whoever led by then.
+    The store refuses a leader for eight seconds, while it goes on answering its agents.
+    Its successor waits for old grants from the time of its own election, but the old
+    leader's grants counted from each report.
     """
 
     async def main() -> int:
-        stage = Stage()
-        stage.commits.confirmed_at = read_boot_clock() - 8.0
-        link = await stage.attach()
+        fixture = SessionsFixture()
+        fixture.writer.confirmed_at = read_boot_clock() - 8.0
+        link = await fixture.attach()
         await link.report(1)
         return link.sent[-1].grant_ms
 
@@ -120,14 +120,16 @@
 
 
 def test_a_grant_counts_from_the_report_that_it_answers():
-    """Symptom: a lease outlives its grant. Sequence: the leader is confirmed later than
-    it heard the agent. Cause: the agent counts from its report, which was sooner.
+    """Guards against a lease that outlasts its grant.
+
+    The leader is confirmed after it received the report, but the agent counts from the
+    report.
     """
 
     async def main() -> int:
-        stage = Stage()
-        stage.commits.confirmed_at = read_boot_clock() + 5.0
-        link = await stage.attach()
+        fixture = SessionsFixture()
+        fixture.writer.confirmed_at = read_boot_clock() + 5.0
+        link = await fixture.attach()
         await link.report(1)
         return link.sent[-1].grant_ms
 
@@ -135,41 +137,43 @@
 
 
 def test_a_report_on_a_link_that_was_replaced_changes_nothing():
-    """Symptom: a worker that drains is taken for one that stays.
+    """Guards against a draining worker that is taken for one that stays.
 
-    Sequence: an agent dials anew, since its link was silent; a report of before is
-    delivered on the old one after the first on the new one. Cause: any link counted.
+    An agent reconnects because its link was silent. An older report is delivered on the
+    old link after the first report on the new one.
     """
 
     async def main() -> tuple[bool, int]:
-        stage = Stage()
-        old = await stage.attach()
-        new = await stage.attach()
+        fixture = SessionsFixture()
+        old = await fixture.attach()
+        new = await fixture.attach()
         await new.report(1, draining=True)
         await old.report(9)
-        return stage.fleet.get(NODE).draining, len(old.sent)
+        return fixture.fleet.get(NODE).draining, len(old.sent)
 
     assert curio.run(main) == (True, 0)
 
 
 def test_a_worker_of_an_earlier_leader_is_lost_only_after_its_longest_grant():
-    """Symptom: a task runs twice. Sequence: a new leader doesn't hear a worker whose
-    agent was granted 11 s a moment before. Cause: grants of this leader alone counted.
+    """Guards against a task that runs twice.
+
+    A new leader doesn't hear a worker whose agent has just been granted 11 s by the
+    previous leader; only the new leader's own grants counted.
     """
-    stage = Stage()
+    fixture = SessionsFixture()
     now = read_boot_clock()
     whole_s = GRANT_S + LOST_MARGIN_S
-    assert not stage.sessions.is_lost(now - whole_s + 1.0, f"{NODE}/w")
-    assert stage.sessions.is_lost(now - whole_s - 1.0, f"{NODE}/w")
+    assert not fixture.sessions.is_lost(now - whole_s + 1.0, f"{NODE}/w")
+    assert fixture.sessions.is_lost(now - whole_s - 1.0, f"{NODE}/w")
 
 
 def test_a_worker_that_is_attached_is_not_lost():
-    """However old the lead is."""
+    """However long ago this process became the leader."""
 
     async def main() -> bool:
-        stage = Stage()
-        link = await stage.attach()
+        fixture = SessionsFixture()
+        link = await fixture.attach()
         await link.report(1)
-        return stage.sessions.is_lost(0.0, f"{NODE}/w")
+        return fixture.sessions.is_lost(0.0, f"{NODE}/w")
 
     assert not curio.run(main)
