--- a/pistachiodeal/leader/__init__.py
+++ b/pistachiodeal/leader/__init__.py
@@ -1,5 +1,5 @@
-"""The leader: one entry that knows all jobs and places their tasks.
+"""The leader: the one entry that knows all jobs and places their tasks.
 
-What it decides is durable before anybody acts on it, under an epoch that a successor
-raises; see ``docs/design/platform.md``.
+A decision is durable before any process acts on it. Writes are fenced by an epoch,
+which each successor increments; see ``docs/design/platform.md``.
 """
--- a/pistachiodeal/leader/advice.py
+++ b/pistachiodeal/leader/advice.py
@@ -1,8 +1,8 @@
-"""Which workers may run which step, where an outside service decides that.
+"""Caches the tickets by which an external service approves workers for a step.
 
-The service takes time for each worker named and handles one call of a VM after the
-other, so the leader asks for few workers at a time, remembers what was refused for
-good, and asks again only for tickets that have run out.
+The service needs time for each worker in a call, and handles the calls of one VM one
+after the other. So the leader asks about few workers at a time, remembers permanent
+refusals, and repeats a request only for tickets that have expired.
 """
 
 from __future__ import annotations
@@ -18,22 +18,22 @@
 from pistachiodeal.jobs.advice import Advice, Adviser
 from pistachiodeal.scheduling.views import StepKey
 
-# The objective of a job counts one call on this many workers for each step.
-WORKERS_A_CALL = 30
-# An order takes some ms to the runner; a ticket that ends sooner would be refused.
-TICKET_MARGIN_S = 0.4
+# The time objective of a job allows for one call about this many workers for each step.
+MAX_WORKERS_PER_CALL = 30
+# An order takes some ms to reach the runner, which would refuse an expired ticket.
+TICKET_EXPIRY_MARGIN_S = 0.4
 RETRY_S = 0.3
-IDLE_S = 0.02
-# Steps whose answers are kept; those of finished jobs are never asked for again.
-MOST_STEPS = 2_000
+IDLE_POLL_S = 0.02
+# Maximum number of cached steps. The answers for finished jobs are never needed again.
+MAX_CACHED_STEPS = 2_000
 
 
 @dataclass(slots=True)
 class _StepAdvice:
-    """What is known of one step.
+    """The service's answers for one step.
 
-    :param tickets: of the workers that may run it, with the end of each, boot clock.
-    :param refused: workers that never may run it.
+    :param tickets: ticket and expiry, boot clock, by approved worker.
+    :param refused: workers that may never run the step.
     """
 
     tickets: dict[str, tuple[str, float]] = field(default_factory=dict)
@@ -41,9 +41,9 @@
 
 
 class AdviceCache:
-    """Asks the service, and answers the planner from what it said.
+    """Requests advice from the service, and gives the planner the cached answers.
 
-    :param changed: called when there is a new answer.
+    :param changed: called after each new answer.
     """
 
     def __init__(
@@ -56,32 +56,36 @@
         self._wanted: dict[StepKey, tuple[str, ...]] = {}
 
     def find_ticket(self, key: StepKey, worker: str) -> str:
-        """Return a ticket that is still taken, or an empty text."""
+        """Return a ticket that a worker still accepts, or an empty string."""
         known = self._steps.get(key)
         ticket, until = known.tickets.get(worker, ("", 0.0)) if known else ("", 0.0)
-        return ticket if read_boot_clock() + TICKET_MARGIN_S < until else ""
+        return ticket if read_boot_clock() + TICKET_EXPIRY_MARGIN_S < until else ""
 
     def invalidate_ticket(self, key: StepKey, worker: str) -> None:
-        """Note that a worker has refused a ticket; it may be of an earlier start."""
+        """Expire a ticket that a worker has refused.
+
+        The ticket may belong to an earlier start of the runner.
+        """
         known = self._steps.get(key)
         ticket, _ = known.tickets.get(worker, ("", 0.0)) if known else ("", 0.0)
         if known is not None and ticket:
-            # Its entry stays, so that this worker is asked for again.
+            # The entry stays, so that the next request is for this worker again.
             known.tickets[worker] = (ticket, 0.0)
 
     def request_tickets(self, key: StepKey, workers: Iterable[str]) -> None:
-        """Note that a step waits for a ticket on any of some workers, best first."""
+        """Queue a request for a ticket on any of some workers, best first."""
         known = self._steps.get(key) or _StepAdvice()
         asked = [worker for worker in workers if worker not in known.refused]
-        # Those that were approved before are approved again: nobody else is asked.
+        # Workers that were approved before will be approved again, so only they are
+        # asked about.
         again = [worker for worker in asked if worker in known.tickets]
-        self._wanted[key] = tuple((again or asked)[:WORKERS_A_CALL])
+        self._wanted[key] = tuple((again or asked)[:MAX_WORKERS_PER_CALL])
 
     async def run(self) -> None:
-        """Ask for ever, one call after the other."""
+        """Make the queued calls, one after the other, without end."""
         while True:
             if not self._wanted:
-                await curio.sleep(IDLE_S)
+                await curio.sleep(IDLE_POLL_S)
                 continue
             key = next(iter(self._wanted))
             workers = self._wanted.pop(key)
@@ -97,7 +101,7 @@
             self._events.emit("advice.failed", step=name, cause=str(error))
             await curio.sleep(RETRY_S)
             return
-        self._take(key, workers, advice)
+        self._apply(key, workers, advice)
         self._events.emit(
             "advice.taken",
             step=name,
@@ -107,9 +111,9 @@
         )
         await self._changed()
 
-    def _take(self, key: StepKey, workers: tuple[str, ...], advice: Advice) -> None:
+    def _apply(self, key: StepKey, workers: tuple[str, ...], advice: Advice) -> None:
         known = self._steps.setdefault(key, _StepAdvice())
-        while len(self._steps) > MOST_STEPS:
+        while len(self._steps) > MAX_CACHED_STEPS:
             del self._steps[next(iter(self._steps))]
         until = read_boot_clock() + advice.valid_s
         for worker in workers:
--- a/pistachiodeal/leader/failed_placements.py
+++ b/pistachiodeal/leader/failed_placements.py
@@ -1,8 +1,8 @@
-"""Which steps found no worker: only workers that have changed are weighed again.
+"""Remembers which steps found no worker, so that only changed workers are rechecked.
 
-The load that this answers: hundreds of steps wait for hundreds of full workers. Between
-two rounds of decisions a few workers report, and to weigh all of them for each step
-again would take longer than the pause between two rounds.
+Hundreds of steps may wait for hundreds of full workers, while only a few workers report
+between two rounds of planning. Checking all workers again for each step would take
+longer than the pause between two rounds.
 """
 
 from __future__ import annotations
@@ -13,75 +13,78 @@
 from pistachiodeal.scheduling.placement import Request
 from pistachiodeal.scheduling.views import StepKey, WorkerView
 
-# A step that waits is weighed against all workers again after this long, in case that
-# something else has changed, such as what is known of its image; a line in the log says
-# why it waits.
-WHOLE_S = 2.0
-# So many steps a round are weighed again for that reason alone. Without the limit all
-# of them would come due again before a burst on a large fleet is through.
-REPEATS_A_ROUND = 4
+# A waiting step is checked against all workers again after this long, in case something
+# else has changed, such as the known interference of its image. The log then shows why
+# it waits.
+FULL_CHECK_INTERVAL_S = 2.0
+# Limits how many steps a round rechecks only because of their age. Without the limit,
+# all waiting steps would be due again before a burst on a large fleet is handled.
+MAX_FULL_CHECKS_PER_ROUND = 4
 
 
 @dataclass(slots=True)
-class _Attempt:
+class _FailedPlacement:
     """The last attempt to place a step, which found no worker.
 
-    :param round: of the views that it was weighed against.
-    :param urgent: as in the request; what it is allowed decides what fits.
+    :param round: of the worker views that the step was checked against.
+    :param urgent: as in the request, where it affects which workers fit.
     :param bold: likewise.
-    :param whole_at: when it was weighed against all workers last, boot clock.
+    :param fully_checked_at: last check against all workers, boot clock.
     """
 
     round: int
     urgent: bool
     bold: bool
-    whole_at: float = 0.0
+    fully_checked_at: float = 0.0
 
 
 class FailedPlacements:
-    """Remembers failed attempts by step."""
+    """Remembers the last failed placement of each step."""
 
     def __init__(self) -> None:
-        self._failed: dict[StepKey, _Attempt] = {}
-        self._repeats = 0
+        self._failed: dict[StepKey, _FailedPlacement] = {}
+        self._full_checks = 0
 
     def begin_round(self, keys: Iterable[StepKey]) -> None:
-        """Forget the steps that wait no longer.
+        """Forget the steps that no longer wait.
 
-        :param keys: of all steps that wait.
+        :param keys: of all waiting steps.
         """
-        self._repeats = 0
+        self._full_checks = 0
         failed = self._failed
         self._failed = {key: failed[key] for key in keys if key in failed}
 
     def needs_full_check(self, request: Request, now: float) -> bool:
-        """Tell whether a step has to be weighed against all workers."""
-        attempt = self._failed.get(request.key)
-        if attempt is None:
+        """Tell whether a step has to be checked against all workers."""
+        failure = self._failed.get(request.key)
+        if failure is None:
             return True
-        if (attempt.urgent, attempt.bold) != (request.urgent, request.bold):
+        if (failure.urgent, failure.bold) != (request.urgent, request.bold):
             return True
-        if now - attempt.whole_at < WHOLE_S or self._repeats >= REPEATS_A_ROUND:
+        if (
+            now - failure.fully_checked_at < FULL_CHECK_INTERVAL_S
+            or self._full_checks >= MAX_FULL_CHECKS_PER_ROUND
+        ):
             return False
-        self._repeats += 1
+        self._full_checks += 1
         return True
 
     def list_changed(
         self, request: Request, views: Iterable[WorkerView]
     ) -> list[WorkerView]:
-        """Return the workers that have changed since the last attempt."""
+        """Return the workers that have changed since a step was last checked."""
         since = self._failed[request.key].round
         return [view for view in views if view.built_in > since]
 
     def note_failure(self, request: Request, this_round: int) -> None:
-        """Note that no worker of this round's views takes one more task of a step."""
-        attempt = self._failed.get(request.key)
-        if attempt is None:
-            attempt = _Attempt(this_round, request.urgent, request.bold)
-            self._failed[request.key] = attempt
-        attempt.round = this_round
-        attempt.urgent, attempt.bold = request.urgent, request.bold
+        """Record that no worker in this round's views fits a task of a step."""
+        failure = self._failed.get(request.key)
+        if failure is None:
+            failure = _FailedPlacement(this_round, request.urgent, request.bold)
+            self._failed[request.key] = failure
+        failure.round = this_round
+        failure.urgent, failure.bold = request.urgent, request.bold
 
     def note_full_check(self, request: Request, now: float) -> None:
-        """Note that all workers were weighed."""
-        self._failed[request.key].whole_at = now
+        """Record that a step was checked against all workers."""
+        self._failed[request.key].fully_checked_at = now
--- a/pistachiodeal/leader/report_index.py
+++ b/pistachiodeal/leader/report_index.py
@@ -1,4 +1,4 @@
-"""What a report says of each run."""
+"""Indexes an agent's report by run."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 )
 
 RunKey = tuple[str, int]
-"""Task and number of a run."""
+"""Name of the task and number of its run."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReportIndex:
-    """A report's runs by task and run."""
+    """The contents of a report by run."""
 
     running: dict[RunKey, RunningTask]
     ends: dict[RunKey, EndedTask]
     outcomes: dict[RunKey, OrderOutcome]
 
     def contains(self, key: RunKey) -> bool:
-        """Tell whether the report says anything of a run."""
+        """Tell whether the report mentions a run."""
         return key in self.running or key in self.ends or key in self.outcomes
 
 
 def index_report(report: WorkerReport) -> ReportIndex:
-    """Return a report's runs by task and run."""
+    """Return the contents of a report by run."""
     return ReportIndex(
-        {(one.task, one.run): one for one in report.running},
-        {(one.task, one.run): one for one in report.ends},
-        {(one.task, one.run): one for one in report.outcomes},
+        {(running.task, running.run): running for running in report.running},
+        {(end.task, end.run): end for end in report.ends},
+        {(outcome.task, outcome.run): outcome for outcome in report.outcomes},
     )
--- a/tests/unit/test_leader_advice.py
+++ b/tests/unit/test_leader_advice.py
@@ -1,4 +1,4 @@
-"""Steps whose workers an outside service chooses."""
+"""Steps whose workers an external service has to approve."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from pistachiodeal.config.deployment import LimitSettings
 from pistachiodeal.exceptions import AdviceError
 from pistachiodeal.jobs.advice import Advice
-from pistachiodeal.leader.advice import WORKERS_A_CALL, AdviceCache
+from pistachiodeal.leader.advice import MAX_WORKERS_PER_CALL, AdviceCache
 from pistachiodeal.leader.book import JobBook
 from pistachiodeal.leader.planner import Planner
 from pistachiodeal.leader.reconcile import Reconciler
@@ -23,7 +23,7 @@
 
 
 class FakeAdviser:
-    """Approves named workers; fails the first calls if told so."""
+    """Approves given workers, and fails a given number of calls first."""
 
     def __init__(self, approved: set[str], *, valid_s: float = 60.0, failures: int = 0):
         self.approved = approved
@@ -41,7 +41,7 @@
         return Advice(tickets, self.valid_s)
 
 
-class Stage:
+class AdviceFixture:
     """A leader with one advised job, and workers on nodes n0, n1, ..."""
 
     def __init__(self, adviser: FakeAdviser, workers: int) -> None:
@@ -88,90 +88,95 @@
         return {(task.place, task.ticket) for task in tasks if task.place}
 
     async def run(self, for_s: float) -> None:
-        """Plan, and let the keeper ask for a while."""
+        """Plan, and let the cache make its calls for a while."""
         self.planner.plan()
-        keeper = await curio.spawn(self.advice.run, daemon=True)
+        calls = await curio.spawn(self.advice.run, daemon=True)
         await curio.sleep(for_s)
-        await keeper.cancel()
+        await calls.cancel()
 
 
 def test_a_step_is_placed_only_where_the_service_allows_it():
-    """Symptom: every start of an advised queue is refused for want of a ticket.
+    """Guards against starts that are refused because they have no ticket.
 
-    Sequence: the step's turn comes; the leader places it like any other.
-    Cause: nobody asked.
+    The leader placed steps of an advised queue like any other, without asking the
+    service.
     """
     adviser = FakeAdviser({"w2"})
-    stage = Stage(adviser, 4)
-    stage.planner.plan()
-    assert stage.list_tickets() == set()
-    curio.run(stage.run, 0.1)
-    assert stage.list_tickets() == {("n2/w2", "t-w2")}
+    fixture = AdviceFixture(adviser, 4)
+    fixture.planner.plan()
+    assert fixture.list_tickets() == set()
+    curio.run(fixture.run, 0.1)
+    assert fixture.list_tickets() == {("n2/w2", "t-w2")}
     assert adviser.calls == [("0000000000000001.0.0", adviser.calls[0][1])]
 
 
-def test_few_workers_are_named_at_a_time_and_none_twice():
-    """Symptom: a step waits for seconds. Cause: each worker named costs time."""
+def test_each_call_asks_about_few_workers_and_none_twice():
+    """Guards against steps that wait for seconds: each worker in a call costs time."""
     adviser = FakeAdviser(set())
-    stage = Stage(adviser, WORKERS_A_CALL + 10)
-    curio.run(stage.run, 0.2)
+    fixture = AdviceFixture(adviser, MAX_WORKERS_PER_CALL + 10)
+    curio.run(fixture.run, 0.2)
     named = [worker for _, workers in adviser.calls for worker in workers]
-    assert len(adviser.calls[0][1]) == WORKERS_A_CALL
-    assert len(named) == len(set(named)) == WORKERS_A_CALL + 10
+    assert len(adviser.calls[0][1]) == MAX_WORKERS_PER_CALL
+    assert len(named) == len(set(named)) == MAX_WORKERS_PER_CALL + 10
 
 
-def test_a_ticket_that_ran_out_is_asked_for_again_alone():
-    """Symptom: a start is refused for its ticket. Sequence: the step waits for room
-    until its ticket has run out. Cause: tickets were kept for ever.
+def test_only_expired_tickets_are_requested_again():
+    """Guards against a start that is refused because its ticket has expired.
+
+    The step waits for room until its ticket expires, but tickets were cached without
+    end.
     """
     adviser = FakeAdviser({"w1", "w3"}, valid_s=0.0)
-    stage = Stage(adviser, 4)
-    curio.run(stage.run, 0.2)
-    assert stage.list_tickets() == set()
+    fixture = AdviceFixture(adviser, 4)
+    curio.run(fixture.run, 0.2)
+    assert fixture.list_tickets() == set()
     assert len(adviser.calls) > 1
     assert set(adviser.calls[1][1]) == {"w1", "w3"}
 
 
 def test_a_suspect_of_an_advised_queue_gets_its_ticket():
-    """A step of which only a task is left that may end its worker waited for ever: its
-    ticket had run out, and only the tasks without suspicion asked for another.
+    """Guards against a step that waits without end.
+
+    The only task left of the step is suspected of crashing its worker. Its ticket has
+    expired, and only tasks that are not suspected requested another.
     """
     adviser = FakeAdviser({"w1"})
-    stage = Stage(adviser, 4)
-    for task in stage.book.records[KEY[0]].iterate_tasks():
+    fixture = AdviceFixture(adviser, 4)
+    for task in fixture.book.records[KEY[0]].iterate_tasks():
         task.crashes = task.blames = 1
-    curio.run(stage.run, 0.1)
-    assert stage.list_tickets() == {("n1/w1", "t-w1")}
+    curio.run(fixture.run, 0.1)
+    assert fixture.list_tickets() == {("n1/w1", "t-w1")}
 
 
 def test_a_busy_service_is_asked_again():
-    """Symptom: a step never starts. Sequence: too many calls wait at the service, which
-    answers 429. Cause: the question was forgotten.
+    """Guards against a step that never starts.
+
+    The service has too many calls waiting and answers 429, and the request was dropped.
     """
     adviser = FakeAdviser({"w0"}, failures=1)
-    stage = Stage(adviser, 1)
+    fixture = AdviceFixture(adviser, 1)
 
     async def main() -> None:
-        await stage.run(0.4)
-        await stage.run(0.2)
+        await fixture.run(0.4)
+        await fixture.run(0.2)
 
     curio.run(main)
-    assert stage.list_tickets() == {("n0/w0", "t-w0")}
+    assert fixture.list_tickets() == {("n0/w0", "t-w0")}
 
 
 def test_a_ticket_that_the_worker_refused_is_not_used_again():
-    """A ticket for a runner's earlier start is offered until it has run out."""
+    """Guards against using a ticket of a runner's earlier start until it expires."""
     adviser = FakeAdviser({"w1"})
-    stage = Stage(adviser, 2)
-    curio.run(stage.run, 0.05)
-    assert stage.list_tickets() == {("n1/w1", "t-w1")}
-    tasks = list(stage.book.records[KEY[0]].iterate_tasks())
-    stage.report(
+    fixture = AdviceFixture(adviser, 2)
+    curio.run(fixture.run, 0.05)
+    assert fixture.list_tickets() == {("n1/w1", "t-w1")}
+    tasks = list(fixture.book.records[KEY[0]].iterate_tasks())
+    fixture.report(
         1, [OrderOutcome(str(task.name), 1, "refused", "no_ticket") for task in tasks]
     )
     for task in tasks:
         task.held_until = 0.0
-    assert stage.advice.find_ticket(KEY, "w1") == ""
-    curio.run(stage.run, 0.05)
+    assert fixture.advice.find_ticket(KEY, "w1") == ""
+    curio.run(fixture.run, 0.05)
     assert [workers for _, workers in adviser.calls[1:]] == [("w1",)]
-    assert stage.list_tickets() == {("n1/w1", "t-w1")}
+    assert fixture.list_tickets() == {("n1/w1", "t-w1")}
