--- a/pistachiodeal/leader/report_index.py
+++ b/pistachiodeal/leader/report_index.py
@@ -31,7 +31,7 @@
 def index_report(report: WorkerReport) -> ReportIndex:
     """Return the contents of a report by run."""
     return ReportIndex(
-        {(running.task, running.run): running for running in report.running},
-        {(end.task, end.run): end for end in report.ends},
-        {(outcome.task, outcome.run): outcome for outcome in report.outcomes},
+        {(one.task, one.run): one for one in report.running},
+        {(one.task, one.run): one for one in report.ends},
+        {(one.task, one.run): one for one in report.outcomes},
     )
