--- a/pistachiodeal/leader/commits.py
+++ b/pistachiodeal/leader/commits.py
@@ -55,13 +55,13 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaderTerm:
-    """One term of a leader, as its write of the leader's row has established it.
+    """One term of a leader, as established by the leader's row.
 
     :param row_version: of the leader's row; another version means another leader.
-    :param asked_at: when the write or read of the row began, boot clock. The leader's
-        own authority to grant leases counts from here.
-    :param acquired_by: when it was answered. The predecessor may have considered itself
-        the leader until here.
+    :param asked_at: when this process sent the write of the row, or the read that found
+        itself in it, boot clock. Its authority to grant leases counts from here.
+    :param acquired_by: when the answer was in, boot clock. The row was written by then,
+        and the predecessor may have considered itself the leader until here.
     """
 
     epoch: int
@@ -98,7 +98,8 @@
     async def write(self, book: JobBook) -> None:
         """Write one batch of unsaved jobs; return once it is durable and applied.
 
-        The effects of a decision, such as sending its order, run after the write.
+        The callbacks of a decision, such as the one that sends its order, run after the
+        write.
 
         :raises FencedError: another process leads now.
         """
--- a/pistachiodeal/leader/directory.py
+++ b/pistachiodeal/leader/directory.py
@@ -79,7 +79,7 @@
             self._heard_at = 0.0
 
     def list_others(self, *without: str) -> list[str]:
-        """Return all entries but some, the most recently seen one first."""
+        """Return the entries except those given, the most recently seen one first."""
         return [one for one in reversed(self._entries) if one not in without]
 
     def build_notice(
--- a/tests/unit/test_closed_data_centres.py
+++ b/tests/unit/test_closed_data_centres.py
@@ -27,7 +27,7 @@
 from tests.unit.test_job_cluster import wait_for
 from tests.unit.test_jobagent_executor import build_stage
 from tests.unit.test_leader_planner import QUEUE, Cluster
-from tests.unit.test_leader_sessions import NODE, SessionsFixture
+from tests.unit.test_leader_sessions import NODE, SessionsHarness
 
 # The time within which a closing takes effect.
 IN_FORCE_S = 1.0
@@ -279,13 +279,13 @@
     """Guards against a leader that is suspended between a decision and its order."""
 
     async def main():
-        fixture = SessionsFixture()
-        link = await fixture.attach()
+        harness = SessionsHarness()
+        link = await harness.attach()
         await link.report(1)
-        attachment = fixture.fleet.get(NODE).attachment
+        attachment = harness.fleet.get(NODE).attachment
         attachment.order_start(RunOrder("t", 1, "", "", False, 0), "job", "text")
-        fixture.fleet.close(frozenset((link.peer.data_centre,)))
-        await fixture.sessions.send_orders()
+        harness.fleet.close(frozenset((link.peer.data_centre,)))
+        await harness.sessions.send_orders()
         assert not link.sent[-1].starts
         assert link.sent[-1].stops == (RunRef("t", 1),)
 
--- a/tests/unit/test_leader_advice.py
+++ b/tests/unit/test_leader_advice.py
@@ -41,7 +41,7 @@
         return Advice(tickets, self.valid_s)
 
 
-class AdviceFixture:
+class AdviceHarness:
     """A leader with one advised job, and workers on nodes n0, n1, ..."""
 
     def __init__(self, adviser: FakeAdviser, workers: int) -> None:
@@ -102,19 +102,19 @@
     service.
     """
     adviser = FakeAdviser({"w2"})
-    fixture = AdviceFixture(adviser, 4)
-    fixture.planner.plan()
-    assert fixture.list_tickets() == set()
-    curio.run(fixture.run, 0.1)
-    assert fixture.list_tickets() == {("n2/w2", "t-w2")}
+    harness = AdviceHarness(adviser, 4)
+    harness.planner.plan()
+    assert harness.list_tickets() == set()
+    curio.run(harness.run, 0.1)
+    assert harness.list_tickets() == {("n2/w2", "t-w2")}
     assert adviser.calls == [("0000000000000001.0.0", adviser.calls[0][1])]
 
 
 def test_each_call_asks_about_few_workers_and_none_twice():
     """Guards against steps that wait for seconds: each worker in a call costs time."""
     adviser = FakeAdviser(set())
-    fixture = AdviceFixture(adviser, MAX_WORKERS_PER_CALL + 10)
-    curio.run(fixture.run, 0.2)
+    harness = AdviceHarness(adviser, MAX_WORKERS_PER_CALL + 10)
+    curio.run(harness.run, 0.2)
     named = [worker for _, workers in adviser.calls for worker in workers]
     assert len(adviser.calls[0][1]) == MAX_WORKERS_PER_CALL
     assert len(named) == len(set(named)) == MAX_WORKERS_PER_CALL + 10
@@ -127,9 +127,9 @@
     end.
     """
     adviser = FakeAdviser({"w1", "w3"}, valid_s=0.0)
-    fixture = AdviceFixture(adviser, 4)
-    curio.run(fixture.run, 0.2)
-    assert fixture.list_tickets() == set()
+    harness = AdviceHarness(adviser, 4)
+    curio.run(harness.run, 0.2)
+    assert harness.list_tickets() == set()
     assert len(adviser.calls) > 1
     assert set(adviser.calls[1][1]) == {"w1", "w3"}
 
@@ -141,11 +141,11 @@
     expired, and only tasks that are not suspected requested another.
     """
     adviser = FakeAdviser({"w1"})
-    fixture = AdviceFixture(adviser, 4)
-    for task in fixture.book.records[KEY[0]].iterate_tasks():
+    harness = AdviceHarness(adviser, 4)
+    for task in harness.book.records[KEY[0]].iterate_tasks():
         task.crashes = task.blames = 1
-    curio.run(fixture.run, 0.1)
-    assert fixture.list_tickets() == {("n1/w1", "t-w1")}
+    curio.run(harness.run, 0.1)
+    assert harness.list_tickets() == {("n1/w1", "t-w1")}
 
 
 def test_a_busy_service_is_asked_again():
@@ -154,29 +154,29 @@
     The service has too many calls waiting and answers 429, and the request was dropped.
     """
     adviser = FakeAdviser({"w0"}, failures=1)
-    fixture = AdviceFixture(adviser, 1)
+    harness = AdviceHarness(adviser, 1)
 
     async def main() -> None:
-        await fixture.run(0.4)
-        await fixture.run(0.2)
+        await harness.run(0.4)
+        await harness.run(0.2)
 
     curio.run(main)
-    assert fixture.list_tickets() == {("n0/w0", "t-w0")}
+    assert harness.list_tickets() == {("n0/w0", "t-w0")}
 
 
 def test_a_ticket_that_the_worker_refused_is_not_used_again():
     """Guards against using a ticket of a runner's earlier start until it expires."""
     adviser = FakeAdviser({"w1"})
-    fixture = AdviceFixture(adviser, 2)
-    curio.run(fixture.run, 0.05)
-    assert fixture.list_tickets() == {("n1/w1", "t-w1")}
-    tasks = list(fixture.book.records[KEY[0]].iterate_tasks())
-    fixture.report(
+    harness = AdviceHarness(adviser, 2)
+    curio.run(harness.run, 0.05)
+    assert harness.list_tickets() == {("n1/w1", "t-w1")}
+    tasks = list(harness.book.records[KEY[0]].iterate_tasks())
+    harness.report(
         1, [OrderOutcome(str(task.name), 1, "refused", "no_ticket") for task in tasks]
     )
     for task in tasks:
         task.held_until = 0.0
-    assert fixture.advice.find_ticket(KEY, "w1") == ""
-    curio.run(fixture.run, 0.05)
+    assert harness.advice.find_ticket(KEY, "w1") == ""
+    curio.run(harness.run, 0.05)
     assert [workers for _, workers in adviser.calls[1:]] == [("w1",)]
-    assert fixture.list_tickets() == {("n1/w1", "t-w1")}
+    assert harness.list_tickets() == {("n1/w1", "t-w1")}
--- a/tests/unit/test_leader_sessions.py
+++ b/tests/unit/test_leader_sessions.py
@@ -73,7 +73,7 @@
         await curio.sleep(SETTLE_S)
 
 
-class SessionsFixture:
+class SessionsHarness:
     """A leader's sessions with fakes around them."""
 
     def __init__(self) -> None:
@@ -109,9 +109,9 @@
     """
 
     async def main() -> int:
-        fixture = SessionsFixture()
-        fixture.writer.confirmed_at = read_boot_clock() - 8.0
-        link = await fixture.attach()
+        harness = SessionsHarness()
+        harness.writer.confirmed_at = read_boot_clock() - 8.0
+        link = await harness.attach()
         await link.report(1)
         return link.sent[-1].grant_ms
 
@@ -127,9 +127,9 @@
     """
 
     async def main() -> int:
-        fixture = SessionsFixture()
-        fixture.writer.confirmed_at = read_boot_clock() + 5.0
-        link = await fixture.attach()
+        harness = SessionsHarness()
+        harness.writer.confirmed_at = read_boot_clock() + 5.0
+        link = await harness.attach()
         await link.report(1)
         return link.sent[-1].grant_ms
 
@@ -144,12 +144,12 @@
     """
 
     async def main() -> tuple[bool, int]:
-        fixture = SessionsFixture()
-        old = await fixture.attach()
-        new = await fixture.attach()
+        harness = SessionsHarness()
+        old = await harness.attach()
+        new = await harness.attach()
         await new.report(1, draining=True)
         await old.report(9)
-        return fixture.fleet.get(NODE).draining, len(old.sent)
+        return harness.fleet.get(NODE).draining, len(old.sent)
 
     assert curio.run(main) == (True, 0)
 
@@ -160,20 +160,20 @@
     A new leader doesn't hear a worker whose agent has just been granted 11 s by the
     previous leader; only the new leader's own grants counted.
     """
-    fixture = SessionsFixture()
+    harness = SessionsHarness()
     now = read_boot_clock()
     whole_s = GRANT_S + LOST_MARGIN_S
-    assert not fixture.sessions.is_lost(now - whole_s + 1.0, f"{NODE}/w")
-    assert fixture.sessions.is_lost(now - whole_s - 1.0, f"{NODE}/w")
+    assert not harness.sessions.is_lost(now - whole_s + 1.0, f"{NODE}/w")
+    assert harness.sessions.is_lost(now - whole_s - 1.0, f"{NODE}/w")
 
 
 def test_a_worker_that_is_attached_is_not_lost():
     """However long ago this process became the leader."""
 
     async def main() -> bool:
-        fixture = SessionsFixture()
-        link = await fixture.attach()
+        harness = SessionsHarness()
+        link = await harness.attach()
         await link.report(1)
-        return fixture.sessions.is_lost(0.0, f"{NODE}/w")
+        return harness.sessions.is_lost(0.0, f"{NODE}/w")
 
     assert not curio.run(main)
