--- /dev/null
+++ b/pistachiodeal/leader/learned_state.py
@@ -0,0 +1,150 @@
+"""Persists what a leader has learned in one row of the store, for its successor.
+
+Without it, each new leader treats every pair of images as untried, and learns again
+which ones interfere while serving tasks exceed their latency target. Five changes of
+the leader within 40 s and a complete restart have shown this.
+"""
+
+from __future__ import annotations
+
+from dataclasses import astuple, dataclass, fields
+
+import curio
+import orjson
+from logbook import Logger
+
+from pistachiodeal.events import EventLog
+from pistachiodeal.exceptions import ProtocolError, StoreError
+from pistachiodeal.jobs.checks import check_fields
+from pistachiodeal.leader.commits import CONTROL_TABLE, FencedWriter
+from pistachiodeal.scheduling.durations import DurationFit, DurationModel
+from pistachiodeal.scheduling.interference import InterferenceModel, Lesson
+from pistachiodeal.store.row_store import RowStore, RowWrite, read_row
+
+log = Logger("lessons")
+
+LEARNED_STATE_KEY = "lessons"
+# A pair is learned within a second or two, so losing this much costs little. The write
+# is small.
+SAVE_INTERVAL_S = 2.0
+RETRY_S = 0.2
+# Writes to one partition wait for each other. If a write takes this long instead of
+# about 5 ms, jobs take precedence.
+SLOW_WRITE_S = 0.1
+# At 40 bytes for a pair and 80 for a queue, the row stays far below the size limit.
+MAX_PAIRS = 500
+MAX_QUEUES = 100
+FIT_FIELD_COUNT = len(fields(DurationFit))
+
+
+@dataclass(frozen=True, slots=True)
+class LearnedState:
+    """Everything that a leader passes on to its successor.
+
+    :param pairs: which images interfere with each other.
+    :param durations: how long tasks take, by queue.
+    """
+
+    pairs: list[Lesson]
+    durations: dict[str, DurationFit]
+
+
+class LearnedStatePersister:
+    """Loads the learned state of the predecessor, then saves that of this leader."""
+
+    def __init__(
+        self,
+        store: RowStore,
+        writer: FencedWriter,
+        model: InterferenceModel,
+        durations: DurationModel,
+        events: EventLog,
+    ) -> None:
+        self._store = store
+        self._writer = writer
+        self._model = model
+        self._durations = durations
+        self._events = events
+
+    async def run(self) -> None:
+        """Load the state once, then save it whenever it changes.
+
+        :raises FencedError: another process leads now.
+        """
+        while not await self._load():
+            await curio.sleep(RETRY_S)
+        written = b""
+        while True:
+            await curio.sleep(SAVE_INTERVAL_S)
+            value = encode_learned_state(self._collect())
+            if value == written or self._writer.last_write_s > SLOW_WRITE_S:
+                continue
+            if await self._writer.write_rows(
+                RowWrite(CONTROL_TABLE, LEARNED_STATE_KEY, value)
+            ):
+                written = value
+
+    def _collect(self) -> LearnedState:
+        newest = list(self._durations.fits.items())[-MAX_QUEUES:]
+        return LearnedState(self._model.list_lessons(MAX_PAIRS), dict(newest))
+
+    async def _load(self) -> bool:
+        try:
+            page = await read_row(self._store, CONTROL_TABLE, LEARNED_STATE_KEY)
+        except StoreError as error:
+            log.debug("lessons: cannot read the learned state yet: {}", error)
+            return False
+        for row in page.rows:
+            try:
+                learned = decode_learned_state(row.value)
+            except ProtocolError as error:
+                self._events.emit(
+                    "row.unreadable", table=CONTROL_TABLE, key=row.key, cause=str(error)
+                )
+                continue
+            self._model.adopt(learned.pairs)
+            for queue, fit in learned.durations.items():
+                self._durations.adopt(queue, fit)
+            self._events.emit(
+                "lessons.adopted",
+                pairs=len(learned.pairs),
+                queues=len(learned.durations),
+            )
+        return True
+
+
+def encode_learned_state(learned: LearnedState) -> bytes:
+    """Return the value to store in the row."""
+    pairs = [
+        [pair.filling, pair.serving, round(pair.press, 2), round(pair.variance, 3)]
+        for pair in learned.pairs
+    ]
+    durations = {
+        queue: [round(figure, 3) for figure in astuple(fit)]
+        for queue, fit in learned.durations.items()
+    }
+    return orjson.dumps({"pairs": pairs, "durations": durations})
+
+
+def decode_learned_state(value: bytes) -> LearnedState:
+    """Decode the value of the row.
+
+    :raises ProtocolError: the value is malformed.
+    """
+    try:
+        document = orjson.loads(value)
+        pairs = [Lesson(*fields) for fields in document["pairs"]]
+        durations = {
+            queue: DurationFit(*figures)
+            for queue, figures in document["durations"].items()
+        }
+        if any(
+            len(figures) != FIT_FIELD_COUNT
+            for figures in document["durations"].values()
+        ):
+            raise ValueError("a queue has too few or too many figures")
+        for item in (*pairs, *durations.values()):
+            check_fields(item)
+    except (ValueError, KeyError, TypeError, AttributeError) as error:
+        raise ProtocolError(repr(error), step="lessons.decode") from error
+    return LearnedState(pairs, durations)
--- a/pistachiodeal/leader/listed.py
+++ b/pistachiodeal/leader/report_index.py
@@ -1,4 +1,4 @@
-"""What a report says of each run."""
+"""Indexes an agent's report by run."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
 )
 
 RunKey = tuple[str, int]
-"""Task and number of a run."""
+"""Name of the task and number of its run."""
 
 
 @dataclass(frozen=True, slots=True)
-class ListedRuns:
-    """A report's runs by task and run."""
+class ReportIndex:
+    """The contents of a report by run."""
 
     running: dict[RunKey, RunningTask]
     ends: dict[RunKey, EndedTask]
     outcomes: dict[RunKey, OrderOutcome]
 
-    def has(self, key: RunKey) -> bool:
-        """Tell whether the report says anything of a run."""
+    def contains(self, key: RunKey) -> bool:
+        """Tell whether the report mentions a run."""
         return key in self.running or key in self.ends or key in self.outcomes
 
 
-def index_report(report: WorkerReport) -> ListedRuns:
-    """Return a report's runs by task and run."""
-    return ListedRuns(
+def index_report(report: WorkerReport) -> ReportIndex:
+    """Return the contents of a report by run."""
+    return ReportIndex(
         {(one.task, one.run): one for one in report.running},
         {(one.task, one.run): one for one in report.ends},
         {(one.task, one.run): one for one in report.outcomes},
