--- a/pistachiodeal/batch/decisions.py
+++ b/pistachiodeal/batch/decisions.py
@@ -10,7 +10,7 @@
     Requeued,
 )
 from pistachiodeal.model.tasks import TaskRecord, TaskState
-from pistachiodeal.scheduling.suspicion import CRASHES_TO_GIVE_UP, SOUND_S
+from pistachiodeal.scheduling.crash_attribution import CRASH_RESET_S, CRASHES_TO_GIVE_UP
 from pistachiodeal.store.protocols import RunState
 from pistachiodeal.wire.task_messages import UNKNOWN_RUN, StartRefused, TaskEnded
 
@@ -43,7 +43,7 @@
         return Finished(ended.task_id, ended.attempt, ended.result)
     if ended.state == RunState.FAILED:
         return _decide_failure(record, ended, max_attempts)
-    if ended.state == UNKNOWN_RUN and 0 < ended.run_ms < SOUND_S * MILLI:
+    if ended.state == UNKNOWN_RUN and 0 < ended.run_ms < CRASH_RESET_S * MILLI:
         return _decide_crash(record, ended)
     cause = _CAUSES.get(ended.state)
     if cause is None:
--- a/pistachiodeal/jobagent/paces.py
+++ b/pistachiodeal/jobagent/paces.py
@@ -9,12 +9,15 @@
 from pistachiodeal.jobagent.ledger import AgentLedger
 from pistachiodeal.jobagent.tail_watch import TailWatch
 from pistachiodeal.jobs.runtime import CallResult, Runtime
-from pistachiodeal.scheduling.interference import FIRST_PRESS, compute_effort
+from pistachiodeal.scheduling.interference import (
+    DEFAULT_INTERFERENCE,
+    compute_intensity,
+)
 from pistachiodeal.scheduling.pacing import (
     FillingLoad,
     Pacer,
 )
-from pistachiodeal.scheduling.tail_guard import TailGuard, compute_guard_s
+from pistachiodeal.scheduling.tail_guard import TailGuard, compute_guard_delay_s
 from pistachiodeal.scheduling.tails import PaceHistory, ServingTail
 
 
@@ -34,7 +37,7 @@
         self._ledger = ledger
         self._runtime = runtime
         self._events = events
-        self._pacer = Pacer(TailGuard(compute_guard_s(interference_s)))
+        self._pacer = Pacer(TailGuard(compute_guard_delay_s(interference_s)))
         self._tail_watch = TailWatch(ledger, events)
 
     async def apply(self, now: float) -> None:
@@ -70,7 +73,7 @@
         for key, history in ledger.figures.histories.items():
             used_milli = ledger.running[key].figure
             asked_milli = ledger.described[key].cpu_milli
-            if not asked_milli or history.allows(used_milli / asked_milli, now):
+            if not asked_milli or history.is_consistent(used_milli / asked_milli, now):
                 continue
             self._events.emit(
                 "pace.contradicted",
@@ -105,14 +108,14 @@
             running = self._ledger.running[key]
             load = loads.setdefault(described.image, FillingLoad())
             load.count += 1
-            load.standing += history.newest == 0
-            load.worked += compute_effort(
+            load.paused += history.newest == 0
+            load.active += compute_intensity(
                 running.worked_milli / 1000, running.figure, described.cpu_milli
             )
         return loads
 
     def _find_press(self, filling: str, serving: str) -> float:
-        return self._ledger.presses.get((filling, serving), FIRST_PRESS)
+        return self._ledger.presses.get((filling, serving), DEFAULT_INTERFERENCE)
 
     async def _pace(self, key: RunKey, percent: int) -> None:
         ledger = self._ledger
--- a/pistachiodeal/jobentry/acceptance.py
+++ b/pistachiodeal/jobentry/acceptance.py
@@ -17,7 +17,7 @@
 from pistachiodeal.jobentry.insert_queue import Insert, InsertQueue
 from pistachiodeal.jobentry.probe import probe_store
 from pistachiodeal.jobs.rows import JOBS_TABLE, SUBMISSION_PARTITIONS
-from pistachiodeal.scheduling.comeback import choose_retry_after_s
+from pistachiodeal.scheduling.retry_after import choose_retry_after_s
 from pistachiodeal.store.row_store import (
     ABSENT,
     RowCondition,
--- a/pistachiodeal/jobpath/paces.py
+++ b/pistachiodeal/jobpath/paces.py
@@ -5,7 +5,7 @@
 from bisect import bisect_right
 from collections.abc import Mapping
 
-from pistachiodeal.scheduling.tails import FULL
+from pistachiodeal.scheduling.tails import FULL_PACE
 
 
 class PaceTimeline:
@@ -30,9 +30,9 @@
         number = bisect_right(times, begin) - 1
         worked, since = 0.0, begin
         while since < end:
-            percent = percents[number] if number >= 0 else FULL
+            percent = percents[number] if number >= 0 else FULL_PACE
             number += 1
             until = min(end, times[number]) if number < len(times) else end
-            worked += (until - since) * percent / FULL
+            worked += (until - since) * percent / FULL_PACE
             since = until
         return worked
--- a/pistachiodeal/leader/attempts.py
+++ b/pistachiodeal/leader/attempts.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from pistachiodeal.scheduling.placement import Request
+from pistachiodeal.scheduling.placement import PlacementRequest
 from pistachiodeal.scheduling.views import StepKey, WorkerView
 
 # A step that waits is weighed against all workers again after this long, in case that
@@ -28,13 +28,13 @@
 
     :param round: of the views that it was weighed against.
     :param urgent: as in the request; what it is allowed decides what fits.
-    :param bold: likewise.
+    :param may_interfere: likewise.
     :param whole_at: when it was weighed against all workers last, boot clock.
     """
 
     round: int
     urgent: bool
-    bold: bool
+    may_interfere: bool
     whole_at: float = 0.0
 
 
@@ -54,12 +54,15 @@
         failed = self._failed
         self._failed = {key: failed[key] for key in keys if key in failed}
 
-    def is_due(self, request: Request, now: float) -> bool:
+    def is_due(self, request: PlacementRequest, now: float) -> bool:
         """Tell whether a step has to be weighed against all workers."""
         attempt = self._failed.get(request.key)
         if attempt is None:
             return True
-        if (attempt.urgent, attempt.bold) != (request.urgent, request.bold):
+        if (attempt.urgent, attempt.may_interfere) != (
+            request.urgent,
+            request.may_interfere,
+        ):
             return True
         if now - attempt.whole_at < WHOLE_S or self._repeats >= REPEATS_A_ROUND:
             return False
@@ -67,21 +70,21 @@
         return True
 
     def list_changed(
-        self, request: Request, views: Iterable[WorkerView]
+        self, request: PlacementRequest, views: Iterable[WorkerView]
     ) -> list[WorkerView]:
         """Return the workers that have changed since the last attempt."""
         since = self._failed[request.key].round
-        return [view for view in views if view.built_in > since]
+        return [view for view in views if view.built_round > since]
 
-    def note_failure(self, request: Request, this_round: int) -> None:
+    def note_failure(self, request: PlacementRequest, this_round: int) -> None:
         """Note that no worker of this round's views takes one more task of a step."""
         attempt = self._failed.get(request.key)
         if attempt is None:
-            attempt = _Attempt(this_round, request.urgent, request.bold)
+            attempt = _Attempt(this_round, request.urgent, request.may_interfere)
             self._failed[request.key] = attempt
         attempt.round = this_round
-        attempt.urgent, attempt.bold = request.urgent, request.bold
+        attempt.urgent, attempt.may_interfere = request.urgent, request.may_interfere
 
-    def note_whole(self, request: Request, now: float) -> None:
+    def note_whole(self, request: PlacementRequest, now: float) -> None:
         """Note that all workers were weighed."""
         self._failed[request.key].whole_at = now
--- a/pistachiodeal/leader/crashes.py
+++ b/pistachiodeal/leader/crashes.py
@@ -12,13 +12,13 @@
 from pistachiodeal.jobs.record import Task
 from pistachiodeal.leader.book import JobBook
 from pistachiodeal.leader.workers import Fleet, WorkerState, build_place
-from pistachiodeal.scheduling.suspicion import (
-    FRESH_S,
-    POWER_WINDOW_S,
-    SOUND_S,
-    Casualty,
+from pistachiodeal.scheduling.crash_attribution import (
+    CRASH_RESET_S,
+    RACK_FAILURE_WINDOW_S,
+    STARTUP_S,
+    CrashedRun,
+    attribute_crash,
     is_suspect,
-    judge,
 )
 from pistachiodeal.wire.job_messages import WorkerLoss
 
@@ -77,7 +77,7 @@
         self._heard[place] = now
         runs = self._book.get_runs(place)
         at_work = [
-            Casualty(
+            CrashedRun(
                 one.task,
                 one.age_ms / 1000 if one.age_ms >= 0 else None,
                 is_suspect(runs[one.task]),
@@ -86,7 +86,7 @@
             if one.task in runs and runs[one.task].run == one.run
         ]
         restless = any(not one.explained for one in self._recent)
-        verdict = judge(at_work, restless=restless)
+        verdict = attribute_crash(at_work, recent_unexplained=restless)
         # A runner that starts and ends in a loop hits a task more than once; only its
         # end under another task, or of another worker under this one, tells them apart.
         blames = {
@@ -120,12 +120,12 @@
     def note_at_work(self, task: Task) -> None:
         """Clear a task that has been at work without a crash."""
         worked_s = task.seen_at - task.began_at
-        if task.blames and worked_s >= FRESH_S:
+        if task.blames and worked_s >= STARTUP_S:
             task.blames = 0
             self._events.emit(
                 "task.cleared", task=str(task.name), run=task.run, crashes=task.crashes
             )
-        if worked_s >= SOUND_S:
+        if worked_s >= CRASH_RESET_S:
             task.crashes = 0
 
     def settle(self, now: float) -> None:
@@ -155,7 +155,7 @@
         together = {
             one.worker.node
             for one in self._recent
-            if one is not crash and abs(one.at - crash.at) <= POWER_WINDOW_S
+            if one is not crash and abs(one.at - crash.at) <= RACK_FAILURE_WINDOW_S
         }
         mates = [
             other.node in together
--- a/pistachiodeal/leader/expectations.py
+++ b/pistachiodeal/leader/expectations.py
@@ -29,7 +29,7 @@
                 one.expected_s = one.took_s / one.timed
             else:
                 declared_s = one.step.estimate_s
-                one.expected_s = self._durations.expect_s(queue, declared_s)
+                one.expected_s = self._durations.predict_s(queue, declared_s)
         record.take_expectations(steps)
 
     def note_took(self, record: JobRecord, task: Task, took_s: float) -> None:
--- a/pistachiodeal/leader/fleet_views.py
+++ b/pistachiodeal/leader/fleet_views.py
@@ -5,8 +5,8 @@
 from pistachiodeal.jobs.record import Task
 from pistachiodeal.leader.book import JobBook
 from pistachiodeal.leader.workers import Fleet, WorkerState
-from pistachiodeal.scheduling.health import MOST_SUSPECTS
-from pistachiodeal.scheduling.suspicion import FRESH_S, is_suspect
+from pistachiodeal.scheduling.crash_attribution import STARTUP_S, is_suspect
+from pistachiodeal.scheduling.health import MAX_SUSPECT_SHARE
 from pistachiodeal.scheduling.views import WorkerView
 
 Views = dict[str, list[WorkerView]]
@@ -31,7 +31,7 @@
 
     @property
     def round(self) -> int:
-        """Return the number of the newest round; see ``WorkerView.built_in``."""
+        """Return the number of the newest round; see ``WorkerView.built_round``."""
         return self._round
 
     def refresh(self, now: float) -> Views:
@@ -79,10 +79,10 @@
 def _open_if_most_are_closed(views: list[WorkerView]) -> None:
     # Jobs that can never be done fail everywhere. Closing the workers for it would
     # leave sound jobs without any.
-    if sum(view.closed for view in views) <= MOST_SUSPECTS * len(views):
+    if sum(view.excluded for view in views) <= MAX_SUSPECT_SHARE * len(views):
         return
     for view in views:
-        view.closed = view.probing = False
+        view.excluded = view.probing = False
 
 
 def _build(
@@ -94,8 +94,8 @@
         worker.rack,
         frozenset(worker.labels),
         worker.capacity,
-        alone=worker.alone,
-        built_in=this_round,
+        solo_slack=worker.alone,
+        built_round=this_round,
     )
     runs = book.get_runs(worker.place).values()
     for task in runs:
@@ -105,7 +105,7 @@
         if stray is not None:
             _take_room(view, stray)
     at_work = sum(1 for task in runs if not task.step.lasts)
-    view.closed = worker.health.is_closed(now, at_work=at_work)
+    view.excluded = worker.health.is_excluded(now, at_work=at_work)
     view.probing = worker.health.suspect
     view.probation = any(_is_on_probation(task) for task in runs)
     view.unlisted = sum(1 for task in runs if not task.running)
@@ -115,9 +115,9 @@
 def _is_on_probation(task: Task) -> bool:
     if not is_suspect(task):
         return False
-    return not task.running or task.seen_at - task.began_at < FRESH_S
+    return not task.running or task.seen_at - task.began_at < STARTUP_S
 
 
 def _take_room(view: WorkerView, task: Task) -> None:
     name = task.name
-    view.take((name.job_id, name.occurrence, name.step), task.step)
+    view.reserve((name.job_id, name.occurrence, name.step), task.step)
--- a/pistachiodeal/leader/lessons.py
+++ b/pistachiodeal/leader/lessons.py
@@ -18,7 +18,7 @@
 from pistachiodeal.jobs.checks import check_fields
 from pistachiodeal.leader.commits import CONTROL_TABLE, CommitLog
 from pistachiodeal.scheduling.durations import DurationFit, DurationModel
-from pistachiodeal.scheduling.interference import InterferenceModel, Lesson
+from pistachiodeal.scheduling.interference import InterferenceModel, PairEstimate
 from pistachiodeal.store.row_store import RowStore, RowWrite, read_row
 
 log = Logger("lessons")
@@ -44,7 +44,7 @@
     :param durations: how long tasks take, by queue.
     """
 
-    pairs: list[Lesson]
+    pairs: list[PairEstimate]
     durations: dict[str, DurationFit]
 
 
@@ -83,7 +83,7 @@
 
     def _collect(self) -> Lessons:
         newest = list(self._durations.fits.items())[-MOST_QUEUES:]
-        return Lessons(self._model.list_lessons(MOST_LESSONS), dict(newest))
+        return Lessons(self._model.list_estimates(MOST_LESSONS), dict(newest))
 
     async def _load(self) -> bool:
         try:
@@ -113,7 +113,7 @@
 def encode_lessons(lessons: Lessons) -> bytes:
     """Return the value of the row."""
     pairs = [
-        [one.filling, one.serving, round(one.press, 2), round(one.variance, 3)]
+        [one.filling, one.serving, round(one.interference, 2), round(one.variance, 3)]
         for one in lessons.pairs
     ]
     durations = {
@@ -130,7 +130,7 @@
     """
     try:
         document = orjson.loads(value)
-        pairs = [Lesson(*fields) for fields in document["pairs"]]
+        pairs = [PairEstimate(*fields) for fields in document["pairs"]]
         durations = {
             queue: DurationFit(*figures)
             for queue, figures in document["durations"].items()
--- a/pistachiodeal/leader/moves.py
+++ b/pistachiodeal/leader/moves.py
@@ -13,8 +13,8 @@
 from pistachiodeal.leader.victims import build_victim
 from pistachiodeal.leader.workers import Fleet, WorkerState
 from pistachiodeal.model.resources import Resources
-from pistachiodeal.scheduling.preemption import choose_to_fit
-from pistachiodeal.scheduling.views import reserve_size
+from pistachiodeal.scheduling.preemption import choose_victims_to_fit
+from pistachiodeal.scheduling.views import get_reserved_size
 
 # A run that is listed without progress for this long is given to another worker.
 # Progress is listed in hundredths twice a second, so a task of half a minute still
@@ -137,7 +137,7 @@
             for task in runs
             if task.running and not task.stopping and not task.step.lasts
         ]
-        for victim in choose_to_fit(missing, candidates):
+        for victim in choose_victims_to_fit(missing, candidates):
             run = self._book.find_task(victim.task)
             if run is not None:
                 self._reconciler.stop(run, "its worker has too little memory")
@@ -167,6 +167,6 @@
     used = Resources()
     for task in runs:
         if not task.stopping:
-            used = used + reserve_size(task.step)
+            used = used + get_reserved_size(task.step)
     over = used - worker.capacity
     return Resources(0, max(0, over.memory_mib), max(0, over.accelerators))
--- a/pistachiodeal/leader/neighbours.py
+++ b/pistachiodeal/leader/neighbours.py
@@ -9,9 +9,9 @@
 from pistachiodeal.scheduling.interference import (
     InterferenceModel,
     ServingSample,
-    compute_effort,
+    compute_intensity,
 )
-from pistachiodeal.scheduling.pacing import FIRST_STRAIN
+from pistachiodeal.scheduling.pacing import MIN_VALID_LATENCY_RATIO
 
 
 class NeighbourWatch:
@@ -32,7 +32,7 @@
             if task.step.fills or task.step.serves_ms
         ]
         self._observe(worker, runs, _sum_efforts(runs), now)
-        for (filling, serving), press in self._interference.take_changes().items():
+        for (filling, serving), press in self._interference.pop_changes().items():
             self._events.emit(
                 "interference.learnt",
                 filling=filling,
@@ -50,10 +50,12 @@
         for task in runs:
             if not task.running or not task.step.serves_ms:
                 continue
-            if task.figure >= FIRST_STRAIN * task.step.serves_ms:
+            if task.figure >= MIN_VALID_LATENCY_RATIO * task.step.serves_ms:
                 sample = _build_sample(task, mix, now)
                 self._interference.observe(sample)
-                alone = sample.slack + self._interference.weigh((sample.image,), mix)
+                alone = sample.slack + self._interference.compute_interference(
+                    (sample.image,), mix
+                )
                 known = worker.alone.get(sample.image, alone)
                 worker.alone[sample.image] = min(alone, known)
 
@@ -62,7 +64,7 @@
         servings = {task.step.image for task in runs if task.step.serves_ms}
         for filling in fillings:
             for serving in servings:
-                press = self._interference.get_press(filling, serving)
+                press = self._interference.get_interference(filling, serving)
                 attachment.tell_press((filling, serving), press)
 
 
@@ -73,7 +75,7 @@
         if task.running and task.step.fills:
             image = task.step.image
             asked_milli = task.step.size.cpu_milli
-            effort = compute_effort(task.worked, task.figure, asked_milli)
+            effort = compute_intensity(task.worked, task.figure, asked_milli)
             mix[image] = mix.get(image, 0.0) + effort
     return mix
 
--- a/pistachiodeal/leader/planner.py
+++ b/pistachiodeal/leader/planner.py
@@ -20,23 +20,23 @@
 from pistachiodeal.leader.probation import Probation
 from pistachiodeal.leader.reconcile import Reconciler
 from pistachiodeal.leader.workers import Fleet, split_place
+from pistachiodeal.scheduling.crash_attribution import is_suspect
 from pistachiodeal.scheduling.interference import InterferenceModel
 from pistachiodeal.scheduling.ordering import (
     Rank,
-    Waiting,
+    WaitingStep,
     compute_objective_s,
     rank_step,
 )
 from pistachiodeal.scheduling.placement import (
     Candidates,
     Obstacle,
-    Request,
+    PlacementRequest,
     choose_worker,
+    compute_cost,
     find_obstacle,
     is_urgent,
-    score,
 )
-from pistachiodeal.scheduling.suspicion import is_suspect
 from pistachiodeal.scheduling.views import WorkerView
 
 # Filling work that waits this long, with nothing of its job at work, goes beside
@@ -133,7 +133,7 @@
         steps = record.occurrences[step.occurrence]
         self._book.expectations.expect(record, steps)
         return rank_step(
-            Waiting(
+            WaitingStep(
                 queue.priority,
                 step.step.lasts,
                 max(0.0, time_of_day_s - due_s),
@@ -157,12 +157,12 @@
         if step.step.gang:
             self._place_gang(views, record, step, waiting, queue)
             return
-        request = Request(
+        request = PlacementRequest(
             step.step,
             step.key,
             urgent=is_urgent(queue.priority, step.step, _measure_wait_s(step)),
             racks=self._list_racks(step, views),
-            bold=self._is_starved(record, step),
+            may_interfere=self._is_starved(record, step),
             remote_cost=self._remote_cost,
         )
         allowed = self._list_allowed(request, queue, views)
@@ -176,7 +176,7 @@
             allowed = self._attempts.list_changed(request, allowed)
         candidates = Candidates(request, allowed, self._interference)
         for task in waiting:
-            view = candidates.take(task.avoid)
+            view = candidates.reserve(task.avoid)
             if view is None:
                 self._want_advice(request, queue, views)
                 self._attempts.note_failure(request, self._views.round)
@@ -189,12 +189,12 @@
             # What the next task depends on beside its worker: racks that are taken,
             # and that only the first one is bold.
             racks = request.racks | {view.rack} if step.step.same_rack else frozenset()
-            if racks != request.racks or request.bold:
-                request = replace(request, racks=racks, bold=False)
+            if racks != request.racks or request.may_interfere:
+                request = replace(request, racks=racks, may_interfere=False)
                 candidates = Candidates(request, allowed, self._interference)
 
     def _place_suspects(
-        self, request: Request, views: list[WorkerView], suspects: list[Task]
+        self, request: PlacementRequest, views: list[WorkerView], suspects: list[Task]
     ) -> None:
         for task in suspects:
             view = self._probation.find_worker(task, request, views)
@@ -214,7 +214,7 @@
         # still at work from an earlier run end first.
         if len(waiting) < len(step.tasks):
             return
-        request = Request(
+        request = PlacementRequest(
             step.step,
             step.key,
             urgent=is_urgent(queue.priority, step.step, _measure_wait_s(step)),
@@ -228,7 +228,7 @@
             if view is None:
                 self._want_advice(request, queue, views)
                 return
-            view.take(request.key, step.step)
+            view.reserve(request.key, step.step)
             request = replace(request, racks=request.racks | {view.rack})
             chosen.append(view.place)
         run = max(task.run for task in waiting) + 1
@@ -236,11 +236,11 @@
         by_place = {view.place: view for view in views}
         for task, place in zip(waiting, chosen, strict=True):
             task.checkpoint = checkpoint
-            by_place[place].take(request.key, task.step)
+            by_place[place].reserve(request.key, task.step)
             self._place(task, run, request, by_place[place])
 
     def _list_allowed(
-        self, request: Request, queue: Queue, views: list[WorkerView]
+        self, request: PlacementRequest, queue: Queue, views: list[WorkerView]
     ) -> list[WorkerView]:
         """Return the workers that the outside service allows, if it is asked at all."""
         if not queue.advised or self._advice is None:
@@ -250,17 +250,17 @@
         return [view for view in views if find(key, split_place(view.place)[1])]
 
     def _want_advice(
-        self, request: Request, queue: Queue, views: list[WorkerView]
+        self, request: PlacementRequest, queue: Queue, views: list[WorkerView]
     ) -> None:
         if not queue.advised or self._advice is None:
             return
         model = self._interference
         able = [view for view in views if not find_obstacle(request, view, model)]
-        able.sort(key=lambda view: score(request, view, model))
+        able.sort(key=lambda view: compute_cost(request, view, model))
         self._advice.want(request.key, (split_place(view.place)[1] for view in able))
 
     def _explain_wait(
-        self, request: Request, obstacles: Mapping[Obstacle, int]
+        self, request: PlacementRequest, obstacles: Mapping[Obstacle, int]
     ) -> None:
         """Log why a step waits."""
         counts = {obstacle.value: count for obstacle, count in obstacles.items()}
@@ -277,7 +277,9 @@
             return False
         return _measure_wait_s(step) > STARVED_S
 
-    def _place(self, task: Task, run: int, request: Request, view: WorkerView) -> None:
+    def _place(
+        self, task: Task, run: int, request: PlacementRequest, view: WorkerView
+    ) -> None:
         place = view.place
         if self._advice is not None:
             task.ticket = self._advice.find_ticket(request.key, split_place(place)[1])
--- a/pistachiodeal/leader/preemptor.py
+++ b/pistachiodeal/leader/preemptor.py
@@ -15,7 +15,7 @@
 from pistachiodeal.model.resources import Resources
 from pistachiodeal.scheduling.placement import URGENT_PRIORITY
 from pistachiodeal.scheduling.preemption import Victim, choose_victims
-from pistachiodeal.scheduling.views import WorkerView, reserve_size
+from pistachiodeal.scheduling.views import WorkerView, get_reserved_size
 
 # A moved task costs its start again, and a preempted one its work since its last save.
 PREEMPTIONS_A_ROUND = 16
@@ -63,7 +63,7 @@
             return
         if self._stopped >= PREEMPTIONS_A_ROUND:
             return
-        service, need = queue.service, reserve_size(task.step)
+        service, need = queue.service, get_reserved_size(task.step)
         if service not in self._room_comes:
             self._room_comes[service] = self._is_room_coming(service)
         if self._room_comes[service]:
--- a/pistachiodeal/leader/probation.py
+++ b/pistachiodeal/leader/probation.py
@@ -15,9 +15,12 @@
 from pistachiodeal.leader.book import JobBook
 from pistachiodeal.leader.crashes import CrashTracker
 from pistachiodeal.leader.reconcile import Reconciler
+from pistachiodeal.scheduling.crash_attribution import (
+    compute_isolation_limit,
+    should_give_up,
+)
 from pistachiodeal.scheduling.interference import InterferenceModel
-from pistachiodeal.scheduling.placement import Request, choose_worker
-from pistachiodeal.scheduling.suspicion import is_hopeless, limit_exposed
+from pistachiodeal.scheduling.placement import PlacementRequest, choose_worker
 from pistachiodeal.scheduling.views import StepKey, WorkerView
 
 # To weigh all workers for each of many suspects would take a whole round.
@@ -63,23 +66,25 @@
     def give_up_hopeless(self, record: JobRecord, tasks: Iterable[Task]) -> bool:
         """Give the job up if one of its waiting tasks has ended too many workers."""
         for task in tasks:
-            if is_hopeless(task):
+            if should_give_up(task):
                 for other in self._book.give_up(record, task):
                     self._reconciler.stop(other, "the job has failed")
                 return True
         return False
 
     def find_worker(
-        self, task: Task, request: Request, views: list[WorkerView]
+        self, task: Task, request: PlacementRequest, views: list[WorkerView]
     ) -> WorkerView | None:
         """Reserve a worker for a suspect, None while it has to wait."""
         exposed = sum(view.probation for view in views) + self._crashes.count_away()
-        limit = limit_exposed(len(views))
+        limit = compute_isolation_limit(len(views))
         view = None
         if self._left > 0 and exposed < limit:
             self._left -= 1
             quiet = self._now - task.ready_at < PATIENCE_S
-            alone = replace(request, alone=True, quiet=quiet, avoid=task.avoid)
+            alone = replace(
+                request, may_crash_worker=True, require_settled=quiet, avoid=task.avoid
+            )
             others = [one for one in views if one.node not in task.avoid]
             # Its end on the same worker once more would tell nothing of the task.
             choice = others if quiet and others else views
@@ -87,7 +92,7 @@
         if view is None:
             self._explain_wait(task, request.key, exposed, limit)
             return None
-        view.take(request.key, request.step)
+        view.reserve(request.key, request.step)
         view.probation = True
         return view
 
--- a/pistachiodeal/leader/victims.py
+++ b/pistachiodeal/leader/victims.py
@@ -4,7 +4,7 @@
 
 from pistachiodeal.jobs.record import Task
 from pistachiodeal.scheduling.preemption import Victim
-from pistachiodeal.scheduling.views import reserve_size
+from pistachiodeal.scheduling.views import get_reserved_size
 
 
 def build_victim(task: Task, priority: int, now: float, move_s: float) -> Victim:
@@ -21,5 +21,5 @@
         task.step.checkpoints,
         now - task.began_at,
         move_s,
-        reserve_size(task.step),
+        get_reserved_size(task.step),
     )
--- a/pistachiodeal/leader/workers.py
+++ b/pistachiodeal/leader/workers.py
@@ -7,7 +7,7 @@
 from pistachiodeal.jobs.record import Task
 from pistachiodeal.model.resources import Resources
 from pistachiodeal.scheduling.health import WorkerHealth
-from pistachiodeal.scheduling.interference import TOLD_CHANGE, Pair
+from pistachiodeal.scheduling.interference import MIN_REPORTED_CHANGE, Pair
 from pistachiodeal.wire.job_messages import (
     Directive,
     EndedTask,
@@ -99,7 +99,7 @@
     def tell_press(self, pair: Pair, press: float) -> None:
         """Tell the agent what one image takes from another, if that is news."""
         told = self.told_presses.get(pair)
-        if told is None or abs(press - told) > TOLD_CHANGE:
+        if told is None or abs(press - told) > MIN_REPORTED_CHANGE:
             self.told_presses[pair] = press
             self.outbox.presses.append(PairPress(*pair, int(press * 1000)))
 
--- a/pistachiodeal/scheduling/durations.py
+++ b/pistachiodeal/scheduling/durations.py
@@ -100,7 +100,7 @@
         """Take in what an earlier leader knew of a queue that is new here."""
         self._fits.setdefault(queue, fit)
 
-    def expect_s(self, queue: str, declared_s: float) -> float:
+    def predict_s(self, queue: str, declared_s: float) -> float:
         """Return the time that a task is expected to take at full speed."""
         fit = self._fits.get(queue)
         if fit is None or declared_s <= 0:
--- a/pistachiodeal/scheduling/health.py
+++ b/pistachiodeal/scheduling/health.py
@@ -19,7 +19,7 @@
 # A worker is often sound again within seconds.
 LONGEST_SUSPECT_S = 4.0
 # Where more than this share of the workers is suspect, it is the jobs that fail.
-MOST_SUSPECTS = 1 / 3
+MAX_SUSPECT_SHARE = 1 / 3
 
 
 @dataclass(slots=True)
@@ -54,7 +54,7 @@
         """Take in that a task stood still."""
         self.suspect_until = now + LONGEST_SUSPECT_S
 
-    def is_closed(self, now: float, *, at_work: int) -> bool:
+    def is_excluded(self, now: float, *, at_work: int) -> bool:
         """Tell whether the worker gets no task now.
 
         :param at_work: tasks there, other than those that last.
--- a/pistachiodeal/scheduling/interference.py
+++ b/pistachiodeal/scheduling/interference.py
@@ -28,20 +28,20 @@
 LEAST_TAIL = 1.0 / MOST_SLACK
 # What one task of an untried pair is taken to cost: two may be tried beside a serving
 # task, three may not.
-FIRST_PRESS = 0.45
+DEFAULT_INTERFERENCE = 0.45
 # What filling work may cost a serving task on the average of its swing; the agents
 # pace it at the peaks.
 PRESS_LIMIT = 1.0
-# A press is learnt to within this much: figures are 5 to 8% off, up to 0.3 of slack.
+# A interference is learnt to within this much: figures are 5 to 8% off, up to 0.3 of slack.
 NOISE = 0.15
-# Pairs either leave each other alone or take more than this. A smaller press of a known
+# Pairs either leave each other alone or take more than this. A smaller interference of a known
 # pair is noise; believed, it has harmless work stand at each peak of the load, when
 # there is no slack to spare.
 LEAST_PRESS = 0.33
 FIGURE_NOISE = 0.08
 # Siblings that swing together are still this far apart, in slack.
 SIBLING_NOISE = 0.15
-# Variances of a pair's press: untried pairs lie between 0 and 2, and no pair is ever
+# Variances of a pair's interference: untried pairs lie between 0 and 2, and no pair is ever
 # known better than to 0.2, since what neighbours do to each other changes.
 FIRST_VARIANCE = 0.6**2
 LEAST_VARIANCE = 0.2**2
@@ -56,7 +56,7 @@
 # Compared figures differ by at least this much filling work, in tasks at full speed.
 LEAST_CONTRAST = 0.3
 # A word to the agents for a change of this much, and a line in the log.
-TOLD_CHANGE = 0.1
+MIN_REPORTED_CHANGE = 0.1
 LOGGED_CHANGE = 0.4
 # An image that left two neighbours alone is tried more freely beside a third.
 GUESS_PAIRS = 2
@@ -97,15 +97,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Lesson:
+class PairEstimate:
     """What is known of a pair; see :class:`InterferenceModel`.
 
-    :param press: slack that one filling task at full effort takes away.
+    :param interference: slack that one filling task at full effort takes away.
     """
 
     filling: str
     serving: str
-    press: float
+    interference: float
     variance: float
 
 
@@ -113,11 +113,11 @@
 class _PairState:
     """What is known of a pair.
 
-    :param press: slack that one filling task at full speed takes away.
-    :param variance: of the press, as far as it is known.
+    :param interference: slack that one filling task at full speed takes away.
+    :param variance: of the interference, as far as it is known.
     """
 
-    press: float
+    interference: float
     variance: float = FIRST_VARIANCE
 
 
@@ -184,54 +184,63 @@
         noise = self._estimate_noise(sample, references)
         self._correct(image, sample.mix, error, noise)
 
-    def get_press(self, filling: str, serving: str) -> float:
+    def get_interference(self, filling: str, serving: str) -> float:
         """Return what one filling task takes from a serving task's slack."""
         pair = self._pairs.get((filling, serving))
-        press = pair.press if pair is not None else self._guess(filling)
-        return press if press > LEAST_PRESS else 0.0
+        interference = pair.interference if pair is not None else self._guess(filling)
+        return interference if interference > LEAST_PRESS else 0.0
 
-    def weigh(self, serving: Iterable[str], mix: Mapping[str, float]) -> float:
+    def compute_interference(
+        self, serving: Iterable[str], mix: Mapping[str, float]
+    ) -> float:
         """Return the slack that a mix takes from the worst of the serving images."""
         return max((self._sum(image, mix) for image in serving), default=0.0)
 
-    def list_lessons(self, most: int) -> list[Lesson]:
+    def list_estimates(self, most: int) -> list[PairEstimate]:
         """Return the pairs that are known best."""
         known = sorted(self._pairs.items(), key=lambda entry: entry[1].variance)
-        return [Lesson(*pair, one.press, one.variance) for pair, one in known[:most]]
+        return [
+            PairEstimate(*pair, one.interference, one.variance)
+            for pair, one in known[:most]
+        ]
 
-    def adopt(self, lessons: Iterable[Lesson]) -> None:
+    def adopt(self, lessons: Iterable[PairEstimate]) -> None:
         """Take in what an earlier leader knew of pairs that are untried here."""
         for lesson in lessons:
             pair = lesson.filling, lesson.serving
             if pair in self._pairs:
                 continue
             variance = max(lesson.variance, LEAST_VARIANCE)
-            self._pairs[pair] = _PairState(max(-NOISE, lesson.press), variance)
+            self._pairs[pair] = _PairState(max(-NOISE, lesson.interference), variance)
             self._known.setdefault(lesson.filling, set()).add(lesson.serving)
 
-    def take_changes(self) -> dict[Pair, float]:
-        """Return the pairs whose press has changed enough for a line in the log."""
+    def pop_changes(self) -> dict[Pair, float]:
+        """Return the pairs whose interference has changed enough for a line in the log."""
         changed = {}
         for pair in self._moved:
-            press = self._pairs[pair].press
-            if abs(press - self._told.get(pair, FIRST_PRESS)) > LOGGED_CHANGE:
-                changed[pair] = round(press, 2)
+            interference = self._pairs[pair].interference
+            if (
+                abs(interference - self._told.get(pair, DEFAULT_INTERFERENCE))
+                > LOGGED_CHANGE
+            ):
+                changed[pair] = round(interference, 2)
         self._moved.clear()
         self._told.update(changed)
         return changed
 
     def _sum(self, serving: str, mix: Mapping[str, float]) -> float:
         return sum(
-            self.get_press(filling, serving) * weight for filling, weight in mix.items()
+            self.get_interference(filling, serving) * weight
+            for filling, weight in mix.items()
         )
 
     def _guess(self, filling: str) -> float:
         """Return what an untried pair is taken to cost, by the image's other pairs."""
         known = self._known.get(filling, ())
         if len(known) < GUESS_PAIRS:
-            return FIRST_PRESS
-        total = sum(self._pairs[filling, serving].press for serving in known)
-        return min(total / len(known), FIRST_PRESS)
+            return DEFAULT_INTERFERENCE
+        total = sum(self._pairs[filling, serving].interference for serving in known)
+        return min(total / len(known), DEFAULT_INTERFERENCE)
 
     def _estimate_noise(
         self, sample: ServingSample, references: list[ServingSample]
@@ -263,7 +272,7 @@
                 continue
             pair = self._open_pair(filling, serving)
             gain = pair.variance * weight / total
-            pair.press = max(-NOISE, pair.press + gain * error)
+            pair.interference = max(-NOISE, pair.interference + gain * error)
             pair.variance = max(LEAST_VARIANCE, pair.variance * (1 - gain * weight))
             self._moved.add((filling, serving))
 
@@ -275,11 +284,11 @@
         return pair
 
 
-def compute_effort(worked: float, used_milli: int, asked_milli: int) -> float:
+def compute_intensity(worked: float, used_milli: int, asked_milli: int) -> float:
     """Return how much a filling task disturbs, against one that uses all it asked for.
 
     Filling tasks have phases of seconds in which they use two thirds of the processor
-    time that they ask for, and then press a third to a half as much. Presses by the
+    time that they ask for, and then interference a third to a half as much. Presses by the
     pace alone would foresee a serving task's slack less well.
 
     :param worked: the pace, 1.0 is full speed.
--- a/pistachiodeal/scheduling/ordering.py
+++ b/pistachiodeal/scheduling/ordering.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Waiting:
+class WaitingStep:
     """What the order of a step depends on.
 
     :param priority: of its queue, 0 first.
@@ -68,7 +68,7 @@
     return stretch * chain_s + aim_s
 
 
-def rank_step(waiting: Waiting) -> Rank:
+def rank_step(waiting: WaitingStep) -> Rank:
     """Return the place of a step in the order."""
     done_at = waiting.age_s + waiting.left_s
     if done_at <= waiting.objective_s:
@@ -87,7 +87,7 @@
     )
 
 
-def _compute_left_share(waiting: Waiting) -> float:
+def _compute_left_share(waiting: WaitingStep) -> float:
     """Return the work that is left against what the job is worth."""
     value = WORTH_BY_WORK * waiting.work + (1 - WORTH_BY_WORK) * waiting.usual_work
     # In steps, so that jobs that differ little go by the time that they have left.
--- a/pistachiodeal/scheduling/pacing.py
+++ b/pistachiodeal/scheduling/pacing.py
@@ -18,7 +18,7 @@
 
 from pistachiodeal.scheduling.interference import Pair, compute_slack
 from pistachiodeal.scheduling.tail_guard import TailGuard
-from pistachiodeal.scheduling.tails import FULL, ServingTail
+from pistachiodeal.scheduling.tails import FULL_PACE, ServingTail
 
 # Serving tasks are kept at this share of their aim: a tail worked out from two figures
 # is noisy, and the swing of the load adds to it until the next one.
@@ -42,7 +42,7 @@
 # What a serving task without a figure yet is taken to have.
 FIRST_SLACK = 2.0
 # A tail below this part of its aim is of the task's first moments.
-FIRST_STRAIN = 0.1
+MIN_VALID_LATENCY_RATIO = 0.1
 
 FindPress = Callable[[str, str], float]
 """Slack that one task of a filling image takes from a serving image."""
@@ -53,13 +53,13 @@
     """The filling tasks of one image on a worker.
 
     :param count: how many there are.
-    :param worked: how many were at work while the figures were taken, by their effort.
-    :param standing: how many of them have been told to stand still.
+    :param active: how many were at work while the figures were taken, by their effort.
+    :param paused: how many of them have been told to stand still.
     """
 
     count: int = 0
-    worked: float = 0.0
-    standing: int = 0
+    active: float = 0.0
+    paused: int = 0
 
 
 @dataclass(slots=True)
@@ -86,7 +86,7 @@
     ) -> dict[str, int]:
         """Return the pace of each filling image, in percent."""
         tails = list(tails)
-        at_work = any(load.standing < load.count for load in fills.values())
+        at_work = any(load.paused < load.count for load in fills.values())
         if self.guard.judge(tails, at_work, now):
             self.paces = dict.fromkeys(fills, 0)
             return self.paces
@@ -105,7 +105,7 @@
             return {one: self.paces.get(one, wanted[one]) for one in wanted}
         self.decided_at = now
         self.paces = {
-            image: min(percent, self.paces.get(image, FULL) + rise)
+            image: min(percent, self.paces.get(image, FULL_PACE) + rise)
             for image, percent in wanted.items()
         }
         return self.paces
@@ -127,7 +127,7 @@
             if tail.strain <= ALARM_STRAIN:
                 continue
             for image, load in fills.items():
-                at_work = load.worked >= LEAST_SUSPECT
+                at_work = load.active >= LEAST_SUSPECT
                 if at_work and find_press(image, tail.image) > 0:
                     self.suspects[image, tail.image] = now + SUSPECT_S
         for pair in [one for one, until in self.suspects.items() if until <= now]:
@@ -142,9 +142,9 @@
     for tail in tails:
         serving = tail.image
         alone = FIRST_SLACK
-        if tail.strain >= FIRST_STRAIN:
+        if tail.strain >= MIN_VALID_LATENCY_RATIO:
             alone = compute_slack(tail.strain) + sum(
-                find_press(image, serving) * load.worked
+                find_press(image, serving) * load.active
                 for image, load in fills.items()
             )
         spare = max(0.0, alone - KEPT_SLACK)
@@ -164,10 +164,10 @@
         )
         paces[image] = _round(min(share, 1.0))
         for serving, cost in costs.items():
-            left[serving] = max(0.0, left[serving] - cost * paces[image] / FULL)
+            left[serving] = max(0.0, left[serving] - cost * paces[image] / FULL_PACE)
     return paces
 
 
 def _round(share: float) -> int:
-    percent = int(share * FULL) // STEP * STEP
+    percent = int(share * FULL_PACE) // STEP * STEP
     return percent if percent >= SLOWEST else 0
--- a/pistachiodeal/scheduling/placement.py
+++ b/pistachiodeal/scheduling/placement.py
@@ -54,17 +54,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Request:
+class PlacementRequest:
     """A task that needs a worker.
 
     :param urgent: whether it may use the room that is kept for urgent work.
     :param avoid: nodes on which the task failed before, taken only as a last resort.
     :param racks: racks on which tasks of the step are already.
-    :param bold: whether it may disturb its neighbours; their agent paces it then.
-    :param alone: whether it may end its worker.
+    :param may_interfere: whether it may disturb its neighbours; their agent paces it then.
+    :param may_crash_worker: whether it may end its worker.
     :param remote_cost: what a rack other than that of the data, or of the other tasks
         of the step, counts against load (1.0 is a full worker).
-    :param quiet: whether it goes only where all that was ordered is seen at work.
+    :param require_settled: whether it goes only where all that was ordered is seen at work.
     """
 
     step: Step
@@ -72,9 +72,9 @@
     urgent: bool = False
     avoid: frozenset[str] = frozenset()
     racks: frozenset[str] = frozenset()
-    bold: bool = False
-    alone: bool = False
-    quiet: bool = False
+    may_interfere: bool = False
+    may_crash_worker: bool = False
+    require_settled: bool = False
     remote_cost: float = 0.5
 
 
@@ -104,15 +104,15 @@
 
 
 def find_obstacle(
-    request: Request, view: WorkerView, model: InterferenceModel
+    request: PlacementRequest, view: WorkerView, model: InterferenceModel
 ) -> Obstacle | None:
     """Return why a worker can't take one more task of a step, None if it can."""
     step, key = request.step, request.key
     if step.label and step.label not in view.labels:
         return Obstacle.LABEL
-    if view.closed:
+    if view.excluded:
         return Obstacle.SUSPECT
-    if view.probation or (request.quiet and view.unlisted):
+    if view.probation or (request.require_settled and view.unlisted):
         return Obstacle.PROBATION
     if step.spread and view.steps.get(key, 0) >= step.spread:
         return Obstacle.SPREAD
@@ -121,7 +121,9 @@
     return _find_filling_obstacle(request, view, model) if step.fills else None
 
 
-def score(request: Request, view: WorkerView, model: InterferenceModel) -> float:
+def compute_cost(
+    request: PlacementRequest, view: WorkerView, model: InterferenceModel
+) -> float:
     """Return the cost of a worker for a task of a step; the lowest is best."""
     step, racks = request.step, request.racks
     cost = 0.0
@@ -129,7 +131,7 @@
         cost += request.remote_cost
     if step.same_rack and racks and view.rack not in racks:
         cost += request.remote_cost
-    if request.alone:
+    if request.may_crash_worker:
         # Where least is lost if it does end the worker.
         return cost + view.load + (EXPOSED_SERVING_COST if view.serving else 0.0)
     cost += SPREAD_COST * view.steps.get(request.key, 0)
@@ -141,7 +143,7 @@
 
 
 def choose_worker(
-    request: Request, views: Iterable[WorkerView], model: InterferenceModel
+    request: PlacementRequest, views: Iterable[WorkerView], model: InterferenceModel
 ) -> WorkerView | None:
     """Return the best worker for a task, or None when it has to wait."""
     fitting = [view for view in views if not find_obstacle(request, view, model)]
@@ -149,7 +151,10 @@
         return None
     return min(
         fitting,
-        key=lambda view: (view.node in request.avoid, score(request, view, model)),
+        key=lambda view: (
+            view.node in request.avoid,
+            compute_cost(request, view, model),
+        ),
     )
 
 
@@ -164,7 +169,10 @@
     """
 
     def __init__(
-        self, request: Request, views: Iterable[WorkerView], model: InterferenceModel
+        self,
+        request: PlacementRequest,
+        views: Iterable[WorkerView],
+        model: InterferenceModel,
     ) -> None:
         self.obstacles: Counter[Obstacle] = Counter()
         self._request = request
@@ -173,7 +181,7 @@
         for number, view in enumerate(views):
             self._weigh(number, view)
 
-    def take(self, avoid: frozenset[str]) -> WorkerView | None:
+    def reserve(self, avoid: frozenset[str]) -> WorkerView | None:
         """Reserve the best worker for one task; None when it has to wait.
 
         :param avoid: nodes taken only as a last resort.
@@ -193,7 +201,7 @@
         if best is None:
             return None
         _, number, view = best
-        view.take(self._request.key, self._request.step)
+        view.reserve(self._request.key, self._request.step)
         self._weigh(number, view)
         return view
 
@@ -202,11 +210,11 @@
         if obstacle is not None:
             self.obstacles[obstacle] += 1
             return
-        cost = score(self._request, view, self._model)
+        cost = compute_cost(self._request, view, self._model)
         heappush(self._heap, (cost, number, view))
 
 
-def _has_room(request: Request, view: WorkerView) -> bool:
+def _has_room(request: PlacementRequest, view: WorkerView) -> bool:
     """Tell whether what a task reserves is free; field by field, as it is hot."""
     step, whole, used = request.step, view.capacity, view.used
     kept = 0.0 if request.urgent else URGENT_SHARE
@@ -223,7 +231,7 @@
 
 
 def _score_filling(
-    request: Request, view: WorkerView, model: InterferenceModel
+    request: PlacementRequest, view: WorkerView, model: InterferenceModel
 ) -> float:
     asked = view.fill_cpu_milli + request.step.size.cpu_milli
     cost = asked / max(view.leftover_milli, 1)
@@ -233,19 +241,21 @@
 
 
 def _score_serving(
-    request: Request, view: WorkerView, model: InterferenceModel
+    request: PlacementRequest, view: WorkerView, model: InterferenceModel
 ) -> float:
     # The fullest worker that still has room: what is left of it is of no use to work
     # that disturbs, and another worker stays free of serving tasks. Serving tasks of
     # one image bear the same filling work, so they share workers first.
     image = request.step.image
-    cost = model.weigh((image,), view.filling) - view.load
+    cost = model.compute_interference((image,), view.filling) - view.load
     if not view.serving:
         return cost + FRESH_COST
     return cost if image in view.serving else cost + OTHER_IMAGE_COST
 
 
-def _find_excess(request: Request, view: WorkerView, model: InterferenceModel) -> float:
+def _find_excess(
+    request: PlacementRequest, view: WorkerView, model: InterferenceModel
+) -> float:
     """Return by how much a worker's filling tasks, with one more, take too much slack.
 
     Half of what they may take is what the serving tasks have to spare now: filling
@@ -256,26 +266,27 @@
     image = request.step.image
     if view.pressed is None:
         view.pressed = {
-            serving: model.weigh((serving,), view.filling) for serving in view.serving
+            serving: model.compute_interference((serving,), view.filling)
+            for serving in view.serving
         }
     worst = -MOST_SLACK
     for serving in view.serving:
         limit = PRESS_LIMIT
-        if serving in view.alone:
-            spare = view.alone[serving] - KEPT_SLACK
+        if serving in view.solo_slack:
+            spare = view.solo_slack[serving] - KEPT_SLACK
             limit = min((PRESS_LIMIT + spare) / 2, spare + SPARE_MARGIN)
-        press = view.pressed[serving] + model.get_press(image, serving)
+        press = view.pressed[serving] + model.get_interference(image, serving)
         worst = max(worst, press - limit)
     return worst
 
 
 def _find_filling_obstacle(
-    request: Request, view: WorkerView, model: InterferenceModel
+    request: PlacementRequest, view: WorkerView, model: InterferenceModel
 ) -> Obstacle | None:
     asked = view.fill_cpu_milli + request.step.size.cpu_milli
     if view.leftover_milli < LEAST_FILL_SHARE * asked and view.fill_cpu_milli:
         return Obstacle.LEFTOVER
-    if not view.serving or request.bold:
+    if not view.serving or request.may_interfere:
         return None
     if _find_excess(request, view, model) > 0:
         return Obstacle.NEIGHBOURS
--- a/pistachiodeal/scheduling/preemption.py
+++ b/pistachiodeal/scheduling/preemption.py
@@ -47,7 +47,9 @@
     return chosen if fits else []
 
 
-def choose_to_fit(missing: Resources, candidates: Iterable[Victim]) -> list[Victim]:
+def choose_victims_to_fit(
+    missing: Resources, candidates: Iterable[Victim]
+) -> list[Victim]:
     """Return the runs of one worker to stop so that the others fit, or all that help.
 
     :param missing: what the worker's runs reserve beyond what it has.
--- a/pistachiodeal/scheduling/tail_guard.py
+++ b/pistachiodeal/scheduling/tail_guard.py
@@ -15,7 +15,7 @@
 # A serving task over its aim for this long, whatever is believed of its neighbours,
 # has them stand still. A tail that rises slowly is noticed late, so this leaves a
 # margin within the time that deployments allow.
-GUARD_S = 1.2
+GUARD_DELAY_S = 1.2
 # From then on it takes this long until its tail shows that they do, and until it is
 # within its aim again.
 GUARD_LAG_S = 2.2
@@ -39,7 +39,7 @@
     :ivar own_faults: the tasks among them that are slow by themselves.
     """
 
-    guard_s: float = GUARD_S
+    guard_s: float = GUARD_DELAY_S
     over_since: dict[str, float] = field(default_factory=dict)
     guarded: set[str] = field(default_factory=set)
     own_faults: set[str] = field(default_factory=set)
@@ -89,9 +89,9 @@
         self.own_faults.discard(task)
 
 
-def compute_guard_s(interference_s: float) -> float:
+def compute_guard_delay_s(interference_s: float) -> float:
     """Return how long neighbours of a serving task over its aim may go on.
 
     :param interference_s: a serving task may be over its aim for this long.
     """
-    return max(0.0, min(GUARD_S, interference_s - GUARD_LAG_S))
+    return max(0.0, min(GUARD_DELAY_S, interference_s - GUARD_LAG_S))
--- a/pistachiodeal/scheduling/tails.py
+++ b/pistachiodeal/scheduling/tails.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass
 from math import exp
 
-FULL = 100
+FULL_PACE = 100
 # Time constant with which a listed figure follows the tail.
-FOLLOW_S = 0.5
+SMOOTHING_S = 0.5
 # From a call until its pace is in force.
 DELAY_S = 0.1
 # A tail that falls fast ends up no lower than this part of its figure, whatever noise
@@ -62,7 +62,7 @@
 
     def estimate(self, figure: float, now: float) -> float:
         """Return the tail since the figure before, in the figure's unit."""
-        kept = exp(-(now - self._at) / FOLLOW_S) if self._at else 0.0
+        kept = exp(-(now - self._at) / SMOOTHING_S) if self._at else 0.0
         tail = (figure - kept * self._figure) / (1.0 - kept)
         self._figure, self._at = figure, now
         return max(tail, figure * LEAST_PART)
@@ -78,7 +78,7 @@
 
     def __init__(self, now: float, *, fresh: bool = True) -> None:
         self._times = [now]
-        self._percents = [FULL]
+        self._percents = [FULL_PACE]
         self._certain = fresh
 
     @property
@@ -95,7 +95,7 @@
         if begin > 0:
             del self._times[:begin], self._percents[:begin]
 
-    def allows(self, used: float, now: float) -> bool:
+    def is_consistent(self, used: float, now: float) -> bool:
         """Tell whether a figure of use can be that of the pace set last.
 
         A figure follows late: some time after the pace is in force, what is left of
@@ -106,8 +106,8 @@
         if not self._certain:
             return True
         fading_s = max(0.0, now - self._times[-1] - USE_LAG_S)
-        left = exp(-fading_s / FOLLOW_S)
-        return used <= self._percents[-1] / FULL + left + SURPLUS
+        left = exp(-fading_s / SMOOTHING_S)
+        return used <= self._percents[-1] / FULL_PACE + left + SURPLUS
 
     def average(self, begin: float, end: float) -> float:
         """Return the mean pace over a time, 0.0 to 1.0."""
@@ -117,4 +117,4 @@
             last = number + 1 == len(self._times)
             until = end if last else min(end, self._times[number + 1])
             worked += max(0.0, until - max(begin, since)) * self._percents[number]
-        return worked / ((end - begin) * FULL)
+        return worked / ((end - begin) * FULL_PACE)
--- a/pistachiodeal/scheduling/views.py
+++ b/pistachiodeal/scheduling/views.py
@@ -25,15 +25,15 @@
     :param fill_cpu_milli: what the tasks that fill would like to use.
     :param steps: number of tasks of each step on it.
     :param serving: tasks on it that keep a tail latency, by image.
-    :param alone: slack that serving tasks would have now without neighbours, the
+    :param solo_slack: slack that serving tasks would have now without neighbours, the
         least by image.
     :param serving_cpu_milli: what the serving tasks have reserved.
     :param filling: tasks on it that fill, by image.
-    :param closed: whether it gets nothing, since it fails or stands still.
+    :param excluded: whether it gets nothing, since it fails or stands still.
     :param probing: whether it gets one task, to see whether that is over.
     :param probation: whether a suspect of having ended a worker has just begun there.
     :param unlisted: tasks that were ordered and have not been seen at work.
-    :param built_in: the round of decisions that it was built in.
+    :param built_round: the round of decisions that it was built in.
     :param pressed: slack that the filling tasks take, by serving image; worked out
         when it is first asked for, and forgotten when a task comes.
     """
@@ -47,14 +47,14 @@
     fill_cpu_milli: int = 0
     steps: dict[StepKey, int] = field(default_factory=dict)
     serving: dict[str, int] = field(default_factory=dict)
-    alone: dict[str, float] = field(default_factory=dict)
+    solo_slack: dict[str, float] = field(default_factory=dict)
     serving_cpu_milli: int = 0
     filling: dict[str, float] = field(default_factory=dict)
-    closed: bool = False
+    excluded: bool = False
     probing: bool = False
     probation: bool = False
     unlisted: int = 0
-    built_in: int = 0
+    built_round: int = 0
     pressed: dict[str, float] | None = None
 
     @property
@@ -84,10 +84,10 @@
             filling=dict(self.filling),
         )
 
-    def take(self, key: StepKey, step: Step) -> None:
+    def reserve(self, key: StepKey, step: Step) -> None:
         """Reserve the room of one task."""
-        self.used = self.used + reserve_size(step)
-        self.closed |= self.probing
+        self.used = self.used + get_reserved_size(step)
+        self.excluded |= self.probing
         self.unlisted += 1
         self.pressed = None
         self.steps[key] = self.steps.get(key, 0) + 1
@@ -99,7 +99,7 @@
             self.serving_cpu_milli += step.size.cpu_milli
 
 
-def reserve_size(step: Step) -> Resources:
+def get_reserved_size(step: Step) -> Resources:
     """Return what a task of a step reserves on its worker."""
     if not step.fills:
         return step.size
--- a/tests/standins/paced_fleet.py
+++ b/tests/standins/paced_fleet.py
@@ -15,12 +15,12 @@
 from pistachiodeal.model.resources import Resources
 from pistachiodeal.scheduling.interference import (
     InterferenceModel,
-    Lesson,
     Pair,
+    PairEstimate,
     ServingSample,
 )
-from pistachiodeal.scheduling.pacing import FIRST_STRAIN
-from pistachiodeal.scheduling.placement import Request, choose_worker
+from pistachiodeal.scheduling.pacing import MIN_VALID_LATENCY_RATIO
+from pistachiodeal.scheduling.placement import PlacementRequest, choose_worker
 from pistachiodeal.scheduling.views import WorkerView
 from tests.standins.paced_worker import (
     AIM_MS,
@@ -84,7 +84,7 @@
         self._images = sorted({filling for filling, _ in self.loads})
         if believed is not None:
             self.model.adopt(
-                Lesson(*pair, press, 0.04) for pair, press in believed.items()
+                PairEstimate(*pair, press, 0.04) for pair, press in believed.items()
             )
         swings = [self.rng.uniform(0, SWING_S) for _ in range(SERVING_IMAGES)]
         self.workers = []
@@ -152,7 +152,7 @@
         for task, serving in worker.servings.items():
             strain = worker.ledger.running[task, 1].figure / AIM_MS
             described = (task, 1) in worker.ledger.described
-            if strain < FIRST_STRAIN or not described:
+            if strain < MIN_VALID_LATENCY_RATIO or not described:
                 continue
             # Each image is one step here, so its tasks are siblings.
             name = f"{id(worker)}.{task}"
@@ -164,7 +164,7 @@
     def _tell(self, worker: PacedWorker) -> None:
         for serving in {one.image for one in worker.servings.values()}:
             for filling in {one.image for one in worker.fillings.values()}:
-                press = self.model.get_press(filling, serving)
+                press = self.model.get_interference(filling, serving)
                 worker.ledger.presses[filling, serving] = press
 
     def _place(self, worker: PacedWorker, mix: dict[str, float], most: int) -> None:
@@ -172,7 +172,10 @@
             image = self.rng.choice(self._images)
             step = Step(1, Resources(0, 1_000, 0), 4.0, image=image, fills=True)
             view = self._build_view(worker, mix)
-            if choose_worker(Request(step, ("job", 0, 0)), [view], self.model) is None:
+            if (
+                choose_worker(PlacementRequest(step, ("job", 0, 0)), [view], self.model)
+                is None
+            ):
                 return
             stays = self.rng.random() < STAY_SHARE
             worker.begin(image, self.rng.uniform(1.5, 7.0), self.now, stays=stays)
@@ -184,9 +187,11 @@
         view.filling = dict(Counter(one.image for one in worker.fillings.values()))
         for task, serving in worker.servings.items():
             strain = worker.ledger.running[task, 1].figure / AIM_MS
-            alone = 1 / max(strain, 0.2) + self.model.weigh((serving.image,), mix)
-            known = view.alone.get(serving.image, alone)
-            view.alone[serving.image] = min(alone, known)
+            alone = 1 / max(strain, 0.2) + self.model.compute_interference(
+                (serving.image,), mix
+            )
+            known = view.solo_slack.get(serving.image, alone)
+            view.solo_slack[serving.image] = min(alone, known)
         return view
 
 
--- a/tests/standins/paced_worker.py
+++ b/tests/standins/paced_worker.py
@@ -17,7 +17,7 @@
 from pistachiodeal.jobagent.orders import Order
 from pistachiodeal.jobagent.paces import PaceKeeper
 from pistachiodeal.jobs.runtime import CallResult, Listing
-from pistachiodeal.scheduling.interference import Pair, compute_effort
+from pistachiodeal.scheduling.interference import Pair, compute_intensity
 from pistachiodeal.wire.job_messages import RunningTask, RunOrder
 from tests.standins.job_cluster import create_quiet_log
 
@@ -244,7 +244,7 @@
             if order is None:
                 continue
             seen = self.ledger.running[key]
-            effort = compute_effort(
+            effort = compute_intensity(
                 seen.worked_milli / 1000, seen.figure, order.cpu_milli
             )
             mix[order.image] = mix.get(order.image, 0.0) + effort
--- a/tests/unit/test_batch_endings.py
+++ b/tests/unit/test_batch_endings.py
@@ -16,7 +16,7 @@
 from pistachiodeal.batch.partition import MAX_CHECKPOINT_MISSES, PartitionState
 from pistachiodeal.model.resources import Resources
 from pistachiodeal.model.tasks import TaskSpec, TaskState
-from pistachiodeal.scheduling.suspicion import CRASHES_TO_GIVE_UP
+from pistachiodeal.scheduling.crash_attribution import CRASHES_TO_GIVE_UP
 from pistachiodeal.wire.task_messages import UNKNOWN_RUN, StartRefused, TaskEnded
 
 SIZE = Resources(1_000, 1_024)
--- a/tests/unit/test_deployment_settings.py
+++ b/tests/unit/test_deployment_settings.py
@@ -22,9 +22,13 @@
 from pistachiodeal.model.resources import Resources
 from pistachiodeal.scheduling.interference import InterferenceModel
 from pistachiodeal.scheduling.pacing import FillingLoad, Pacer
-from pistachiodeal.scheduling.placement import Request, choose_worker
+from pistachiodeal.scheduling.placement import PlacementRequest, choose_worker
 from pistachiodeal.scheduling.preemption import Victim, choose_victims
-from pistachiodeal.scheduling.tail_guard import GUARD_S, TailGuard, compute_guard_s
+from pistachiodeal.scheduling.tail_guard import (
+    GUARD_DELAY_S,
+    TailGuard,
+    compute_guard_delay_s,
+)
 from pistachiodeal.scheduling.tails import ServingTail
 from pistachiodeal.scheduling.views import WorkerView
 from pistachiodeal.wire.job_messages import RunningTask
@@ -119,20 +123,20 @@
     far = WorkerView("far", "far", "r2", frozenset(), ROOM)
     near.used = Resources(12_000, 0, 0)
     step = Step(1, Resources(1_000, 100, 0), 1.0, data_rack="r1")
-    request = Request(step, ("j", 0, 0), remote_cost=remote_factor - 1.0)
+    request = PlacementRequest(step, ("j", 0, 0), remote_cost=remote_factor - 1.0)
     chosen = choose_worker(request, [near, far], InterferenceModel())
     assert chosen is not None
     assert chosen.place == expected
 
 
 @pytest.mark.parametrize(
-    ("interference_s", "expected_s"), [(3.0, 0.8), (4.0, 1.2), (10.0, GUARD_S)]
+    ("interference_s", "expected_s"), [(3.0, 0.8), (4.0, 1.2), (10.0, GUARD_DELAY_S)]
 )
 def test_neighbours_stand_in_time(interference_s: float, expected_s: float):
     """Guards against harm to a serving task for longer than its deployment allows."""
-    assert compute_guard_s(interference_s) == pytest.approx(expected_s)
+    assert compute_guard_delay_s(interference_s) == pytest.approx(expected_s)
     tail = ServingTail("t", "s", 120, 120, 100)
-    pacer = Pacer(TailGuard(compute_guard_s(interference_s)))
+    pacer = Pacer(TailGuard(compute_guard_delay_s(interference_s)))
 
     def decide(now: float) -> int:
         # Too little at work to be suspected sooner.
--- a/tests/unit/test_jobagent_paces.py
+++ b/tests/unit/test_jobagent_paces.py
@@ -10,7 +10,7 @@
 from pistachiodeal.jobagent.orders import Order
 from pistachiodeal.jobagent.paces import PaceKeeper
 from pistachiodeal.jobs.runtime import CallResult, Listing
-from pistachiodeal.scheduling.tails import FOLLOW_S, PaceHistory
+from pistachiodeal.scheduling.tails import SMOOTHING_S, PaceHistory
 from pistachiodeal.wire.job_messages import RunningTask, RunOrder
 from tests.standins.job_cluster import create_quiet_log
 
@@ -66,8 +66,8 @@
     """Guards against work that goes on while its agent believes that it stands."""
     history = PaceHistory(10.0)
     history.note(0, 10.0)
-    assert not history.allows(0.9, 12.0)
-    assert history.allows(0.1, 12.0)
+    assert not history.is_consistent(0.9, 12.0)
+    assert history.is_consistent(0.1, 12.0)
 
 
 def test_a_figure_from_before_a_pace_contradicts_nothing():
@@ -75,7 +75,7 @@
     history = PaceHistory(10.0)
     history.note(0, 10.0)
     for late_s in (0.0, 0.1, 0.3, 0.45):
-        assert history.allows(1.05, 10.0 + late_s)
+        assert history.is_consistent(1.05, 10.0 + late_s)
 
 
 def test_a_figure_that_fades_after_a_task_stands_contradicts_nothing():
@@ -84,4 +84,4 @@
     history.note(0, 10.0)
     for beat in range(10):
         now = 10.1 + 0.3 * beat
-        assert history.allows(1.08 * exp(-0.3 * beat / FOLLOW_S), now)
+        assert history.is_consistent(1.08 * exp(-0.3 * beat / SMOOTHING_S), now)
--- a/tests/unit/test_leader_crashes.py
+++ b/tests/unit/test_leader_crashes.py
@@ -18,18 +18,18 @@
 from pistachiodeal.leader.reconcile import Reconciler
 from pistachiodeal.leader.workers import Attachment, Fleet
 from pistachiodeal.model.resources import Resources
-from pistachiodeal.scheduling.interference import InterferenceModel
-from pistachiodeal.scheduling.suspicion import (
-    BLAME_AT_ONCE,
-    BLAME_FRESH,
+from pistachiodeal.scheduling.crash_attribution import (
+    BLAME_IMMEDIATE,
+    BLAME_STARTUP,
+    CRASH_RESET_S,
     CRASHES_TO_GIVE_UP,
-    FRESH_S,
-    SOUND_S,
-    Casualty,
+    STARTUP_S,
+    CrashedRun,
+    attribute_crash,
+    compute_isolation_limit,
     is_suspect,
-    judge,
-    limit_exposed,
 )
+from pistachiodeal.scheduling.interference import InterferenceModel
 from pistachiodeal.wire.job_messages import (
     Label,
     LostRun,
@@ -173,7 +173,7 @@
     waits = [task for task in (guilty, neighbour) if task.waits]
     assert len(waits) == 1, "one worker of six at a time"
     stage.report(stage.find_node(guilty if waits[0] is neighbour else neighbour))
-    stage.wait(FRESH_S)
+    stage.wait(STARTUP_S)
     stage.report(stage.find_node(guilty if waits[0] is neighbour else neighbour))
     place(stage)
     assert guilty.place != neighbour.place
@@ -187,7 +187,7 @@
     stage.book.place(guilty, 1, old.place, lambda: None)
     ages_ms = {str(guilty.name): 8, str(old.name): 5_000}
     stage.lose(stage.find_node(old), ages_ms)
-    assert (guilty.blames, guilty.crashes) == (BLAME_AT_ONCE, 1)
+    assert (guilty.blames, guilty.crashes) == (BLAME_IMMEDIATE, 1)
     assert (old.blames, old.crashes) == (0, 0)
 
 
@@ -223,7 +223,7 @@
     stage.lose(mate, {})
     place(stage)
     assert stage.book.records[job.job_id].state is JobState.ACTIVE
-    assert (task.crashes, task.blames) == (1, BLAME_AT_ONCE)
+    assert (task.crashes, task.blames) == (1, BLAME_IMMEDIATE)
 
 
 def test_a_job_that_was_given_up_starts_nothing_more(stage):
@@ -244,7 +244,7 @@
     place(stage)
     stage.crash_under(task)
     place(stage)
-    assert (task.crashes, task.blames) == (1, BLAME_AT_ONCE)
+    assert (task.crashes, task.blames) == (1, BLAME_IMMEDIATE)
 
 
 @pytest.mark.parametrize("cause", [LossCause.LEFT, LossCause.SILENT])
@@ -323,7 +323,7 @@
     successor = build_record(job)
     apply_progress(successor, value, 7)
     restored = next(successor.iterate_tasks())
-    assert (restored.crashes, restored.blames) == (1, BLAME_AT_ONCE)
+    assert (restored.crashes, restored.blames) == (1, BLAME_IMMEDIATE)
     older = build_record(job)
     row = {"state": "active", "begun": True, "completed": []}
     row["tasks"] = {"0.0.0": [3, "", 0, 0, ""]}
@@ -366,7 +366,7 @@
     places = {stage.find(job, index).place for index in range(30)}
     assert suspect.place not in places
     stage.report(stage.find_node(suspect))
-    stage.wait(FRESH_S)
+    stage.wait(STARTUP_S)
     stage.report(stage.find_node(suspect))
     assert not is_suspect(suspect)
 
@@ -432,7 +432,7 @@
         task.crashes = task.blames = 1
     place(stage)
     placed = {stage.find(job, index).place for index in range(20)} - {""}
-    assert len(placed) == limit_exposed(6) == 1
+    assert len(placed) == compute_isolation_limit(6) == 1
     task = next(one for one in map(stage.find, [job] * 20, range(20)) if one.place)
     number = stage.find_node(task)
     loss = WorkerLoss(
@@ -460,7 +460,7 @@
     place(stage)
     assert task.place
     stage.report(stage.find_node(task))
-    stage.wait(FRESH_S)
+    stage.wait(STARTUP_S)
     stage.report(stage.find_node(task))
     assert not task.blames
 
@@ -492,7 +492,7 @@
         stage.crash_under(task, age_ms=age_ms)
     place(stage)
     assert stage.book.records[job.job_id].state is JobState.ACTIVE
-    assert task.blames == BLAME_FRESH + (BLAME_AT_ONCE - 1) + (BLAME_FRESH - 1)
+    assert task.blames == BLAME_STARTUP + (BLAME_IMMEDIATE - 1) + (BLAME_STARTUP - 1)
 
 
 def test_where_workers_crash_by_themselves_three_at_once_are_enough(stage):
@@ -535,23 +535,23 @@
         place(stage)
         number = stage.find_node(task)
         stage.report(number)
-        stage.wait(SOUND_S)
+        stage.wait(CRASH_RESET_S)
         stage.report(number)
-        stage.lose(number, {str(task.name): int(SOUND_S * 1_000)})
+        stage.lose(number, {str(task.name): int(CRASH_RESET_S * 1_000)})
     assert stage.book.records[task.name.job_id].state is JobState.ACTIVE
 
 
 def test_who_began_last_is_blamed():
     """Starts of the same moment share the blame; a suspect among them has all of it."""
-    young, close = Casualty("a", 0.01, False), Casualty("b", 0.05, False)
-    later = Casualty("c", 0.4, False)
-    unknown, old = Casualty("d", None, False), Casualty("e", 9.0, True)
-    verdict = judge([later, close, young, unknown, old])
-    assert verdict.blames == {"a": BLAME_AT_ONCE, "b": BLAME_AT_ONCE}
+    young, close = CrashedRun("a", 0.01, False), CrashedRun("b", 0.05, False)
+    later = CrashedRun("c", 0.4, False)
+    unknown, old = CrashedRun("d", None, False), CrashedRun("e", 9.0, True)
+    verdict = attribute_crash([later, close, young, unknown, old])
+    assert verdict.blames == {"a": BLAME_IMMEDIATE, "b": BLAME_IMMEDIATE}
     assert verdict.involved == {"a", "b", "c"}
-    known = Casualty("f", 0.3, True)
-    assert judge([young, known]).blames == {"f": BLAME_FRESH}
-    assert judge([unknown, old]).involved == {"d", "e"}
+    known = CrashedRun("f", 0.3, True)
+    assert attribute_crash([young, known]).blames == {"f": BLAME_STARTUP}
+    assert attribute_crash([unknown, old]).involved == {"d", "e"}
 
 
 def test_one_worker_that_ends_again_and_again_costs_no_job(monkeypatch):
@@ -563,7 +563,7 @@
         place(stage)
         stage.crash_under(task)
         assert stage.book.records[job.job_id].state is JobState.ACTIVE
-    assert task.blames == BLAME_AT_ONCE
+    assert task.blames == BLAME_IMMEDIATE
     place(stage)
     stage.crash_under(task)
     place(stage)
--- a/tests/unit/test_leader_fleet_views.py
+++ b/tests/unit/test_leader_fleet_views.py
@@ -27,7 +27,7 @@
     """The load: one worker of six fails what it starts."""
     book = JobBook(create_quiet_log())
     views = FleetViews(book, build_fleet(6, 1)).refresh(read_boot_clock())["svc"]
-    assert [view.closed for view in views] == [True] + [False] * 5
+    assert [view.excluded for view in views] == [True] + [False] * 5
 
 
 def test_jobs_that_can_never_be_done_close_no_worker():
@@ -36,4 +36,4 @@
     """
     book = JobBook(create_quiet_log())
     views = FleetViews(book, build_fleet(6, 3)).refresh(read_boot_clock())["svc"]
-    assert not any(view.closed or view.probing for view in views)
+    assert not any(view.excluded or view.probing for view in views)
--- a/tests/unit/test_leader_lessons.py
+++ b/tests/unit/test_leader_lessons.py
@@ -22,15 +22,15 @@
 )
 from pistachiodeal.scheduling.durations import DurationFit, DurationModel
 from pistachiodeal.scheduling.interference import (
-    FIRST_PRESS,
+    DEFAULT_INTERFERENCE,
     InterferenceModel,
-    Lesson,
+    PairEstimate,
 )
 from pistachiodeal.store.row_store import RowWrite, Transaction
 from tests.standins.job_cluster import create_quiet_log
 from tests.standins.rows import MemoryRows, RowsState
 
-HARSH = Lesson("harsh", "s", 1.4, 0.05)
+HARSH = PairEstimate("harsh", "s", 1.4, 0.05)
 
 
 async def take_lead(store: MemoryRows, epoch: int) -> CommitLog:
@@ -64,8 +64,8 @@
         await lead_for(store, 2, second)
 
     curio.run(main)
-    assert second.get_press("harsh", "s") == pytest.approx(1.4)
-    assert second.get_press("harsh", "other") == FIRST_PRESS
+    assert second.get_interference("harsh", "s") == pytest.approx(1.4)
+    assert second.get_interference("harsh", "other") == DEFAULT_INTERFERENCE
 
 
 def test_a_replaced_leader_writes_no_lessons():
@@ -106,8 +106,8 @@
 def test_what_was_seen_here_goes_before_what_was_heard():
     model = InterferenceModel()
     model.adopt([HARSH])
-    model.adopt([Lesson("harsh", "s", 0.1, 0.05)])
-    assert model.get_press("harsh", "s") == pytest.approx(1.4)
+    model.adopt([PairEstimate("harsh", "s", 0.1, 0.05)])
+    assert model.get_interference("harsh", "s") == pytest.approx(1.4)
 
 
 def test_lessons_are_read_back_as_they_were():
--- a/tests/unit/test_pacing_load.py
+++ b/tests/unit/test_pacing_load.py
@@ -5,7 +5,7 @@
 import math
 import random
 
-from pistachiodeal.scheduling.interference import InterferenceModel, Lesson
+from pistachiodeal.scheduling.interference import InterferenceModel, PairEstimate
 from pistachiodeal.scheduling.pacing import FillingLoad, Pacer, share_slack
 from pistachiodeal.scheduling.tails import PaceHistory, ServingTail, TailFilter
 from tests.unit.test_scheduling_load import swing
@@ -128,10 +128,12 @@
 def test_a_pair_that_is_learnt_roughly_works_on_at_the_peak():
     """Guards against harmless filling work that stands at each peak of the load."""
     model = InterferenceModel()
-    model.adopt((Lesson("mild", "s", 0.28, 0.04), Lesson("harsh", "s", 0.9, 0.04)))
+    model.adopt(
+        (PairEstimate("mild", "s", 0.28, 0.04), PairEstimate("harsh", "s", 0.9, 0.04))
+    )
     tails = [ServingTail("t", "s", 72, 72, 100)]
     fills = {"mild": FillingLoad(6, 0.0), "harsh": FillingLoad(1, 0.0)}
-    paces = share_slack(tails, fills, model.get_press)
+    paces = share_slack(tails, fills, model.get_interference)
     assert paces == {"mild": 100, "harsh": 0}
 
 
--- a/tests/unit/test_scheduling_load.py
+++ b/tests/unit/test_scheduling_load.py
@@ -14,13 +14,13 @@
 from pistachiodeal.scheduling.interference import (
     InterferenceModel,
     ServingSample,
-    compute_effort,
+    compute_intensity,
 )
-from pistachiodeal.scheduling.ordering import Waiting, rank_step
+from pistachiodeal.scheduling.ordering import WaitingStep, rank_step
 from pistachiodeal.scheduling.placement import (
     LASTING_PATIENCE_S,
     Candidates,
-    Request,
+    PlacementRequest,
     choose_worker,
     is_urgent,
 )
@@ -59,7 +59,9 @@
         if ranked:
             waiting.sort(
                 key=lambda job: rank_step(
-                    Waiting(1, False, now - job.arrives, job.work_s, job.objective_s)
+                    WaitingStep(
+                        1, False, now - job.arrives, job.work_s, job.objective_s
+                    )
                 )
             )
         job = waiting.pop(0)
@@ -108,9 +110,9 @@
 
 
 def place(step: Step, views: list[WorkerView], model: InterferenceModel) -> str | None:
-    view = choose_worker(Request(step, KEY), views, model)
+    view = choose_worker(PlacementRequest(step, KEY), views, model)
     if view is not None:
-        view.take(KEY, step)
+        view.reserve(KEY, step)
     return view.node if view else None
 
 
@@ -167,10 +169,10 @@
     """
     model = InterferenceModel()
     learn(model, {"mild": 0.0, "harsh": 0.25}, until=12.0)
-    assert model.get_press("mild", "s") < 0.3
-    assert 0.8 < model.get_press("harsh", "s") < 1.8
+    assert model.get_interference("mild", "s") < 0.3
+    assert 0.8 < model.get_interference("harsh", "s") < 1.8
     view = build_view("n")
-    view.take(KEY, build_serving("s"))
+    view.reserve(KEY, build_serving("s"))
     assert place(build_filling("harsh"), [view], model) is None
     for _ in range(3):
         assert place(build_filling("mild"), [view], model) == "n"
@@ -180,7 +182,7 @@
     """The load: many tasks of a new image arrive at once beside serving tasks."""
     model = InterferenceModel()
     view = build_view("n")
-    view.take(KEY, build_serving("s"))
+    view.reserve(KEY, build_serving("s"))
     placed = [place(build_filling("new"), [view], model) for _ in range(3)]
     assert placed == ["n", "n", None]
 
@@ -195,8 +197,8 @@
     model = InterferenceModel()
     view = build_view("n")
     for _ in range(5):
-        view.take(KEY, build_serving("s"))
-    view.take(KEY, Step(1, Resources(1_000, 1_000, 0), 1.0))
+        view.reserve(KEY, build_serving("s"))
+    view.reserve(KEY, Step(1, Resources(1_000, 1_000, 0), 1.0))
     assert view.free.cpu_milli == 0
     assert place(build_filling("new"), [view], model) == "n"
 
@@ -206,10 +208,13 @@
     model = InterferenceModel()
     views = [build_view(f"n{number}") for number in range(3)]
     large = Step(1, Resources(1_900, 3_000, 0), 4.0)
-    while choose_worker(Request(large, KEY), views, model):
+    while choose_worker(PlacementRequest(large, KEY), views, model):
         place(large, views, model)
     small = Step(1, Resources(240, 480, 0), 1.0)
-    assert choose_worker(Request(small, KEY, urgent=True), views, model) is not None
+    assert (
+        choose_worker(PlacementRequest(small, KEY, urgent=True), views, model)
+        is not None
+    )
 
 
 def test_short_urgent_work_finds_room_beside_tasks_that_last():
@@ -223,17 +228,19 @@
     rng = random.Random(5)
 
     def choose(step: Step) -> WorkerView | None:
-        return choose_worker(Request(step, KEY, is_urgent(0, step, 0.0)), views, model)
+        return choose_worker(
+            PlacementRequest(step, KEY, is_urgent(0, step, 0.0)), views, model
+        )
 
     for _ in range(200):
         size = Resources(rng.randrange(1_600, 4_800, 200), 3_000, 0)
         lasting = Step(1, size, 0.3, lasts=True, image="s", serves_ms=50)
         if (view := choose(lasting)) is not None:
-            view.take(KEY, lasting)
+            view.reserve(KEY, lasting)
     short = Step(1, Resources(430, 480, 0), 1.0)
     begun = 0
     while (view := choose(short)) is not None and begun < 100:
-        view.take(KEY, short)
+        view.reserve(KEY, short)
         begun += 1
     assert begun >= len(views)
     # No more than a tenth of the workers is lost to tasks that last.
@@ -253,11 +260,11 @@
         1, Resources(3_600, 6_000, 0), 0.3, lasts=True, image="s", serves_ms=50
     )
     for view in views:
-        view.take(KEY, Step(1, Resources(12_400, 6_000, 0), 1.0))
+        view.reserve(KEY, Step(1, Resources(12_400, 6_000, 0), 1.0))
 
     def choose(waited_s: float) -> WorkerView | None:
         urgent = is_urgent(0, lasting, waited_s)
-        return choose_worker(Request(lasting, KEY, urgent), views, model)
+        return choose_worker(PlacementRequest(lasting, KEY, urgent), views, model)
 
     assert choose(0.0) is None
     assert choose(LASTING_PATIENCE_S + 0.1) is not None
@@ -272,23 +279,23 @@
     """
     health = WorkerHealth()
     health.note_failure(10.0)
-    assert not health.is_closed(10.0, at_work=0)
+    assert not health.is_excluded(10.0, at_work=0)
     health.note_failure(10.1)
     small = Step(1, Resources(1_000, 1_000, 0), 1.0)
     model = InterferenceModel()
     view = build_view("hole")
-    view.closed = health.is_closed(10.2, at_work=0)
+    view.excluded = health.is_excluded(10.2, at_work=0)
     assert place(small, [view], model) is None
     after = 10.1 + FIRST_SUSPECT_S
-    assert health.is_closed(after, at_work=1)
-    view.closed = health.is_closed(after, at_work=0)
+    assert health.is_excluded(after, at_work=1)
+    view.excluded = health.is_excluded(after, at_work=0)
     view.probing = health.suspect
     assert place(small, [view], model) == "hole"
     assert place(small, [view], model) is None
     health.note_failure(after)
-    assert health.is_closed(after + FIRST_SUSPECT_S, at_work=0)
+    assert health.is_excluded(after + FIRST_SUSPECT_S, at_work=0)
     health.note_success()
-    assert not health.is_closed(after, at_work=5)
+    assert not health.is_excluded(after, at_work=5)
 
 
 def test_the_cheapest_work_gives_way():
@@ -314,7 +321,7 @@
         strain = compute_strain(0.45 + 0.25 * sum(mix.values()), rng)
         sample = ServingSample(SERVING_STEP, "only", "s", strain, mix, 0.4 * beat)
         model.observe(sample)
-    assert 0.8 < model.get_press("harsh", "s") < 1.8
+    assert 0.8 < model.get_interference("harsh", "s") < 1.8
 
 
 def show_two_workers(
@@ -347,8 +354,8 @@
         for beat in range(33):
             mix = {"calm": 1.0} | ({"harsh": 1.0} if beat > 30 else {})
             show_two_workers(model, mix, swing(0.4 * beat), 0.4 * beat, rng)
-        assert model.get_press("calm", "s") < 0.3
-        assert model.get_press("harsh", "s") > 1.0
+        assert model.get_interference("calm", "s") < 0.3
+        assert model.get_interference("harsh", "s") > 1.0
 
 
 def test_noise_beside_a_slow_neighbour_clears_nobody():
@@ -361,10 +368,10 @@
         model = InterferenceModel()
         rng = random.Random(seed)
         learn(model, {"harsh": 0.25}, until=6.0)
-        known = model.get_press("harsh", "s")
+        known = model.get_interference("harsh", "s")
         for beat in range(12):
             show_two_workers(model, {"harsh": 0.35}, 0.25, 7.0 + 0.4 * beat, rng)
-            assert abs(model.get_press("harsh", "s") - known) < 0.25
+            assert abs(model.get_interference("harsh", "s") - known) < 0.25
 
 
 def test_a_task_in_its_light_phase_does_not_clear_its_image():
@@ -379,15 +386,15 @@
     learn(model, {"harsh": 0.25}, until=4.0)
     for beat in range(15):
         now = 5.0 + 0.4 * beat
-        effort = compute_effort(1.0, 2_300, 3_500)
+        effort = compute_intensity(1.0, 2_300, 3_500)
         for worker, mix in (("a", {"harsh": effort}), ("b", {})):
             load = swing(now) + 0.1 * (worker == "a")
             strain = compute_strain(load, rng)
             model.observe(
                 ServingSample(SERVING_STEP, f"t-{worker}", "s", strain, mix, now)
             )
-    assert compute_effort(1.0, 3_500, 3_500) == 1.0
-    assert model.get_press("harsh", "s") > 0.7
+    assert compute_intensity(1.0, 3_500, 3_500) == 1.0
+    assert model.get_interference("harsh", "s") > 0.7
 
 
 def test_serving_images_have_workers_of_their_own_while_there_are_some():
@@ -408,8 +415,8 @@
     model = InterferenceModel()
     views = [build_view("peak"), build_view("low")]
     for view, alone in zip(views, (1.4, 4.0), strict=True):
-        view.take(KEY, build_serving("s"))
-        view.alone = {"s": alone}
+        view.reserve(KEY, build_serving("s"))
+        view.solo_slack = {"s": alone}
     placed = [place(build_filling("new"), views, model) for _ in range(3)]
     assert placed == ["low", "low", "low"]
 
@@ -418,7 +425,7 @@
     """The load: a black hole among idle workers; a job's tasks come all at once."""
     model = InterferenceModel()
     views = [build_view(f"n{number}") for number in range(4)]
-    views[0].take(("other", 0, 0), build_serving("s"))
+    views[0].reserve(("other", 0, 0), build_serving("s"))
     small = Step(4, Resources(100, 400, 0), 1.0)
     places = [place(small, views, model) for _ in range(8)]
     assert max(places.count(node) for node in places) < 8
@@ -429,11 +436,11 @@
     for number in range(rng.randint(1, 12)):
         view = build_view(f"n{number}")
         view.rack = f"r{number % 3}"
-        view.closed, view.probing = rng.random() < 0.1, rng.random() < 0.2
+        view.excluded, view.probing = rng.random() < 0.1, rng.random() < 0.2
         for _ in range(rng.randint(0, 5)):
             build = rng.choice((build_serving, build_filling))
-            view.take(("other", 0, 0), build(f"{rng.randint(0, 2)}"))
-        view.alone = {image: rng.uniform(1.2, 4.0) for image in view.serving}
+            view.reserve(("other", 0, 0), build(f"{rng.randint(0, 2)}"))
+        view.solo_slack = {image: rng.uniform(1.2, 4.0) for image in view.serving}
         views.append(view)
     return views
 
@@ -449,7 +456,7 @@
         learn(model, {"0": 1.0, "1": 0.0}, until=3.0)
         build = rng.choice((build_serving, build_filling))
         step = build(f"{rng.randint(0, 2)}")
-        request = Request(step, KEY, urgent=rng.random() < 0.5)
+        request = PlacementRequest(step, KEY, urgent=rng.random() < 0.5)
         avoids = [
             frozenset(f"n{rng.randint(0, 11)}" for _ in range(rng.randint(0, 3)))
             for _ in range(30)
@@ -458,11 +465,11 @@
         copies = [view.copy() for view in views]
         candidates = Candidates(request, views, model)
         for avoid in avoids:
-            taken = candidates.take(avoid)
+            taken = candidates.reserve(avoid)
             best = choose_worker(replace(request, avoid=avoid), copies, model)
             assert (taken and taken.node) == (best and best.node)
             if best is not None:
-                best.take(KEY, step)
+                best.reserve(KEY, step)
 
 
 def test_a_burst_on_many_workers_is_placed_fast():
@@ -473,18 +480,18 @@
     weighed = 0
 
     class CountingModel(InterferenceModel):
-        def get_press(self, filling: str, serving: str) -> float:
+        def get_interference(self, filling: str, serving: str) -> float:
             nonlocal weighed
             weighed += 1
-            return super().get_press(filling, serving)
+            return super().get_interference(filling, serving)
 
     model = CountingModel()
     views = [build_view(f"n{number}") for number in range(74)]
     for view in views:
-        view.take(KEY, build_serving("s"))
-    candidates = Candidates(Request(build_filling("f"), KEY), views, model)
+        view.reserve(KEY, build_serving("s"))
+    candidates = Candidates(PlacementRequest(build_filling("f"), KEY), views, model)
     placed = 0
-    while placed < 800 and candidates.take(frozenset()) is not None:
+    while placed < 800 and candidates.reserve(frozenset()) is not None:
         placed += 1
     assert placed > 100
     # One look at each worker, and a few for each task that is placed.
@@ -505,7 +512,7 @@
         took_s = 5.0 * math.exp(rng.gauss(0, 0.3))
         declared_s = took_s * math.exp(rng.gauss(0, off))
         if number >= 100:
-            expected_s = model.expect_s("q", declared_s)
+            expected_s = model.predict_s("q", declared_s)
             declared_off += abs(math.log(declared_s / took_s)) / 100
             expected_off += abs(math.log(expected_s / took_s)) / 100
         model.observe("q", declared_s, took_s, 1.0)
@@ -529,7 +536,7 @@
 
 
 def test_a_first_declaration_is_taken_at_its_word():
-    assert DurationModel().expect_s("q", 4.0) == 4.0
+    assert DurationModel().predict_s("q", 4.0) == 4.0
 
 
 def test_a_filling_task_waits_rather_than_be_paced_to_nothing():
@@ -541,10 +548,10 @@
     """
     model = InterferenceModel()
     learn(model, {"light": 0.1}, until=8.0)
-    assert 0.15 < model.get_press("light", "s") < 0.8
+    assert 0.15 < model.get_interference("light", "s") < 0.8
     peak, low = build_view("peak"), build_view("low")
     for view, alone in ((peak, 1.4), (low, 3.0)):
-        view.take(KEY, build_serving("s"))
-        view.alone = {"s": alone}
+        view.reserve(KEY, build_serving("s"))
+        view.solo_slack = {"s": alone}
     assert place(build_filling("light"), [peak], model) is None
     assert place(build_filling("light"), [low], model) == "low"
--- a/tests/unit/test_scheduling_comeback.py
+++ b/tests/unit/test_scheduling_retry_after.py
@@ -5,7 +5,7 @@
 import random
 from math import ceil
 
-from pistachiodeal.scheduling.comeback import choose_retry_after_s
+from pistachiodeal.scheduling.retry_after import choose_retry_after_s
 
 TRIES = 5
 OUTAGES_S = (2.0, 4.0, 5.6, 7.0, 9.0)
