--- a/pistachiodeal/routing/__init__.py
+++ b/pistachiodeal/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Decides where an interactive request goes, and whether it may go at all."""
+"""Admission of interactive requests, and choice of the target for each."""
--- a/pistachiodeal/routing/admission.py
+++ b/pistachiodeal/routing/admission.py
@@ -1,15 +1,15 @@
-"""Whether a request is taken in: limits per caller, and the wait it would meet."""
+"""Admission of requests: limits for each caller, and estimates of the queueing time."""
 
 from __future__ import annotations
 
 from pistachiodeal.routing.candidate import Candidate
 
-SHORTEST_RETRY_S = 0.05
+MIN_RETRY_AFTER_S = 0.05
 DURATION_WEIGHT = 0.05
 
 
 class CallerLimits:
-    """Counts the open requests of each caller; the table holds open ones only.
+    """Counts the open requests of each caller; idle callers are not stored.
 
     :param limit: open requests that one caller may have.
     """
@@ -18,7 +18,7 @@
         self._limit = limit
         self._open: dict[str, int] = {}
         self._total = 0
-        self._duration_s = SHORTEST_RETRY_S
+        self._duration_s = MIN_RETRY_AFTER_S
 
     @property
     def total(self) -> int:
@@ -26,7 +26,7 @@
         return self._total
 
     def enter(self, caller: str) -> bool:
-        """Count a request; False, and not counted, when the caller has too many."""
+        """Count a request; return False, uncounted, if the caller is at its limit."""
         count = self._open.get(caller, 0)
         if count >= self._limit:
             return False
@@ -35,7 +35,7 @@
         return True
 
     def leave(self, caller: str, seconds: float) -> None:
-        """Take back a counted request.
+        """Remove a counted request.
 
         :param seconds: how long it was open.
         """
@@ -48,18 +48,18 @@
             del self._open[caller]
 
     def estimate_retry_after(self) -> float:
-        """Return seconds after which one of a full caller's requests has ended."""
-        return max(SHORTEST_RETRY_S, self._duration_s)
+        """Return the seconds after which a caller at its limit should retry."""
+        return max(MIN_RETRY_AFTER_S, self._duration_s)
 
 
 def estimate_wait(candidate: Candidate) -> float:
-    """Return seconds until a slot comes free for one more request, 0 if one is."""
-    waiting = candidate.outstanding + candidate.elsewhere - candidate.slots + 1
+    """Return the seconds until a slot is free for one more request, 0 if one is now."""
+    waiting = candidate.outstanding + candidate.other_load - candidate.slots + 1
     if waiting <= 0 or candidate.slots <= 0:
         return 0.0
     return waiting / candidate.slots * candidate.latency_s
 
 
 def create_caller_limits(limit: int) -> CallerLimits:
-    """Return limits with nothing open."""
+    """Return limits without open requests."""
     return CallerLimits(limit)
--- a/pistachiodeal/routing/budget.py
+++ b/pistachiodeal/routing/budget.py
@@ -1,4 +1,4 @@
-"""Retry budgets: retries are a share of live traffic, not a count per request.
+"""Retry budgets limit retries to a share of live traffic, not to a count per request.
 
 Source: Finagle's ``RetryBudget`` (Twitter, Finagle User Guide, "Retries").
 """
@@ -17,7 +17,7 @@
     """Holds the retries that may still be made for one service.
 
     Every request adds ``share`` of a retry, up to a limit. A small reserve that
-    refills slowly lets a service with little traffic retry at all.
+    refills slowly allows retries for a service with little traffic.
 
     :param share: retries per request, 0 for none.
     """
@@ -45,7 +45,7 @@
             self._balance += self._share
 
     def take(self) -> bool:
-        """Take one retry out of the budget; tell whether there was one."""
+        """Withdraw one retry from the budget; return whether one was available."""
         if self._share <= 0.0:
             return False
         self._refill()
@@ -65,5 +65,5 @@
 def create_retry_budget(
     share: float, clock: Callable[[], float] = time.monotonic
 ) -> RetryBudget:
-    """Return a budget that holds its reserve."""
+    """Return a budget with a full reserve."""
     return RetryBudget(share, clock)
--- a/pistachiodeal/routing/choice.py
+++ b/pistachiodeal/routing/choice.py
@@ -1,8 +1,8 @@
-"""Which target gets a request.
+"""Load balancing: chooses the target of a request.
 
 Sources: M. Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing";
 B. Wydrowski et al., "Load is not what you should balance: Introducing Prequal"
-(requests in flight first, latency only among targets with room).
+(requests in flight first, latency only among targets with free slots).
 """
 
 from __future__ import annotations
@@ -13,25 +13,25 @@
 
 from pistachiodeal.routing.candidate import Candidate
 
-SPILL_AT = 0.8
-DISTANCE = 0.2
-FULL = 1.0
+SPILL_UTILISATION = 0.8
+REMOTE_PENALTY = 0.2
+FULL_UTILISATION = 1.0
 LATENCY_RATIO = 1.5
 LATENCY_OUTDATED_S = 1.0
 
 
 class Chooser(Protocol):
-    """Picks one of several targets."""
+    """Strategy that chooses one of several targets."""
 
     def choose(self, candidates: Sequence[Candidate], now: float) -> Candidate | None:
-        """Return the target to use, None when there is none with a slot.
+        """Return the target to use, None if no target has slots.
 
         :param now: monotonic time, seconds.
         """
 
 
 class LeastLoadedChooser:
-    """Takes the better of two random targets, own data centre first.
+    """Chooses the better of two random targets, preferring the own data centre.
 
     :param data_centre: where this entry runs.
     """
@@ -41,7 +41,7 @@
         self._random = rng.random
 
     def choose(self, candidates: Sequence[Candidate], now: float) -> Candidate | None:
-        """Return the target to use, None when there is none with a slot."""
+        """Return the target to use, None if no target has slots."""
         near: list[Candidate] = []
         far: list[Candidate] = []
         doubtful: list[Candidate] = []
@@ -70,16 +70,16 @@
         if not far:
             return best
         used = best.compute_utilisation(now)
-        if used < SPILL_AT:
+        if used < SPILL_UTILISATION:
             return best
-        # Two random near targets can be busy while others are idle, so the
-        # whole data centre is looked at before a request leaves it.
-        best = min(near, key=lambda near_one: near_one.compute_utilisation(now))
+        # Two random near targets can be busy while others are idle, so all targets of
+        # the data centre are compared before a request leaves it.
+        best = min(near, key=lambda candidate: candidate.compute_utilisation(now))
         used = best.compute_utilisation(now)
         other = self._pick_of_two(far, now)
-        if used < SPILL_AT or other is None:
+        if used < SPILL_UTILISATION or other is None:
             return best
-        if other.compute_utilisation(now) + DISTANCE < used:
+        if other.compute_utilisation(now) + REMOTE_PENALTY < used:
             return other
         return best
 
@@ -97,10 +97,10 @@
 
 
 def _compare(one: Candidate, two: Candidate, now: float) -> Candidate:
-    """Return the better target: by latency while both have room, else by load."""
+    """Return the better target: by latency if both have free slots, else by load."""
     used_one = one.compute_utilisation(now)
     used_two = two.compute_utilisation(now)
-    if used_one <= FULL and used_two <= FULL:
+    if used_one <= FULL_UTILISATION and used_two <= FULL_UTILISATION:
         latency_one = _read_latency(one, now)
         latency_two = _read_latency(two, now)
         if latency_one and latency_two:
@@ -112,10 +112,10 @@
 
 
 def _read_latency(candidate: Candidate, now: float) -> float:
-    """Return the latency reported, 0 when it is outdated for want of traffic.
+    """Return the reported latency, 0 if it is outdated because of missing traffic.
 
-    A target that was slow once would else never be chosen again, and so never
-    get the chance to show that it has become fast: its figure would stay.
+    Otherwise a target that was slow once would never be chosen again, so its reported
+    latency would never be updated after it has recovered.
     """
     if now - candidate.chosen_at > LATENCY_OUTDATED_S:
         return 0.0
@@ -123,25 +123,25 @@
 
 
 class RandomChooser:
-    """Takes any target with a slot; a baseline for measurements."""
+    """Chooses any target with slots; a baseline for measurements."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
 
     def choose(self, candidates: Sequence[Candidate], now: float) -> Candidate | None:
-        """Return the target to use, None when there is none with a slot."""
+        """Return the target to use, None if no target has slots."""
         usable = [candidate for candidate in candidates if candidate.slots > 0]
         return self._rng.choice(usable) if usable else None
 
 
 class LeastConnectionsChooser:
-    """Takes the target with the fewest open requests of this entry; a baseline."""
+    """Chooses the target with the fewest open requests of this entry; a baseline."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
 
     def choose(self, candidates: Sequence[Candidate], now: float) -> Candidate | None:
-        """Return the target to use, None when there is none with a slot."""
+        """Return the target to use, None if no target has slots."""
         usable = [candidate for candidate in candidates if candidate.slots > 0]
         if not usable:
             return None
--- a/tests/unit/test_routing_choice.py
+++ b/tests/unit/test_routing_choice.py
@@ -1,4 +1,4 @@
-"""Choice of targets, retry budgets and limits of callers."""
+"""Choice of targets, retry budgets and caller limits."""
 
 import random
 
@@ -31,10 +31,11 @@
     return counts
 
 
-def test_black_hole_draws_little_traffic():
-    """Symptom: most requests fail while nine of ten targets are well.
-    Sequence: a broken target fails at once; it is always idle and the fastest.
-    Cause: fast failures look like low load and low latency.
+def test_black_hole_attracts_little_traffic():
+    """Guards against most requests failing while nine of ten targets are healthy.
+
+    A broken target fails requests immediately, so it is always idle and the fastest:
+    fast failures look like low load and low latency.
     """
     candidates = [build_candidate(f"a{i}", busy=2) for i in range(10)]
     broken = candidates[0]
@@ -51,9 +52,10 @@
 
 
 def test_returning_target_is_not_flooded():
-    """Symptom: a target that came back is slow or full at once.
-    Sequence: it joins idle beside busy targets; every choice finds it best.
-    Cause: its load is judged as if it had been warm for long.
+    """Guards against a returning target that is overloaded immediately.
+
+    It joins idle beside busy targets, so every choice prefers it although it has not
+    warmed up.
     """
     candidates = [build_candidate(f"a{i}", busy=4) for i in range(5)]
     fresh = build_candidate("fresh")
@@ -65,9 +67,9 @@
 
 
 def test_slow_target_gets_another_chance():
-    """Symptom: a target that was slow once stays without traffic for ever.
-    Sequence: it reports a high latency, is not chosen, and so never reports less.
-    Cause: an old latency is believed although nothing has measured it since.
+    """Guards against a target that never gets traffic again after it was slow once.
+
+    It reports a high latency and is not chosen, so nothing measures a lower one.
     """
     slow = build_candidate("slow", latency_s=1.0)
     fast = build_candidate("fast", busy=1, latency_s=0.001)
@@ -130,9 +132,10 @@
 
 
 def test_retries_stay_a_share_of_traffic():
-    """Symptom: an overloaded service gets several times its callers' traffic.
-    Sequence: everything is refused; each refusal is tried elsewhere.
-    Cause: retries are limited per request and not over all.
+    """Guards against retries that multiply the traffic of an overloaded service.
+
+    All requests are refused, and each refusal is retried elsewhere. A limit for each
+    request does not limit the total.
     """
     budget = create_retry_budget(0.1, clock=lambda: 0.0)
     taken = 0
@@ -143,7 +146,7 @@
     assert not create_retry_budget(0.0, clock=lambda: 0.0).take()
 
 
-def test_one_caller_cannot_take_all():
+def test_one_caller_cannot_use_all_slots():
     limits = create_caller_limits(2)
     assert limits.enter("a")
     assert limits.enter("a")
@@ -154,10 +157,11 @@
     assert limits.total == 3
 
 
-def test_one_report_does_not_turn_every_entry():
-    """Symptom: load swings between targets, the tail grows with the entries.
-    Sequence: all entries get the same report of one idle moment at once.
-    Cause: the report's instant taken for the load of the next half second.
+def test_one_report_does_not_redirect_every_entry():
+    """Guards against load that oscillates between targets with the number of entries.
+
+    All entries receive the same report of one idle moment at once, and used it as the
+    load of the next half second.
     """
     steady, swinging = build_candidate("a", busy=4), build_candidate("b", busy=6)
     swinging.apply_report(8, 0, 0, 0.01, NOW)
