--- a/pistachiodeal/control/__init__.py
+++ b/pistachiodeal/control/__init__.py
@@ -1,1 +1,1 @@
-"""What is done to batch work for the sake of services beside it."""
+"""Throttles and evicts batch work to protect the latency of services beside it."""
--- a/pistachiodeal/control/services.py
+++ b/pistachiodeal/control/services.py
@@ -1,4 +1,4 @@
-"""What a guard knows of each service: its readings, set against what ran."""
+"""Tracks each service on a worker: its readings, compared with the tasks that ran."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 _SERVICE_LIMIT = 256
 _STALE_S = 30.0
-_ALONE_GAIN = 0.05
-_AGREEMENT_GAIN = 0.05  # readings come twice a second and overlap
-_LEAST_AGREEMENT = 0.2
-_MOST_AGREEMENT = 2.0
-_LEAST_EXCESS = 0.02  # slow-down; below it a ratio says nothing
+_BASELINE_GAIN = 0.05
+_RATIO_GAIN = 0.05  # readings come twice a second and overlap
+_MIN_RATIO = 0.2
+_MAX_RATIO = 2.0
+_MIN_EXCESS = 0.02  # slow-down beyond 1; below it a ratio is meaningless
 _PERCENTILE_WEIGHT = 0.1  # a window's 99th percentile is far noisier than its mean
 
 
@@ -23,59 +23,60 @@
 class ServiceState:
     """One service on this worker.
 
-    :param alone_s: latency at the percentile that it would have alone, smoothed.
-    :param slowdown: measured against what it would be alone, 1 or more.
-    :param fresh: the reading has not been judged yet.
-    :param acted_at: when a step was last taken for it.
-    :param ahead_at: when known kinds were last slowed for it ahead of time.
-    :param hot_at: when it was last too near its promise.
-    :param powerless: judgements in a row with every suspect at the floor.
-    :param agreement: slow-down measured as a part of what was foreseen, smoothed.
+    :param baseline_s: latency at the percentile without batch work, smoothed.
+    :param slowdown: measured relative to the time without batch work, 1 or more.
+    :param fresh: whether the reading has not been evaluated yet.
+    :param acted_at: when batch work was last throttled or evicted for it.
+    :param proactive_at: when known kinds were last throttled for it in advance.
+    :param near_promise_at: when it was last too close to its promised latency.
+    :param ineffective_rounds: evaluations in a row with all suspects at the minimum
+        share.
+    :param agreement: ratio of the measured to the predicted slow-down, smoothed.
     """
 
     reading: ServiceReading
-    alone_s: float = 0.0
+    baseline_s: float = 0.0
     slowdown: float = 1.0
     fresh: bool = True
     acted_at: float = float("-inf")
-    ahead_at: float = float("-inf")
-    hot_at: float = float("-inf")
-    powerless: int = 0
+    proactive_at: float = float("-inf")
+    near_promise_at: float = float("-inf")
+    ineffective_rounds: int = 0
     agreement: float = 1.0
 
     @property
     def signal_s(self) -> float:
-        """What shows interference: time without waiting, if it is known."""
+        """The time that shows interference: without queueing, if that is known."""
         return self.reading.service_s or self.reading.latency_s
 
     @property
     def severity(self) -> float:
-        """Latency as a share of the promise."""
+        """Latency as a share of the promised latency."""
         if self.reading.promised_s <= 0:
             return 0.0
         return self.reading.latency_s / self.reading.promised_s
 
-    def smooth_alone(self, alone_s: float) -> None:
-        """Follow the latency alone slowly: one window's percentile is noisy."""
-        if self.alone_s == 0.0:
-            self.alone_s = alone_s
-        self.alone_s += _ALONE_GAIN * (alone_s - self.alone_s)
+    def smooth_baseline(self, baseline_s: float) -> None:
+        """Smooth the latency without batch work: one window's percentile is noisy."""
+        if self.baseline_s == 0.0:
+            self.baseline_s = baseline_s
+        self.baseline_s += _BASELINE_GAIN * (baseline_s - self.baseline_s)
 
-    def note_agreement(self, foreseen: float, measured: float) -> None:
-        """Follow how much of the slow-down foreseen is really there.
+    def note_agreement(self, predicted: float, measured: float) -> None:
+        """Update the smoothed ratio of the measured to the predicted slow-down.
 
-        Kinds that are slowed together can't be told apart, and what was learnt
-        from much of a kind says too much of a little. One would see all kinds held
-        down for minutes beside a service that is hardly slowed.
+        Kinds that are throttled together cannot be distinguished, and an estimate from
+        a large share of a kind is too high for a small share. Without this correction,
+        all kinds would be throttled for minutes beside a service that is hardly slowed.
         """
-        gain = _AGREEMENT_GAIN * min(1.0, max(foreseen, 0.0) / _LEAST_EXCESS)
-        ratio = measured / max(foreseen, _LEAST_EXCESS)
-        ratio = min(max(ratio, _LEAST_AGREEMENT), _MOST_AGREEMENT)
+        gain = _RATIO_GAIN * min(1.0, max(predicted, 0.0) / _MIN_EXCESS)
+        ratio = measured / max(predicted, _MIN_EXCESS)
+        ratio = min(max(ratio, _MIN_RATIO), _MAX_RATIO)
         self.agreement += gain * (ratio - self.agreement)
 
 
-class ServiceBook:
-    """All services of a worker, and the model that their readings teach."""
+class ServiceTracker:
+    """All services of a worker, and the interference model that they train."""
 
     def __init__(
         self, window_s: float, model: InterferenceModel, timeline: Timeline
@@ -86,11 +87,11 @@
         self._states: dict[str, ServiceState] = {}
 
     def states(self) -> Iterable[ServiceState]:
-        """Return the services that have readings of late."""
+        """Return the services with recent readings."""
         return self._states.values()
 
-    def learn(self, reading: ServiceReading, now: float) -> bool:
-        """Set a new reading against what ran when it was taken.
+    def process(self, reading: ServiceReading, now: float) -> bool:
+        """Process a new reading with the tasks that ran when it was taken.
 
         :return: whether the service is new here.
         """
@@ -105,25 +106,25 @@
         state.reading = reading
         state.fresh = True
         if state.signal_s > 0 and self._timeline.covers(reading.at):
-            self._teach(state, now)
+            self._update_model(state, now)
         return new
 
-    def _teach(self, state: ServiceState, now: float) -> None:
+    def _update_model(self, state: ServiceState, now: float) -> None:
         reading = state.reading
         weight = 1.0 if reading.service_s else _PERCENTILE_WEIGHT
         ran = self._timeline.mean(reading.at - self._window_s, reading.at)
-        foreseen = self._model.predict(reading.service, ran, now) - 1.0
+        predicted = self._model.predict(reading.service, ran, now) - 1.0
         self._model.observe(reading.service, ran, state.signal_s, weight, now)
-        alone = self._model.least_alone(reading.service)
-        state.slowdown = max(1.0, state.signal_s / alone)
-        state.smooth_alone(reading.latency_s / state.slowdown)
-        state.note_agreement(foreseen, state.signal_s / alone - 1.0)
+        baseline = self._model.min_baseline(reading.service)
+        state.slowdown = max(1.0, state.signal_s / baseline)
+        state.smooth_baseline(reading.latency_s / state.slowdown)
+        state.note_agreement(predicted, state.signal_s / baseline - 1.0)
 
     def drop_stale(self, now: float) -> None:
-        """Forget services whose readings stopped.
+        """Remove services whose readings stopped.
 
-        Without this a service whose last runner left while it was slow would
-        hold batch work down for ever, seen as throttles with no service near.
+        Otherwise a service whose last runner left while it was slow would keep batch
+        work throttled for ever, with no service on the worker.
         """
         for name, state in list(self._states.items()):
             if now - state.reading.at > _STALE_S:
@@ -132,7 +133,7 @@
     def estimate_harm(
         self, state: ServiceState, kinds: Mapping[str, float], now: float
     ) -> dict[str, float]:
-        """Return what each kind adds to a service's slow-down.
+        """Return each kind's contribution to a service's slow-down.
 
         :param kinds: share of the worker that each kind uses.
         """
@@ -144,17 +145,17 @@
             for kind, share in kinds.items()
         }
 
-    def known_harm(
+    def estimate_known_harm(
         self, state: ServiceState, kinds: Mapping[str, float], now: float
     ) -> dict[str, float]:
-        """Return the same for the kinds that are known well enough to act on."""
+        """Return the contributions of the kinds with a reliable estimate."""
         service = state.reading.service
         harm = self.estimate_harm(state, kinds, now)
         known = self._model.estimate
         return {k: h for k, h in harm.items() if known(service, k, now).known}
 
-    def knows(self, kind: str, now: float) -> bool:
-        """Tell whether a kind's pairs with all services here are known."""
+    def is_known_for_all(self, kind: str, now: float) -> bool:
+        """Tell whether a kind has a reliable estimate for all services here."""
         return all(
             self._model.estimate(state.reading.service, kind, now).known
             for state in self._states.values()
--- a/pistachiodeal/control/victims.py
+++ b/pistachiodeal/control/victims.py
@@ -1,4 +1,4 @@
-"""Which run is evicted, when slowing down has not been enough."""
+"""Chooses the run to evict when throttling was not enough."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 def choose_victim(
     now: float, runs: Sequence[RunView], harm_s: Mapping[str, float]
 ) -> RunView | None:
-    """Return the run whose end saves most for what its eviction costs.
+    """Return the run with the largest latency saved for the cost of its eviction.
 
     :param harm_s: latency in seconds that each suspected kind costs; runs of
-        other kinds are left alone.
+        other kinds are not evicted.
     """
     cpu: dict[str, float] = {}
     for run in runs:
@@ -31,7 +31,7 @@
 
 
 def _evictable(run: RunView, now: float) -> bool:
-    """Tell whether the run's profile lets it be evicted now."""
+    """Tell whether the run's profile allows an eviction now."""
     ran_s = now - run.started_at
     return ran_s >= run.min_run_s and run.evictions < run.max_evictions
 
--- a/pistachiodeal/control/views.py
+++ b/pistachiodeal/control/views.py
@@ -1,4 +1,4 @@
-"""What the guard is told, and what it answers."""
+"""Inputs and actions of the guard."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceReading:
-    """A late measurement of one service on this worker.
+    """A delayed measurement of one service on this worker.
 
     :param at: when it was taken, same clock as ``now``, seconds.
     :param latency_s: recent latency at the profile's percentile.
-    :param promised_s: promised time at that percentile.
-    :param service_s: mean time that runners took for a request, without waiting;
-        0 where it is not known. It shows interference with far less noise than a
-        percentile, and does not rise with the service's own load.
+    :param promised_s: promised latency at that percentile.
+    :param service_s: mean service time of a request at the runners, without queueing,
+        0 if unknown. It shows interference with far less noise than a percentile, and
+        does not rise with the service's own load.
     """
 
     service: str
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Throttle:
-    """Let the task use this share of its size."""
+    """Limit the task to this share of its size."""
 
     task_id: str
     share: float
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Evict:
-    """Checkpoint the task, stop it and give it back to its owner."""
+    """Checkpoint the task, stop it and return it to its owner."""
 
     task_id: str
 
--- a/pistachiodeal/learning/__init__.py
+++ b/pistachiodeal/learning/__init__.py
@@ -1,1 +1,1 @@
-"""What is learnt from late measurements: interference, sizes, health of workers."""
+"""Models of interference, task sizes and worker health, from delayed measurements."""
--- a/pistachiodeal/learning/health.py
+++ b/pistachiodeal/learning/health.py
@@ -1,8 +1,8 @@
-"""Workers that fail what others finish are set aside and probed.
+"""Quarantines workers that fail tasks which succeed elsewhere, and probes them.
 
-A worker that fails everything at once looks idle and draws ever more work (a
-black hole). It is judged against other workers: a kind that fails everywhere
-says nothing about the worker.
+A worker that fails every task immediately looks idle and attracts more and more tasks
+(a black hole). It is compared with other workers: a kind that fails everywhere is no
+evidence against a worker.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True)
 class _Kind:
-    """Where a kind of task last succeeded, on up to two workers."""
+    """Up to two workers on which a kind of task last succeeded."""
 
     successes: list[str]
 
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class _Worker:
-    """Run of failures of a worker, and its probes while it is set aside."""
+    """A worker's failures since its last success, and its probes in quarantine."""
 
     blamed: int = 0
     quarantined: bool = False
@@ -46,7 +46,7 @@
         self._workers: OrderedDict[str, _Worker] = OrderedDict()
 
     def record(self, worker: str, kind: str, ok: bool, now: float) -> None:
-        """Note how a task ended by itself (not one that was stopped)."""
+        """Record how a task ended, unless it was stopped."""
         state = self._worker(worker)
         seen = self._kind(kind)
         if ok:
@@ -67,8 +67,8 @@
     def usable(self, worker: str, now: float) -> bool:
         """Tell whether the worker may get a task now.
 
-        For a quarantined worker True is a probe, granted to one task at a time:
-        the next one only after the pause, so ask just before placing.
+        For a quarantined worker, True grants a probe to a single task and the next one
+        follows only after the pause, so call this just before placing.
         """
         state = self._workers.get(worker)
         if state is None or not state.quarantined:
@@ -79,7 +79,7 @@
         return True
 
     def quarantined(self, now: float) -> tuple[str, ...]:
-        """Return the workers that are set aside."""
+        """Return the workers in quarantine."""
         return tuple(sorted(w for w, s in self._workers.items() if s.quarantined))
 
     def _worker(self, name: str) -> _Worker:
@@ -98,5 +98,5 @@
 
 
 def create_worker_health() -> WorkerHealth:
-    """Create a record in which every worker is usable."""
+    """Create a tracker in which every worker is usable."""
     return WorkerHealth()
--- a/pistachiodeal/learning/interference.py
+++ b/pistachiodeal/learning/interference.py
@@ -1,10 +1,10 @@
-"""How much a kind of task slows a service down, learnt from late measurements.
+"""Learns how much a kind of task slows a service down, from delayed measurements.
 
-``slowdown = 1 + sum(share[kind] * excess[service, kind])``, the shares being of
-the worker. :mod:`pistachiodeal.learning.regression` fits it on each worker; what
-a reading added to the knowledge of a pair is handed on as evidence. Ranking
-suspects by their part in a slow-down follows CPI2 (Zhang et al., "CPI2: CPU
-Performance Isolation for Shared Compute Clusters").
+``slowdown = 1 + sum(share[kind] * excess[service, kind])``, where shares are of the
+worker. :mod:`pistachiodeal.learning.regression` fits this on each worker, and what a
+reading adds to the estimate of a pair is sent to others as evidence. Ranking suspects
+by their contribution to a slow-down follows CPI2 (Zhang et al., "CPI2: CPU Performance
+Isolation for Shared Compute Clusters").
 """
 
 from __future__ import annotations
@@ -30,12 +30,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Estimate:
-    """What is known of one pair.
+    """The estimate for one pair.
 
     :param slowdown: factor on the time of a request if the kind used the whole
         worker.
-    :param weight: one over the variance, beyond what is assumed of any pair; 0
-        for a pair never seen.
+    :param weight: inverse of the variance minus that of the prior; 0 for a pair
+        without observations.
     """
 
     slowdown: float
@@ -48,7 +48,7 @@
 
     @property
     def known(self) -> bool:
-        """Tell whether there is evidence enough to rely on."""
+        """Tell whether there is enough evidence to rely on the estimate."""
         return self.weight >= KNOWN_WEIGHT
 
 
@@ -68,12 +68,12 @@
         weight: float,
         now: float,
     ) -> None:
-        """Learn from one reading.
+        """Update the estimates with one reading.
 
         :param kinds: share of the worker that each kind used when it was taken.
         :param slowdown: time of a request, in any unit that stays the same;
-            what it is without batch work is learnt, too: :meth:`alone`.
-        :param weight: 1 for a reading of ordinary accuracy.
+            its value without batch work is learnt as well: :meth:`baseline`.
+        :param weight: 1 for a reading of normal accuracy.
         """
         if weight <= 0 or slowdown <= 0:
             return
@@ -89,23 +89,23 @@
                 found = (new_excess / new_variance - excess / variance) / gained
                 self._note_pending((service, kind), found, gained)
 
-    def alone(self, service: str) -> float:
+    def baseline(self, service: str) -> float:
         """Return the learnt time without batch work, in the unit of the readings.
 
         It is 1 before any reading.
         """
         fit = self._fits.get(service)
-        return 1.0 if fit is None else fit.alone
+        return 1.0 if fit is None else fit.baseline
 
-    def least_alone(self, service: str) -> float:
-        """Return the least that a service's signal is likely to be without them."""
+    def min_baseline(self, service: str) -> float:
+        """Return a lower bound of a service's time without batch work."""
         fit = self._fits.get(service)
         if fit is None:
             return 0.0
-        return max(0.5 * fit.alone, fit.alone - fit.alone_error)
+        return max(0.5 * fit.baseline, fit.baseline - fit.baseline_error)
 
     def estimate(self, service: str, kind: str, now: float) -> Estimate:
-        """Return what is known of a pair."""
+        """Return the estimate for a pair."""
         fit = self._fits.get(service)
         if fit is None:
             return Estimate(1.0 + PRIOR_EXCESS, 0.0)
@@ -119,7 +119,7 @@
         return 1.0 + sum(excess)
 
     def rank(self, service: str, kinds: Mapping[str, float], now: float) -> list[str]:
-        """Return the kinds, the one with the largest part in a slow-down first."""
+        """Return the kinds by their contribution to a slow-down, the largest first."""
         harm = {
             kind: share * self.estimate(service, kind, now).excess
             for kind, share in kinds.items()
@@ -139,7 +139,7 @@
         return tuple(taken)
 
     def merge(self, pairs: Iterable[PairEvidence], now: float) -> None:
-        """Add what others learnt; it is no evidence of our own to send on."""
+        """Add evidence from other agents; it is not sent on as this agent's own."""
         for part in pairs:
             if part.weight_milli < 1:
                 continue
--- a/pistachiodeal/learning/regression.py
+++ b/pistachiodeal/learning/regression.py
@@ -1,11 +1,11 @@
-"""One service's time for a request, as a line over what runs beside it.
-
-``signal = alone + sum(share[kind] * extra[kind])``, fitted on the go by a Kalman
-filter (Kalman, "A New Approach to Linear Filtering and Prediction Problems"),
-which is regularised least squares with fading memory. The covariance is kept
-whole: kinds that always run together can't be told apart, and a filter that
-knew only each one's own variance would be sure of a wrong split. The latency
-alone is a coefficient, too, since a worker may never be without batch work.
+"""Linear regression of one service's request time on the kinds that run beside it.
+
+``signal = baseline + sum(share[kind] * extra[kind])``, fitted online by a Kalman filter
+(Kalman, "A New Approach to Linear Filtering and Prediction Problems"), which is
+regularised least squares with exponential forgetting. The full covariance is kept:
+kinds that always run together cannot be distinguished, and a filter with only a
+variance for each kind would become certain of a wrong split. The baseline, the time
+without batch work, is a coefficient too, since a worker may always have batch work.
 """
 
 from __future__ import annotations
@@ -13,104 +13,106 @@
 from collections.abc import Mapping
 from math import sqrt
 
-PRIOR_EXCESS = 0.5  # an unknown kind that fills the worker adds half
+PRIOR_EXCESS = 0.5  # an unknown kind that uses the whole worker adds half
 PRIOR_VARIANCE = 1.0
-_ALONE_VARIANCE = 0.25
-_ALONE_DRIFT = 4e-7  # variance a second: the latency alone follows slow changes
+_BASELINE_VARIANCE = 0.25
+_BASELINE_DRIFT = 4e-7  # variance per second: the baseline follows slow changes
 _NOISE_VARIANCE = 0.03  # of a reading of weight 1; readings overlap
-_MERGE_DOUBT = 2.5  # others learnt by other loads and mixes; their variance counts so
-_MIN_ALONE = 1e-6
+# Others learn from different loads and mixes, so the variance of their estimates is
+# multiplied by this.
+_MERGE_VARIANCE_FACTOR = 2.5
+_MIN_BASELINE = 1e-6
 _KIND_LIMIT = 24
 _OUTLIER = 4.0  # standard deviations
 
 
 class Regression:
-    """Coefficients in the unit of the signal, which has to stay the same."""
+    """Fitted coefficients in the unit of the signal, which must not change."""
 
     def __init__(self, half_life_s: float, now: float) -> None:
         self._half_life_s = half_life_s
         self._kinds: list[str] = []
         self._seen_at: dict[str, float] = {}
         self._theta = [1.0]
-        self._cov = [[_ALONE_VARIANCE]]
+        self._cov = [[_BASELINE_VARIANCE]]
         self._at = now
         self._empty = True
 
     @property
-    def alone(self) -> float:
-        """Signal without batch work."""
-        return max(self._theta[0], _MIN_ALONE)
+    def baseline(self) -> float:
+        """Return the signal without batch work."""
+        return max(self._theta[0], _MIN_BASELINE)
 
     @property
-    def alone_error(self) -> float:
-        """Standard error of the signal without batch work."""
+    def baseline_error(self) -> float:
+        """Return the standard error of the signal without batch work."""
         return sqrt(max(0.0, self._cov[0][0]))
 
     def observe(
         self, shares: Mapping[str, float], signal: float, weight: float, now: float
     ) -> None:
-        """Learn from one reading.
+        """Update the fit with one reading.
 
         :param shares: share of the worker that each kind used.
-        :param weight: 1 for a reading of ordinary accuracy, less for a worse one.
+        :param weight: 1 for a reading of normal accuracy, less for a noisier one.
         """
         self.age(now)
         for kind in shares:
-            self._require(kind, now)
+            self._ensure_row(kind, now)
         if self._empty:
             total = sum(shares.values())
             self._rescale(signal / (1.0 + PRIOR_EXCESS * total))
         x = [1.0] + [shares.get(kind, 0.0) for kind in self._kinds]
-        noise = _NOISE_VARIANCE * self.alone**2 / weight
+        noise = _NOISE_VARIANCE * self.baseline**2 / weight
         self._update(x, signal, noise)
 
     def merge(self, kind: str, excess: float, weight: float, now: float) -> None:
-        """Learn an excess that others found, as a reading of extra over alone.
+        """Merge an excess that others measured, as a reading of extra over baseline.
 
-        :param weight: one over its variance.
+        :param weight: inverse of its variance.
         """
         self.age(now)
-        row = self._require(kind, now)
+        row = self._ensure_row(kind, now)
         x = [0.0] * len(self._theta)
         x[0], x[row] = -excess, 1.0
-        self._update(x, 0.0, _MERGE_DOUBT * self.alone**2 / weight)
+        self._update(x, 0.0, _MERGE_VARIANCE_FACTOR * self.baseline**2 / weight)
 
     def excess(self, kind: str) -> tuple[float, float]:
-        """Return a kind's extra over alone, and its variance."""
+        """Return a kind's extra over the baseline, and its variance."""
         if kind not in self._seen_at:
             return PRIOR_EXCESS, PRIOR_VARIANCE
         row = self._kinds.index(kind) + 1
-        alone = self.alone
-        excess = self._theta[row] / alone
+        baseline = self.baseline
+        excess = self._theta[row] / baseline
         variance = (
             self._cov[row][row]
             - 2 * excess * self._cov[row][0]
             + excess**2 * self._cov[0][0]
-        ) / alone**2
+        ) / baseline**2
         return excess, min(max(variance, 1e-4), PRIOR_VARIANCE)
 
     def age(self, now: float) -> None:
-        """Let what was learnt fade towards the prior."""
+        """Decay the coefficients towards the prior."""
         if now <= self._at:
             return
         kept = 0.5 ** ((now - self._at) / self._half_life_s)
-        alone = self.alone
+        baseline = self.baseline
         for i in range(len(self._theta)):
             for j in range(len(self._theta)):
                 self._cov[i][j] *= (kept if i else 1.0) * (kept if j else 1.0)
         for row in range(1, len(self._theta)):
-            prior = min(self._theta[row], PRIOR_EXCESS * alone)
+            prior = min(self._theta[row], PRIOR_EXCESS * baseline)
             self._theta[row] = prior + kept * (self._theta[row] - prior)
-            self._cov[row][row] += (1 - kept**2) * PRIOR_VARIANCE * alone**2
-        if self._cov[0][0] < _ALONE_VARIANCE * alone**2:
-            self._cov[0][0] += _ALONE_DRIFT * (now - self._at) * alone**2
+            self._cov[row][row] += (1 - kept**2) * PRIOR_VARIANCE * baseline**2
+        if self._cov[0][0] < _BASELINE_VARIANCE * baseline**2:
+            self._cov[0][0] += _BASELINE_DRIFT * (now - self._at) * baseline**2
         self._at = now
 
     def _update(self, x: list[float], y: float, noise: float) -> None:
-        """Take one measurement ``y = x . theta`` with a variance.
+        """Apply one measurement ``y = x . theta`` with a variance.
 
-        What it may change is bounded (Huber, "Robust Estimation of a Location
-        Parameter"): else one wild reading makes suspects of all that ran.
+        Its effect is bounded (Huber, "Robust Estimation of a Location Parameter"):
+        otherwise one outlier makes suspects of all kinds that ran.
         """
         size = range(len(x))
         px = [sum(self._cov[i][j] * x[j] for j in size) for i in size]
@@ -123,15 +125,15 @@
             self._theta[i] += gain * error
             for j in size:
                 self._cov[i][j] -= gain * px[j]
-        self._rule_out_gains()
+        self._project_to_non_negative()
 
-    def _rule_out_gains(self) -> None:
-        """Bring coefficients below 0 back to it, the others with them.
+    def _project_to_non_negative(self) -> None:
+        """Project negative coefficients to 0 and adjust the others accordingly.
 
-        Batch work makes no service faster. When a service was slow from the first
-        reading on, the fit may take that for its latency alone, and all kinds for
-        a help; one would see a slowed service and no throttle. The projection is
-        that of D. Simon, "Kalman Filtering with State Constraints".
+        Batch work makes no service faster. When a service is slow from its first
+        reading on, the fit may take that for its baseline and give all kinds a negative
+        extra; the service would stay slow and nothing would be throttled. The
+        projection follows D. Simon, "Kalman Filtering with State Constraints".
         """
         for row in range(1, len(self._theta)):
             below = self._theta[row]
@@ -140,25 +142,25 @@
             for i in range(len(self._theta)):
                 self._theta[i] -= self._cov[i][row] / self._cov[row][row] * below
 
-    def _rescale(self, alone: float) -> None:
-        """Start from the first reading."""
-        self._theta = [self._theta[0]] + [PRIOR_EXCESS * alone for _ in self._kinds]
-        self._theta[0] = alone
-        self._cov = [[value * alone**2 for value in row] for row in self._cov]
+    def _rescale(self, baseline: float) -> None:
+        """Initialise the coefficients from the first reading."""
+        self._theta = [self._theta[0]] + [PRIOR_EXCESS * baseline for _ in self._kinds]
+        self._theta[0] = baseline
+        self._cov = [[value * baseline**2 for value in row] for row in self._cov]
         self._empty = False
 
-    def _require(self, kind: str, now: float) -> int:
-        """Return a kind's row, added with its prior where it is new."""
+    def _ensure_row(self, kind: str, now: float) -> int:
+        """Return a kind's row; a new kind is added with its prior."""
         if kind not in self._seen_at:
             if len(self._kinds) >= _KIND_LIMIT:
                 self._remove(min(self._kinds, key=lambda k: self._seen_at[k]))
             self._kinds.append(kind)
-            alone = self.alone
-            self._theta.append(PRIOR_EXCESS * alone)
+            baseline = self.baseline
+            self._theta.append(PRIOR_EXCESS * baseline)
             for row in self._cov:
                 row.append(0.0)
             self._cov.append([0.0] * len(self._theta))
-            self._cov[-1][-1] = PRIOR_VARIANCE * alone**2
+            self._cov[-1][-1] = PRIOR_VARIANCE * baseline**2
         self._seen_at[kind] = now
         return self._kinds.index(kind) + 1
 
--- a/pistachiodeal/learning/sizes.py
+++ b/pistachiodeal/learning/sizes.py
@@ -1,9 +1,9 @@
-"""True sizes and run times of tasks, learnt by team and kind.
+"""Learns the actual sizes and run times of tasks, by team and kind.
 
-Limits from past use with a margin, as Autopilot sets them (Rzadca et al.,
-"Autopilot: Workload Autoscaling at Google"): a decaying histogram's high
-quantile for processors, close to the peak for memory, since a task that gets
-too little memory dies while one that gets too little processor is late.
+Reservations follow past usage with a margin, as in Autopilot (Rzadca et al.,
+"Autopilot: Workload Autoscaling at Google"): a high quantile of recent usage for
+processors, and close to the peak for memory, since a task with too little memory is
+killed while one with too little processor time is only late.
 """
 
 from __future__ import annotations
@@ -24,14 +24,14 @@
 
 @dataclass(slots=True)
 class _Learnt:
-    """Latest uses of one team's kind of task, with their margins."""
+    """Recent usage of one team's kind of task, including margins."""
 
     uses: deque[Resources] = field(default_factory=lambda: deque(maxlen=_SAMPLES))
     run_s: float | None = None
 
 
 class SizeModel:
-    """What tasks of each team and kind really use."""
+    """Estimates the resources that tasks of each team and kind use."""
 
     def __init__(self, limit: int) -> None:
         self._limit = limit
@@ -45,11 +45,11 @@
         run_s: float,
         reserved: Resources = NOTHING,
     ) -> None:
-        """Learn from a run that ended.
+        """Update the estimates with a run that ended.
 
-        :param used: largest use that was measured; empty when none was.
+        :param used: largest measured usage, empty if none was measured.
         :param run_s: length of the run, seconds.
-        :param reserved: what was reserved for the run.
+        :param reserved: resources that were reserved for the run.
         """
         learnt = self._learnt.get((team, kind))
         if learnt is None:
@@ -83,23 +83,23 @@
 
 
 def _add_margin(used: Resources, reserved: Resources) -> Resources:
-    # A task that fills whatever it gets would grow by the margin with each run,
-    # until it fits no worker and its whole kind waits for ever. So the margin
-    # stops at what was reserved; only a use above that makes the kind larger.
-    wished = Resources(
+    # The reservation of a task that uses all it gets would grow by the margin with each
+    # run, until it fits no worker and its whole kind waits for ever. So the margin is
+    # capped at the reservation; only usage above it makes the kind larger.
+    padded = Resources(
         ceil(used.cpu_milli * _CPU_MARGIN), ceil(used.memory_mib * _MEMORY_MARGIN), 0
     )
     if reserved == NOTHING:
-        return wished
+        return padded
     return Resources(
-        _choose_amount(used.cpu_milli, wished.cpu_milli, reserved.cpu_milli),
-        _choose_amount(used.memory_mib, wished.memory_mib, reserved.memory_mib),
+        _choose_amount(used.cpu_milli, padded.cpu_milli, reserved.cpu_milli),
+        _choose_amount(used.memory_mib, padded.memory_mib, reserved.memory_mib),
         0,
     )
 
 
-def _choose_amount(used: int, wished: int, reserved: int) -> int:
-    return wished if used > reserved else min(wished, reserved)
+def _choose_amount(used: int, padded: int, reserved: int) -> int:
+    return padded if used > reserved else min(padded, reserved)
 
 
 def create_size_model(limit: int = 10_000) -> SizeModel:
--- a/pistachiodeal/learning/timeline.py
+++ b/pistachiodeal/learning/timeline.py
@@ -1,4 +1,4 @@
-"""What ran on a worker, by time, so that late readings meet the past they measured."""
+"""History of what ran on a worker, to match delayed readings with their time."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Timeline:
-    """Kinds of tasks that ran on one worker, as steps over time."""
+    """Kinds of tasks that ran on one worker, as a step function of time."""
 
     def __init__(self, limit: int) -> None:
         self._limit = limit
@@ -17,7 +17,7 @@
         self._steps: list[dict[str, float]] = []
 
     def note(self, now: float, kinds: Mapping[str, float]) -> None:
-        """Record what runs from ``now`` on; a time that goes back is ignored.
+        """Record what runs from ``now`` on; a time before the latest one is ignored.
 
         :param kinds: kind of task to the share of the worker that it uses.
         """
@@ -32,18 +32,18 @@
             del self._steps[: -self._limit]
 
     def covers(self, t: float) -> bool:
-        """Tell whether it is known what ran at ``t``."""
+        """Tell whether the history reaches back to ``t``."""
         return bool(self._times) and t >= self._times[0]
 
     def at(self, t: float) -> Mapping[str, float]:
-        """Return what ran at ``t``; empty where that is no longer known."""
+        """Return what ran at ``t``, empty if that is no longer known."""
         index = bisect_right(self._times, t) - 1
         return self._steps[index] if index >= 0 else {}
 
     def mean(self, start: float, end: float) -> Mapping[str, float]:
         """Return the mean share of each kind between two times.
 
-        For readings that sum up a window: what ran only at its end did little.
+        For readings that cover a window: what ran only at its end had little effect.
         """
         if end <= start or not self.covers(start):
             return self.at(end)
--- a/tests/unit/test_control_guard.py
+++ b/tests/unit/test_control_guard.py
@@ -1,4 +1,4 @@
-"""The guard throttles before it evicts, once for each slow-down, and eases."""
+"""The guard throttles before it evicts, once for each slow-down, and eases again."""
 
 from dataclasses import replace
 from itertools import pairwise
@@ -31,9 +31,11 @@
 
 
 class World:
-    """A guard that has learnt its pairs; by default noisy harms the desk.
+    """A simulated worker and its guard, with learnt pairs.
 
-    :param law: latency from the share of the worker that each kind uses.
+    By default, the kind ``noisy`` slows the service ``desk``.
+
+    :param law: computes the latency from the share of the worker that each kind uses.
     """
 
     def __init__(self, runs, law=None):
@@ -83,10 +85,10 @@
 
 
 def test_late_readings_do_not_trigger_twice():
-    """Symptom: throttles and evictions come in pairs, one lag apart.
+    """Guards against throttles and evictions in pairs, one lag apart.
 
-    Sequence: a step is taken; readings from before it keep coming, all slow.
-    Cause: they were taken as proof that the step did not help.
+    After a step, slow readings from before it still arrive. They are no evidence that
+    the step had no effect.
     """
     runs = [view("a", "noisy"), view("b", "noisy"), view("c", "noisy")]
     world = World(runs, slow_beside("noisy", 0.1))
@@ -99,10 +101,10 @@
 
 
 def test_a_service_slow_by_its_own_load_costs_no_batch_work():
-    """Symptom: tasks are evicted in every rush hour, and nothing gets faster.
+    """Guards against evictions in every rush hour that make nothing faster.
 
-    Sequence: requests wait for slots; the runners are as fast as ever.
-    Cause: latency over the promise was taken as the work of batch tasks.
+    Requests queue for slots while the runners are as fast as before, so the latency
+    over the promise is not caused by batch tasks.
     """
     world = World([view("a", "calm")])
     world.run(100, 110)
@@ -112,7 +114,7 @@
         assert not world.guard.decide(now, [reading], list(world.runs.values()))
 
 
-def test_tasks_that_ran_little_or_were_evicted_often_are_spared():
+def test_young_or_often_evicted_tasks_are_not_evicted():
     runs = [
         view("young", "noisy", started_at=100.0, min_run_s=1e9),
         view("tired", "noisy", evictions=3),
@@ -126,11 +128,11 @@
     assert evicted == ["cheap", "dear"]
 
 
-def test_a_run_that_starts_while_its_kind_is_slowed_starts_slowed():
-    """Symptom: a wave of short tasks holds a service over its promise for minutes.
+def test_a_run_that_starts_while_its_kind_is_throttled_starts_throttled():
+    """Guards against short tasks that keep a service over its promise for minutes.
 
-    Sequence: the kind is throttled; its tasks end, new ones start at full share.
-    Cause: the throttle went with the run, not with the kind.
+    A kind is throttled, its tasks end, and new ones start. With a throttle for each run
+    instead of each kind, they started at full share.
     """
     world = World([view("a", "noisy")])
     world.run(100, 110)
@@ -141,7 +143,7 @@
     assert world.runs["b"].share == world.runs["a"].share < 0.6
 
 
-def test_a_known_mix_that_must_break_the_promise_is_slowed_at_once():
+def test_a_known_mix_that_must_break_the_promise_is_throttled_immediately():
     world = World([])
     world.run(100, 110)
     for number in range(4):
@@ -151,10 +153,10 @@
 
 
 def test_throttles_are_eased_and_settle_without_flapping():
-    """Symptom: a kind's throttle goes up and down for ever under steady load.
+    """Guards against a throttle that oscillates under steady load.
 
-    Sequence: it is eased until the service slows, pressed, and eased again.
-    Cause: easing and pressing met at one mark.
+    With one threshold for both directions, a kind is eased until the service slows,
+    throttled, and eased again.
     """
     runs = [view("a", "calm", 0.1), view("b", "noisy", 0.1)]
     world = World(runs, slow_beside("noisy", 1.0))
@@ -169,7 +171,7 @@
         assert turns <= 1 and path[30] < 1.0
 
 
-def test_a_service_that_left_holds_nothing_down():
+def test_a_service_that_left_keeps_nothing_throttled():
     world = World([view("a", "noisy")])
     world.run(100, 110)
     world.law = slow_beside("noisy", 60)
@@ -181,18 +183,18 @@
     assert world.runs["a"].share == 1.0
 
 
-def test_an_unknown_kind_starts_with_little():
+def test_an_unknown_kind_starts_at_the_trial_share():
     world = World([])
     world.run(100, 110)
     world.runs["n"] = view("n", "new", started_at=110.0)
     assert world.step(110.0) == [Throttle("n", TRIAL_SHARE)]
 
 
-def test_a_service_that_comes_finds_unknown_kinds_slowed():
-    """Symptom: a service is slow for half a minute after each start of its agent.
+def test_unknown_kinds_are_throttled_when_a_service_appears():
+    """Guards against a service that is slow for half a minute after its agent's start.
 
-    Sequence: tasks run at full size; then the service's first readings come.
-    Cause: with no service there, every kind counted as known to harm none.
+    Tasks run at full size before the service's first readings arrive. Without services,
+    every kind counted as known to be harmless.
     """
     world = World([view("n", "new")])
     assert world.guard.decide(100.0, [], list(world.runs.values())) == []
@@ -200,10 +202,10 @@
 
 
 def test_a_noisy_reading_costs_little_batch_work():
-    """Symptom: kinds stand at the floor for minutes beside a calm service.
+    """Guards against kinds at the minimum share for minutes beside a calm service.
 
-    Sequence: one window's percentile is over the promise by chance.
-    Cause: the worst suspect went to the floor, however little was needed.
+    One window's percentile exceeds the promise by chance. The worst suspect was reduced
+    to the minimum share, however small the excess was.
     """
     world = World([view("b", "noisy")], slow_beside("noisy", 0.8))
     world.run(100, 120)
@@ -214,11 +216,11 @@
     assert before / 2 < world.runs["b"].share < before
 
 
-def test_what_is_foreseen_follows_what_is_measured():
-    """Symptom: all kinds are held down beside a service that is hardly slowed.
+def test_predictions_are_corrected_by_measurements():
+    """Guards against kinds that are all throttled beside a service that is hardly slow.
 
-    Sequence: kinds are slowed in step; each one's harm is learnt too high.
-    Cause: the sum of what was learnt was never set against the reading.
+    Kinds that are throttled together get estimates that are too high, unless the sum of
+    their predictions is compared with the reading.
     """
     state = ServiceState(ServiceReading("desk", 0.0, 1.0, 1.0, True, True))
     for _ in range(200):
--- a/tests/unit/test_learning.py
+++ b/tests/unit/test_learning.py
@@ -1,4 +1,4 @@
-"""Interference, sizes and health are learnt from late and partial evidence."""
+"""Interference, sizes and health are learnt from delayed and partial evidence."""
 
 import random
 
@@ -12,7 +12,7 @@
 from pistachiodeal.model.resources import Resources
 
 
-def test_timeline_answers_for_the_past():
+def test_timeline_returns_past_shares():
     timeline = create_timeline(limit=2)
     for now in range(10):
         timeline.note(float(now), {"scan": now / 10})
@@ -21,11 +21,11 @@
     assert abs(timeline.mean(7.5, 9.5)["scan"] - 0.8) < 1e-9
 
 
-def test_pairs_are_told_apart_when_kinds_overlap():
-    """Symptom: a harmless kind is throttled for what its neighbour does.
+def test_pairs_are_distinguished_when_kinds_overlap():
+    """Guards against a harmless kind that is throttled for its neighbour's effect.
 
-    Sequence: both kinds run together most of the time, apart now and then.
-    Cause: the whole slow-down was put on each kind that ran.
+    Both kinds run together most of the time. The whole slow-down was attributed to each
+    kind that ran.
     """
     model = create_interference_model()
     rng = random.Random(1)
@@ -38,11 +38,11 @@
     assert model.rank("desk", {"quiet": 0.5, "noisy": 0.2}, 200)[0] == "noisy"
 
 
-def test_latency_alone_is_found_though_batch_never_stops():
-    """Symptom: all kinds count as harmful and batch work stands still.
+def test_the_baseline_is_learnt_although_batch_work_never_stops():
+    """Guards against a baseline latency that is assumed too low for ever.
 
-    Sequence: a service never runs without batch work beside it.
-    Cause: the latency alone was guessed too low and stayed so.
+    A service never runs without batch work beside it. All kinds then counted as harmful
+    and batch work stood still.
     """
     model = create_interference_model()
     rng = random.Random(2)
@@ -50,7 +50,7 @@
         share = 0.3 + 0.2 * (step // 20 % 3)
         signal = 0.7 * (1 + 0.8 * share) * rng.gauss(1, 0.05)
         model.observe("desk", {"scan": share}, signal, 1.0, step * 0.5)
-    assert abs(model.alone("desk") - 0.7) < 0.07
+    assert abs(model.baseline("desk") - 0.7) < 0.07
     assert abs(model.estimate("desk", "scan", 300).excess - 0.8) < 0.25
 
 
@@ -65,10 +65,10 @@
 
 
 def test_harmless_kinds_stay_harmless_as_evidence_fades():
-    """Symptom: after a quiet hour every kind counts as harmful again.
+    """Guards against kinds that count as harmful again after a quiet hour.
 
-    Sequence: a kind is found to harm nobody, and then does not run for long.
-    Cause: fading moved its harm up to what is assumed of an unknown kind.
+    A kind is found to be harmless and then does not run for long. The decay raised its
+    estimate to the one assumed for an unknown kind.
     """
     model = create_interference_model(half_life_s=10)
     for step in range(100):
@@ -79,24 +79,24 @@
 
 
 def test_no_kind_makes_a_service_faster():
-    """Symptom: a slowed service and no throttle for the first minute.
+    """Guards against a slow service without a throttle for the first minute.
 
-    Sequence: it is slow from its first reading on, and quicker later.
-    Cause: the slow time was taken for its own, and kinds for a help.
+    It is slow from its first reading on, and faster later. The slow time was taken as
+    its baseline, and kinds got a negative effect.
     """
     model = create_interference_model()
     for step in range(100):
         share = step % 2
         model.observe("desk", {"scan": share}, 1.5 - 0.5 * share, 1.0, step / 10)
         assert model.estimate("desk", "scan", step / 10).excess > -1e-6
-    assert model.alone("desk") < 1.4
+    assert model.baseline("desk") < 1.4
 
 
-def test_merged_evidence_does_not_echo():
-    """Symptom: one pair's weight grows without any new reading.
+def test_merged_evidence_is_not_sent_back():
+    """Guards against a pair's weight that grows without new readings.
 
-    Sequence: an agent merges what an entry sent and sends it back as its own.
-    Cause: merged evidence was counted as new on both sides.
+    An agent merged evidence from an entry and sent it back as its own, so both sides
+    counted it as new.
     """
     agents = [create_interference_model() for _ in range(2)]
     for step in range(40):
@@ -119,11 +119,11 @@
     assert reserved.memory_mib >= max(uses[-50:])
 
 
-def test_a_task_that_fills_its_size_does_not_grow():
-    """Symptom: a burst of equal tasks stops half-way, the workers stand idle.
+def test_the_size_of_a_task_that_uses_all_of_it_does_not_grow():
+    """Guards against a burst of equal tasks that stops while workers are idle.
 
-    Sequence: each run uses all that was reserved; the next is reserved with a margin.
-    Cause: the margin was added to a use that the reservation itself had set.
+    Each run uses its whole reservation, and a margin was added for the next run, until
+    the task fitted no worker.
     """
     model = create_size_model(limit=2)
     declared = Resources(1_500, 1_000)
@@ -134,11 +134,11 @@
     assert size == declared
 
 
-def test_black_hole_is_set_aside_and_probed_once_a_pause():
-    """Symptom: one worker fails most tasks of the queue within seconds.
+def test_black_hole_is_quarantined_and_probed_once_a_pause():
+    """Guards against one worker that fails most tasks of the queue within seconds.
 
-    Sequence: it fails each task at once, so it is always the emptiest.
-    Cause: failures were put on the tasks only, never on the worker.
+    It fails each task immediately, so it is always the emptiest. Failures counted only
+    against the tasks, never against the worker.
     """
     health = create_worker_health()
     health.record("w1", "scan", True, 0.0)
@@ -152,7 +152,7 @@
     assert health.usable("w2", 41.0) and health.quarantined(41.0) == ()
 
 
-def test_a_kind_that_fails_everywhere_blames_no_worker():
+def test_a_kind_that_fails_everywhere_quarantines_no_worker():
     health = create_worker_health()
     for now in range(20):
         health.record(f"w{now % 4}", "broken", False, float(now))
