--- a/pistachiodeal/scheduling/__init__.py
+++ b/pistachiodeal/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions about waiting, placement and pacing, without input or output."""
+"""Pure decision logic for queue order, placement and pacing; performs no I/O."""
--- a/pistachiodeal/scheduling/crash_attribution.py
+++ b/pistachiodeal/scheduling/crash_attribution.py
@@ -1,13 +1,14 @@
-"""Which task is to blame for a worker that crashed, and when it is given up.
+"""Attributes worker crashes to tasks, and decides when a task is given up.
 
-The load that this answers: a task that ends each runner that starts it. Queued again
-like the work of any lost worker it goes first, and takes one worker after another down
-with everything that is on it. So the runs that had just begun are blamed; who is
-blamed goes alone to one worker after that, and who ends that one as well is given up.
-Neighbours are cleared as soon as they have run for a moment beside nobody.
+A task can crash every runner that starts it. If it is requeued like any task of a lost
+worker, it is placed first again and crashes one worker after another, with all other
+tasks on it. So the runs that had just started are blamed for a crash. A blamed task is
+then started in isolation on one worker, and is given up if it crashes that one as well.
+Other tasks are cleared as soon as they have run in isolation for a moment.
 
-The counts are of crashes that nothing else explains: a worker that had said that it
-would leave, that was only cut off, or that went down with its rack tells nothing.
+Only crashes without another explanation count. A worker that had announced its
+departure, that only lost its connection, or that failed together with its rack is no
+evidence against a task.
 """
 
 from __future__ import annotations
@@ -16,36 +17,41 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-# What has worked for this long has not ended its worker by starting.
+# A task that has run for this long did not crash its worker by starting.
 STARTUP_S = 0.5
-# Few tasks are hit by a stranger's crash within this time of their start.
-AT_ONCE_S = 0.1
-# Starts this close to the last one are as likely to be the cause: orders for one worker
-# travel together, and its end is noticed by the next call.
-TOGETHER_S = 0.1
-# How much a crash weighs against who is blamed: two that came at once, the second with
-# nothing else that had just begun, are enough, and so are three within ``STARTUP_S``.
+# Few tasks are hit within this time of their start by a crash that they did not cause.
+IMMEDIATE_CRASH_S = 0.1
+# Runs that started within this time of the latest start are equally likely causes:
+# orders for one worker are sent together, and its end is detected by the next call.
+SAME_START_WINDOW_S = 0.1
+# Blame for one crash. Two immediate crashes, the second one in isolation, are enough to
+# give a task up, and so are three within ``STARTUP_S``.
 BLAME_IMMEDIATE = 3
 BLAME_STARTUP = 2
-BLAMES_TO_GIVE_UP = 6
-# How much less while workers crash for no task that had just begun: such workers, going
-# down and up by turns, hit a task that moves between them two and three times.
-RESTLESS_DISCOUNT = 1
-# Crashes in a row, whoever was blamed: what ends its worker late is given up as well.
-# Nobody is isolated for these: workers that crash by themselves make whole fleets of
-# bystanders, and serving tasks would wait in line for a worker of their own.
+BLAME_TO_GIVE_UP = 6
+# Reduction of the blame while workers crash without a task that had just started: such
+# workers, crashing in turns, hit a task that moves between them two or three times.
+UNEXPLAINED_DISCOUNT = 1
+# Crashes in a row after which a task is given up even if it was never blamed, for tasks
+# that crash their worker late. These counts do not cause isolation: when workers crash
+# by themselves, most counted tasks are not at fault, and serving tasks would queue for
+# isolated workers.
 CRASHES_TO_GIVE_UP = 5
-# Work of this long, and no crash counts any more: a task that lasts for days sees many.
+# Running for this long resets the counts: a task that runs for days sees many crashes.
 CRASH_RESET_S = 10.0
-# Crashes on all workers of a rack so close to each other are the rack's.
+# Crashes of all workers of a rack within this time are attributed to the rack.
 RACK_FAILURE_WINDOW_S = 0.3
-# Suspects are alone with the rest of the work on this share of the workers at most,
-# and on one at least: together they would take the whole fleet down.
-EXPOSED_SHARE = 1 / 4
+# Suspect tasks are started in isolation on at most this share of the workers, and on at
+# least one: all at once, they could crash the whole fleet.
+MAX_ISOLATION_SHARE = 1 / 4
 
 
 class CrashCounts(Protocol):
-    """What is counted against a task."""
+    """The counters that are kept for a task.
+
+    :param crashes: worker crashes in a row under the task.
+    :param blames: accumulated blame for crashes.
+    """
 
     crashes: int
     blames: int
@@ -55,9 +61,9 @@
 class CrashedRun:
     """A run that ended with its worker.
 
-    :param age_s: from its start to the worker's end, None where nobody has seen its
-        start.
-    :param suspect: whether it was alone on probation there.
+    :param age_s: time from its start to the worker's end, None if its start was not
+        observed.
+    :param suspect: whether it was started there in isolation, on probation.
     """
 
     task: str
@@ -66,12 +72,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
-    """What a crash means for the tasks on the worker.
+class CrashAttribution:
+    """The consequences of a crash for the tasks on the worker.
 
-    :param blames: tasks of which one is the likely cause, and how much it weighs.
-    :param involved: tasks that may be the cause, the blamed ones among them.
-    :param explained: whether a task had begun so shortly before that it is the cause.
+    :param blames: added blame by task, for the likely causes.
+    :param involved: all tasks that may be the cause, including the blamed ones.
+    :param explained: whether a task had started so shortly before that it is the cause.
     """
 
     blames: dict[str, int]
@@ -80,49 +86,50 @@
 
 
 def attribute_crash(
-    casualties: Iterable[CrashedRun], *, recent_unexplained: bool = False
-) -> Verdict:
-    """Return who is to blame for the end of a worker.
+    crashed: Iterable[CrashedRun], *, recent_unexplained: bool = False
+) -> CrashAttribution:
+    """Return which runs are to blame for the end of a worker.
 
-    :param recent_unexplained: whether another crash of the last seconds has no explanation.
+    :param recent_unexplained: whether another crash in the last seconds has no
+        explanation.
     """
-    everybody = list(casualties)
-    fresh = [
-        one for one in everybody if one.age_s is not None and one.age_s <= STARTUP_S
-    ]
+    runs = list(crashed)
+    fresh = [run for run in runs if run.age_s is not None and run.age_s <= STARTUP_S]
     if not fresh:
-        return Verdict({}, frozenset(one.task for one in everybody))
-    involved = frozenset(one.task for one in fresh)
-    suspects = [one for one in fresh if one.suspect]
+        return CrashAttribution({}, frozenset(run.task for run in runs))
+    involved = frozenset(run.task for run in fresh)
+    suspects = [run for run in fresh if run.suspect]
     blamed = suspects or _list_youngest(fresh)
-    weights = {one.task: _weigh(one, recent_unexplained) for one in blamed}
-    return Verdict(weights, involved, any(map(_is_at_once, blamed)))
+    weights = {run.task: _compute_weight(run, recent_unexplained) for run in blamed}
+    return CrashAttribution(weights, involved, any(map(_is_immediate, blamed)))
 
 
 def is_suspect(task: CrashCounts) -> bool:
-    """Tell whether a task has to start alone."""
+    """Tell whether a task has to start in isolation."""
     return task.blames > 0
 
 
 def should_give_up(task: CrashCounts) -> bool:
-    """Tell whether a task is given up."""
-    return task.blames >= BLAMES_TO_GIVE_UP or task.crashes >= CRASHES_TO_GIVE_UP
+    """Tell whether a task must not be started again."""
+    return task.blames >= BLAME_TO_GIVE_UP or task.crashes >= CRASHES_TO_GIVE_UP
 
 
 def compute_isolation_limit(workers: int) -> int:
-    """Return on how many of the workers suspects may be, or may have crashed."""
-    return max(1, int(workers * EXPOSED_SHARE))
+    """Return how many workers may run, or have crashed under, suspect tasks."""
+    return max(1, int(workers * MAX_ISOLATION_SHARE))
 
 
-def _weigh(blamed: CrashedRun, recent_unexplained: bool) -> int:
-    weight = BLAME_IMMEDIATE if _is_at_once(blamed) else BLAME_STARTUP
-    return weight - RESTLESS_DISCOUNT if recent_unexplained else weight
+def _compute_weight(blamed: CrashedRun, recent_unexplained: bool) -> int:
+    weight = BLAME_IMMEDIATE if _is_immediate(blamed) else BLAME_STARTUP
+    return weight - UNEXPLAINED_DISCOUNT if recent_unexplained else weight
 
 
-def _is_at_once(blamed: CrashedRun) -> bool:
-    return blamed.age_s is not None and blamed.age_s <= AT_ONCE_S
+def _is_immediate(blamed: CrashedRun) -> bool:
+    return blamed.age_s is not None and blamed.age_s <= IMMEDIATE_CRASH_S
 
 
 def _list_youngest(fresh: list[CrashedRun]) -> list[CrashedRun]:
-    youngest_s = min(one.age_s or 0.0 for one in fresh)
-    return [one for one in fresh if (one.age_s or 0.0) - youngest_s <= TOGETHER_S]
+    youngest_s = min(run.age_s or 0.0 for run in fresh)
+    return [
+        run for run in fresh if (run.age_s or 0.0) - youngest_s <= SAME_START_WINDOW_S
+    ]
--- a/pistachiodeal/scheduling/durations.py
+++ b/pistachiodeal/scheduling/durations.py
@@ -1,14 +1,14 @@
-"""How long tasks take, learnt from those that were done and what was declared for them.
+"""Predicts task durations from declared durations and completed tasks.
 
-The load that this answers: callers declare a task's time, and are off by as much as the
-time itself, or by ten times. Ordered by what is declared, a job that was declared too
-short counts as hopeless after a second and waits behind all others, and one declared
-too long is never urgent.
+Callers declare a duration for each task, and the error can be as large as the duration
+itself, or ten times that. If steps were ordered by declared durations, a job declared
+too short would count as unable to finish in time after a second and wait behind all
+others, and a job declared too long would never become urgent.
 
-So for each queue the time is worked out from the declared one by a line between the
-logarithms of both, fitted to what was done. Where declarations are right, the line
-leaves them as they are; where they are noise, it ends up flat, at the usual time. What
-tasks of the same step took goes before that.
+For each queue, a regression line maps the logarithm of the declared duration to that of
+the actual one. If declarations are accurate, the line leaves them unchanged; if they
+are noise, it becomes flat at the typical duration. Durations measured for tasks of the
+same step take precedence over this prediction.
 """
 
 from __future__ import annotations
@@ -17,29 +17,30 @@
 from dataclasses import dataclass
 from math import exp, log
 
-# Until tasks were done a declaration is taken at its word: the line begins as if this
-# much had been seen on it.
-FIRST_TASKS = 1.0
-# Slopes need more evidence than levels: as much as this many tasks whose declared
-# times differ by a factor of 1.65 (half of a natural logarithm).
-FIRST_SPREAD = 5.0 * 0.5**2
-# What was seen counts less with each task, so that about the last 200 decide.
-KEPT = 1 - 1 / 200
-# A factor beyond this, either way, is a task on a sick worker.
-LONGEST_FACTOR = 30.0
-SHORTEST_S = 0.01
-MOST_QUEUES = 2_000
+# Weight of the prior, in tasks: until tasks have completed, declarations are used as
+# they are.
+PRIOR_TASKS = 1.0
+# Prior weight of a zero slope. A slope needs more evidence than an offset: as much as
+# five tasks whose declared durations differ by a factor of 1.65 (0.5 in natural
+# logarithm).
+PRIOR_SPREAD = 5.0 * 0.5**2
+# Decay for each task, so that about the last 200 tasks determine the fit.
+DECAY = 1 - 1 / 200
+# A task that is off by more than this factor, either way, ran on a faulty worker.
+MAX_FACTOR = 30.0
+MIN_DURATION_S = 0.01
+MAX_QUEUES = 2_000
 
 
 @dataclass(slots=True)
 class DurationFit:
-    """Decaying sums over the logarithms of declared times and of what they are off.
+    """Decaying sums for the regression of duration errors on declared durations.
 
-    :param tasks: how many were seen.
-    :param declared: sum of the logarithms of declared times.
-    :param off: sum of what these are off, as logarithms of a factor.
-    :param spread: sum of squares of ``declared``.
-    :param joint: sum of products of both.
+    :param tasks: decayed number of observed tasks.
+    :param declared: sum of the logarithms of declared durations.
+    :param off: sum of the errors, as logarithms of actual over declared duration.
+    :param spread: sum of squares of the logarithms of declared durations.
+    :param joint: sum of products of declared logarithm and error.
     """
 
     tasks: float = 0.0
@@ -49,8 +50,8 @@
     joint: float = 0.0
 
     def add(self, declared: float, off: float, weight: float) -> None:
-        """Take in one task."""
-        kept = KEPT**weight
+        """Add one completed task."""
+        kept = DECAY**weight
         self.tasks = kept * self.tasks + weight
         self.declared = kept * self.declared + weight * declared
         self.off = kept * self.off + weight * off
@@ -58,51 +59,51 @@
         self.joint = kept * self.joint + weight * declared * off
 
     def estimate(self, declared: float) -> float:
-        """Return by how much a declared time is off, as the logarithm of a factor."""
+        """Return a declared duration's expected error, as the logarithm of a factor."""
         if self.tasks <= 0:
             return 0.0
         mean = self.declared / self.tasks
         variance = max(0.0, self.spread - self.tasks * mean**2)
         covariance = self.joint - mean * self.off
-        slope = covariance / (variance + FIRST_SPREAD)
-        return self.off / (self.tasks + FIRST_TASKS) + slope * (declared - mean)
+        slope = covariance / (variance + PRIOR_SPREAD)
+        return self.off / (self.tasks + PRIOR_TASKS) + slope * (declared - mean)
 
 
 class DurationModel:
-    """Expected times of tasks by queue."""
+    """Predicted task durations by queue."""
 
     def __init__(self) -> None:
         self._fits: dict[str, DurationFit] = {}
 
     @property
     def fits(self) -> Mapping[str, DurationFit]:
-        """Return what was learnt, by queue."""
+        """Return the regression fits by queue."""
         return self._fits
 
     def observe(
         self, queue: str, declared_s: float, took_s: float, weight: float
     ) -> None:
-        """Learn from a task that was done.
+        """Update a queue's fit with a completed task.
 
-        :param took_s: its time at full speed.
-        :param weight: less than one for a task that has likes in its step, since they
-            take the same time and tell the same.
+        :param took_s: its duration at full speed, seconds.
+        :param weight: less than one for a task with equal tasks in its step, since they
+            take the same time and carry the same information.
         """
-        declared = log(max(declared_s, SHORTEST_S))
-        off = log(max(took_s, SHORTEST_S)) - declared
-        if abs(off) > log(LONGEST_FACTOR):
+        declared = log(max(declared_s, MIN_DURATION_S))
+        off = log(max(took_s, MIN_DURATION_S)) - declared
+        if abs(off) > log(MAX_FACTOR):
             return
         self._fits.setdefault(queue, DurationFit()).add(declared, off, weight)
-        while len(self._fits) > MOST_QUEUES:
+        while len(self._fits) > MAX_QUEUES:
             del self._fits[next(iter(self._fits))]
 
     def adopt(self, queue: str, fit: DurationFit) -> None:
-        """Take in what an earlier leader knew of a queue that is new here."""
+        """Import an earlier leader's fit for a queue that has none here."""
         self._fits.setdefault(queue, fit)
 
     def predict_s(self, queue: str, declared_s: float) -> float:
-        """Return the time that a task is expected to take at full speed."""
+        """Return the predicted duration of a task at full speed, seconds."""
         fit = self._fits.get(queue)
         if fit is None or declared_s <= 0:
             return declared_s
-        return declared_s * exp(fit.estimate(log(max(declared_s, SHORTEST_S))))
+        return declared_s * exp(fit.estimate(log(max(declared_s, MIN_DURATION_S))))
--- a/pistachiodeal/scheduling/health.py
+++ b/pistachiodeal/scheduling/health.py
@@ -1,32 +1,35 @@
-"""Which workers fail or stall what others finish.
+"""Detects workers that fail or stall tasks which succeed elsewhere.
 
-The load that this answers: a worker that fails all it starts ends tasks fastest, so on
-a full deployment it is the only one with room, and it uses up the attempts of every
-job: one of 73 failed 171 runs, and 26 jobs with them, in six seconds. So a suspect gets
-nothing for a while, and then one task at a time until one is done.
+A worker that fails every task finishes tasks fastest, so on a full deployment it is the
+only one with free capacity, and it uses up the attempts of every job: one of 73 workers
+failed 171 runs, and 26 jobs with them, in six seconds. A suspect worker therefore gets
+no tasks for a while, and then one task at a time until one succeeds.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-# A few tasks in a hundred fail by their own fault; two in a row on one worker without a
-# success between them are rare.
+# A few tasks in a hundred fail through their own fault; two failures in a row on one
+# worker without a success in between are rare.
 FAILURES_TO_SUSPECT = 2
-# A suspect is left alone for this long, and twice as long after each failed probe. A
-# wrong suspicion costs one worker's new tasks for a second.
-FIRST_SUSPECT_S = 1.0
-# A worker is often sound again within seconds.
-LONGEST_SUSPECT_S = 4.0
-# Where more than this share of the workers is suspect, it is the jobs that fail.
+# A suspect worker gets no tasks for this long, doubled after each failed probe. A wrong
+# suspicion costs one worker's new tasks for a second.
+MIN_SUSPECT_S = 1.0
+# A worker often recovers within seconds.
+MAX_SUSPECT_S = 4.0
+# If more than this share of the workers is suspect, the jobs are at fault.
 MAX_SUSPECT_SHARE = 1 / 3
 
 
 @dataclass(slots=True)
 class WorkerHealth:
-    """What a worker's runs have shown lately.
+    """Recent task outcomes on one worker.
 
-    :param failures: since the last success, of tasks that had not failed elsewhere.
+    :param failures: failures since the last success, counting only tasks that had not
+        failed elsewhere before.
+    :param suspect_until: until then the worker gets no tasks, on the same clock as
+        ``now``.
     """
 
     failures: int = 0
@@ -34,29 +37,29 @@
 
     @property
     def suspect(self) -> bool:
-        """Tell whether nothing has been done there since it became suspect."""
+        """Tell whether no task has succeeded there since it became suspect."""
         return self.failures >= FAILURES_TO_SUSPECT
 
     def note_success(self) -> None:
-        """Take in that a task was done."""
+        """Record a successful task."""
         self.failures = 0
         self.suspect_until = 0.0
 
     def note_failure(self, now: float) -> None:
-        """Take in that a task failed, which had not failed elsewhere before."""
+        """Record the failure of a task that had not failed elsewhere before."""
         self.failures += 1
         doubled = self.failures - FAILURES_TO_SUSPECT
         if doubled >= 0:
-            wait_s = min(FIRST_SUSPECT_S * 2**doubled, LONGEST_SUSPECT_S)
+            wait_s = min(MIN_SUSPECT_S * 2**doubled, MAX_SUSPECT_S)
             self.suspect_until = now + wait_s
 
     def note_stall(self, now: float) -> None:
-        """Take in that a task stood still."""
-        self.suspect_until = now + LONGEST_SUSPECT_S
+        """Record a task that made no progress."""
+        self.suspect_until = now + MAX_SUSPECT_S
 
     def is_excluded(self, now: float, *, at_work: int) -> bool:
-        """Tell whether the worker gets no task now.
+        """Tell whether the worker must not get a task now.
 
-        :param at_work: tasks there, other than those that last.
+        :param at_work: tasks on it, not counting long-running ones.
         """
         return now < self.suspect_until or (self.suspect and at_work > 0)
--- a/pistachiodeal/scheduling/pacing.py
+++ b/pistachiodeal/scheduling/pacing.py
@@ -1,14 +1,15 @@
-"""How fast filling tasks may work beside tasks that serve.
-
-The load that this answers: a filling task makes its neighbour's answers slow, by an
-amount that depends on both images and changes within seconds. One pace for all filling
-tasks of a worker holds back those that harm nobody: where serving tasks swing, filling
-work then gets a small part of the processor time that is left over.
-
-So each image has a pace of its own. From a figure and the work that was beside it, the
-slack of the serving task without neighbours follows; what that has above its aim is
-shared out, first to the images that cost least. Nothing has to be tried out, so the
-pace neither echoes its own effect nor creeps back.
+"""Sets the pace of filling tasks that run beside serving tasks.
+
+A filling task slows down its serving neighbours by an amount that depends on both
+images and changes within seconds. With one pace for all filling tasks of a worker,
+harmless ones are throttled as well: beside serving tasks with varying load, filling
+tasks then get only a small part of the processor time that is left over.
+
+Each filling image therefore has its own pace. The slack that a serving task would have
+without neighbours is computed from its tail latency and the filling tasks beside it.
+What exceeds the required slack is allocated to the filling images, those with the least
+interference first. The pace is computed directly, without trial steps, so it neither
+oscillates with its own effect nor recovers slowly.
 """
 
 from __future__ import annotations
@@ -20,31 +21,31 @@
 from pistachiodeal.scheduling.tail_guard import TailGuard
 from pistachiodeal.scheduling.tails import FULL_PACE, ServingTail
 
-# Serving tasks are kept at this share of their aim: a tail worked out from two figures
-# is noisy, and the swing of the load adds to it until the next one.
-KEPT_STRAIN = 0.72
-KEPT_SLACK = 1.0 / KEPT_STRAIN
-# Above this share of its aim, whatever fills beside a serving task is suspected of
-# taking at least this much of its slack, for this long. What a pair does to each other
-# changes within seconds, sooner than the leader learns it.
-ALARM_STRAIN = 0.95
-SUSPECT_PRESS = 0.5
+# Paces are planned so that tail latencies stay at this share of their objective: a tail
+# estimated from two samples is noisy, and load can rise until the next sample.
+PLANNED_LATENCY_RATIO = 0.72
+REQUIRED_SLACK = 1.0 / PLANNED_LATENCY_RATIO
+# When a tail latency exceeds this share of its objective, the filling images beside the
+# serving task are suspected of taking at least this much of its slack, for this long.
+# The interference of a pair changes within seconds, faster than the leader learns it.
+SUSPICION_LATENCY_RATIO = 0.95
+SUSPECTED_INTERFERENCE = 0.5
 SUSPECT_S = 1.5
-LEAST_SUSPECT = 0.2
-# Paces are set in steps: a smaller change than this isn't worth a call.
-STEP = 10
-# Slower than this, a task had better stand: it would hold its neighbours back for
-# nothing.
-SLOWEST = 10
-# A pace falls at once and rises by this much a second, in case the figure was off: from
-# nothing to full speed within two listings.
-RISE_A_SECOND = 250
-# What a serving task without a figure yet is taken to have.
-FIRST_SLACK = 2.0
-# A tail below this part of its aim is of the task's first moments.
+MIN_SUSPECT_ACTIVITY = 0.2
+# Granularity of paces in percent: a smaller change is not worth a call.
+PACE_STEP = 10
+# Below this pace a task is paused instead: it would slow its neighbours down without
+# making useful progress.
+MIN_PACE = 10
+# A pace falls immediately and rises by at most this much per second, in case a sample
+# was wrong: from 0 to full speed within two listings.
+MAX_RISE_PER_S = 250
+# Assumed slack of a serving task that has no tail latency sample yet.
+DEFAULT_SLACK = 2.0
+# A tail latency below this share of its objective is from the task's start.
 MIN_VALID_LATENCY_RATIO = 0.1
 
-FindPress = Callable[[str, str], float]
+FindInterference = Callable[[str, str], float]
 """Slack that one task of a filling image takes from a serving image."""
 
 
@@ -52,9 +53,9 @@
 class FillingLoad:
     """The filling tasks of one image on a worker.
 
-    :param count: how many there are.
-    :param active: how many were at work while the figures were taken, by their effort.
-    :param paused: how many of them have been told to stand still.
+    :param count: number of tasks.
+    :param active: how many were at work during the last sample, weighted by intensity.
+    :param paused: how many of them have been set to pace 0.
     """
 
     count: int = 0
@@ -66,10 +67,10 @@
 class Pacer:
     """Decides the paces on one worker.
 
-    :ivar guard: has all filling work stand, whatever is believed of it.
-    :ivar paces: the paces decided last, by image.
-    :ivar decided_at: when that was.
-    :ivar suspects: pairs of images and until when they are suspected.
+    :ivar guard: pauses all filling tasks regardless of their estimated interference.
+    :ivar paces: latest paces in percent, by image.
+    :ivar decided_at: when they were last changed, or allowed to rise.
+    :ivar suspects: suspected pairs of images, and until when.
     """
 
     guard: TailGuard = field(default_factory=TailGuard)
@@ -81,28 +82,30 @@
         self,
         tails: Iterable[ServingTail],
         fills: dict[str, FillingLoad],
-        find_press: FindPress,
+        find_interference: FindInterference,
         now: float,
     ) -> dict[str, int]:
         """Return the pace of each filling image, in percent."""
         tails = list(tails)
         at_work = any(load.paused < load.count for load in fills.values())
-        if self.guard.judge(tails, at_work, now):
+        if self.guard.update(tails, at_work, now):
             self.paces = dict.fromkeys(fills, 0)
             return self.paces
         tails = [tail for tail in tails if tail.task not in self.guard.own_faults]
-        self._suspect(tails, fills, find_press, now)
+        self._suspect(tails, fills, find_interference, now)
 
-        def find_feared(filling: str, serving: str) -> float:
-            press = find_press(filling, serving)
+        def find_with_suspicion(filling: str, serving: str) -> float:
+            interference = find_interference(filling, serving)
             if self.suspects.get((filling, serving), 0.0) > now:
-                return max(press, SUSPECT_PRESS)
-            return press
-
-        wanted = share_slack(tails, fills, find_feared)
-        rise = int(RISE_A_SECOND * (now - self.decided_at))
-        if rise < STEP and all(wanted[one] >= self.paces.get(one, 0) for one in wanted):
-            return {one: self.paces.get(one, wanted[one]) for one in wanted}
+                return max(interference, SUSPECTED_INTERFERENCE)
+            return interference
+
+        wanted = allocate_slack(tails, fills, find_with_suspicion)
+        rise = int(MAX_RISE_PER_S * (now - self.decided_at))
+        if rise < PACE_STEP and all(
+            wanted[image] >= self.paces.get(image, 0) for image in wanted
+        ):
+            return {image: self.paces.get(image, wanted[image]) for image in wanted}
         self.decided_at = now
         self.paces = {
             image: min(percent, self.paces.get(image, FULL_PACE) + rise)
@@ -114,60 +117,68 @@
         self,
         tails: list[ServingTail],
         fills: dict[str, FillingLoad],
-        find_press: FindPress,
+        find_interference: FindInterference,
         now: float,
     ) -> None:
-        """Suspect whatever may have driven a tail up.
+        """Suspect the images that may have raised a tail latency.
 
-        Images that are known to press nothing are left out. A serving task's own load
-        takes its tail near its aim at each peak; where nothing beside it presses, that
-        was it, and if it stays over its aim the guard has all of them stand.
+        Images with no estimated interference are not suspected. A serving task's own
+        load raises its tail latency close to the objective at each peak. If no
+        neighbour interferes, its own load is the cause; if the latency stays over the
+        objective, the guard pauses all filling tasks.
         """
         for tail in tails:
-            if tail.strain <= ALARM_STRAIN:
+            if tail.latency_ratio <= SUSPICION_LATENCY_RATIO:
                 continue
             for image, load in fills.items():
-                at_work = load.active >= LEAST_SUSPECT
-                if at_work and find_press(image, tail.image) > 0:
+                at_work = load.active >= MIN_SUSPECT_ACTIVITY
+                if at_work and find_interference(image, tail.image) > 0:
                     self.suspects[image, tail.image] = now + SUSPECT_S
-        for pair in [one for one, until in self.suspects.items() if until <= now]:
+        for pair in [pair for pair, until in self.suspects.items() if until <= now]:
             del self.suspects[pair]
 
 
-def share_slack(
-    tails: Iterable[ServingTail], fills: dict[str, FillingLoad], find_press: FindPress
+def allocate_slack(
+    tails: Iterable[ServingTail],
+    fills: dict[str, FillingLoad],
+    find_interference: FindInterference,
 ) -> dict[str, int]:
-    """Return the paces at which the serving tasks keep their aim, in percent."""
-    left: dict[str, float] = {}
+    """Return the paces in percent at which serving tasks meet their objectives."""
+    available: dict[str, float] = {}
     for tail in tails:
         serving = tail.image
-        alone = FIRST_SLACK
-        if tail.strain >= MIN_VALID_LATENCY_RATIO:
-            alone = compute_slack(tail.strain) + sum(
-                find_press(image, serving) * load.active
+        unloaded_slack = DEFAULT_SLACK
+        if tail.latency_ratio >= MIN_VALID_LATENCY_RATIO:
+            unloaded_slack = compute_slack(tail.latency_ratio) + sum(
+                find_interference(image, serving) * load.active
                 for image, load in fills.items()
             )
-        spare = max(0.0, alone - KEPT_SLACK)
-        left[serving] = min(spare, left.get(serving, spare))
+        spare = max(0.0, unloaded_slack - REQUIRED_SLACK)
+        available[serving] = min(spare, available.get(serving, spare))
     worst = {
-        image: max((find_press(image, serving) for serving in left), default=0.0)
+        image: max(
+            (find_interference(image, serving) for serving in available), default=0.0
+        )
         for image in fills
     }
     paces: dict[str, int] = {}
     for image in sorted(fills, key=lambda one: (worst[one], one)):
         costs = {
-            serving: find_press(image, serving) * fills[image].count for serving in left
+            serving: find_interference(image, serving) * fills[image].count
+            for serving in available
         }
         share = min(
-            (left[serving] / cost for serving, cost in costs.items() if cost > 0),
+            (available[serving] / cost for serving, cost in costs.items() if cost > 0),
             default=1.0,
         )
         paces[image] = _round(min(share, 1.0))
         for serving, cost in costs.items():
-            left[serving] = max(0.0, left[serving] - cost * paces[image] / FULL_PACE)
+            available[serving] = max(
+                0.0, available[serving] - cost * paces[image] / FULL_PACE
+            )
     return paces
 
 
 def _round(share: float) -> int:
-    percent = int(share * FULL_PACE) // STEP * STEP
-    return percent if percent >= SLOWEST else 0
+    percent = int(share * FULL_PACE) // PACE_STEP * PACE_STEP
+    return percent if percent >= MIN_PACE else 0
--- a/pistachiodeal/scheduling/placement.py
+++ b/pistachiodeal/scheduling/placement.py
@@ -1,8 +1,8 @@
-"""Which worker takes a task.
+"""Chooses workers for tasks: filters out unsuitable workers and scores the others.
 
-The load that this answers: small urgent tasks arrive all the time while large ones
-queue for every core. Large work leaves a part of each worker free, so that urgent work
-starts at once instead of waiting for the end of a task or for a preemption.
+Small urgent tasks arrive all the time while large tasks queue for every core. Other
+work leaves a share of each worker free, so that urgent tasks start immediately instead
+of waiting for the end of a task or for a preemption.
 """
 
 from __future__ import annotations
@@ -15,56 +15,61 @@
 
 from pistachiodeal.jobs.model import Step
 from pistachiodeal.scheduling.interference import (
-    MOST_SLACK,
-    PRESS_LIMIT,
+    MAX_INTERFERENCE,
+    MAX_SLACK,
     InterferenceModel,
 )
-from pistachiodeal.scheduling.pacing import KEPT_SLACK
+from pistachiodeal.scheduling.pacing import REQUIRED_SLACK
 from pistachiodeal.scheduling.views import StepKey, WorkerView
 
-# Queues of this priority are urgent.
+# Queues with this priority are urgent.
 URGENT_PRIORITY = 0
-# A task that lasts waits this long before it takes the room for urgent work. It has to
-# be at work within three seconds where there is room for it.
-LASTING_PATIENCE_S = 2.0
-# Share of a worker that only short work of urgent queues may use.
+# A long-running task waits this long before it may use the capacity reserved for urgent
+# tasks. If there is capacity for it, it must run within three seconds.
+LONG_RUNNING_WAIT_S = 2.0
+# Share of each worker that is reserved for short tasks of urgent queues.
 URGENT_SHARE = 0.05
-# A filling task gets what the others leave. It waits rather than share a worker on
-# which that is less than this part of what it and its like ask for.
-LEAST_FILL_SHARE = 0.8
-# What an empty worker costs a serving task, in units of load: serving tasks share few
-# workers, so that filling work that would disturb them has the others to itself.
-FRESH_COST = 0.5
-# A worker whose serving tasks are of one image bears the filling work that this image
-# bears; with two images it bears only what both do.
+# Filling tasks share the processor time that other tasks leave over. A filling task
+# waits if that is less than this share of what it and the worker's other filling tasks
+# request.
+MIN_FILL_SHARE = 0.8
+# Cost, in units of load, of a worker without serving tasks for a serving task: serving
+# tasks are packed onto few workers, so that interfering filling tasks can use the rest.
+NEW_SERVING_WORKER_COST = 0.5
+# Cost of a worker whose serving tasks have other images. A worker with one serving
+# image can take the filling tasks that this image tolerates; with two images, only
+# those that both tolerate.
 OTHER_IMAGE_COST = 2.0
-# What a worker without serving tasks costs other reserved work, for the same reason.
-UNSHARED_COST = 0.3
-# Slack that a filling task may take beyond what its neighbours have to spare now, as
-# figures are off by about as much.
+# Cost of a worker without serving tasks for other tasks that reserve processor time,
+# for the same reason.
+NON_SERVING_WORKER_COST = 0.3
+# Slack that a filling task may take beyond what its neighbours have to spare now; about
+# the size of the measurement error.
 SPARE_MARGIN = 0.1
-# What each task of the same step on a worker costs: a worker that fails all it starts
-# then takes one attempt of a job's tasks, and not all of them.
+# Cost of each task of the same step on a worker. A worker that fails everything then
+# costs only some of a step's tasks an attempt, and not all of them.
 SPREAD_COST = 0.05
-# Filling work goes beside serving tasks only once the other workers are taken.
+# Cost of a worker with serving tasks for a filling task: other workers are used first.
 SERVING_COST = 0.5
-# Where a task that may end its worker would take serving tasks down with it: dearer
-# than any load.
-EXPOSED_SERVING_COST = 10.0
+# Cost of a worker with serving tasks for a task that may crash its worker: higher than
+# any load.
+SERVING_AT_RISK_COST = 10.0
 
 
 @dataclass(frozen=True, slots=True)
 class PlacementRequest:
     """A task that needs a worker.
 
-    :param urgent: whether it may use the room that is kept for urgent work.
-    :param avoid: nodes on which the task failed before, taken only as a last resort.
-    :param racks: racks on which tasks of the step are already.
-    :param may_interfere: whether it may disturb its neighbours; their agent paces it then.
-    :param may_crash_worker: whether it may end its worker.
-    :param remote_cost: what a rack other than that of the data, or of the other tasks
-        of the step, counts against load (1.0 is a full worker).
-    :param require_settled: whether it goes only where all that was ordered is seen at work.
+    :param urgent: whether it may use the capacity reserved for urgent tasks.
+    :param avoid: nodes on which the task failed before, used only as a last resort.
+    :param racks: racks that already run tasks of the step.
+    :param may_interfere: whether it may exceed the limit of interference; the worker's
+        agent then lowers its pace.
+    :param may_crash_worker: whether it is suspected of crashing its worker.
+    :param require_settled: whether it needs a worker on which all ordered tasks have
+        been reported as running.
+    :param remote_cost: cost, in units of load (1.0 is a full worker), of a rack other
+        than that of the data or of the step's other tasks.
     """
 
     step: Step
@@ -79,20 +84,20 @@
 
 
 def is_urgent(priority: int, step: Step, waited_s: float) -> bool:
-    """Tell whether a step may use the room that is kept for urgent work.
+    """Tell whether a step may use the capacity reserved for urgent tasks.
 
-    Tasks that last leave it alone at first, whatever their priority: they would fill
-    each worker to its last core for minutes, and short urgent tasks would wait for each
-    other. A task that waits for long takes it all the same: one that had to leave its
-    worker was away for 20 s although two others had just room for it.
+    Long-running tasks do not use it at first, whatever their priority: they would fill
+    each worker to its last core for minutes, and short urgent tasks would queue behind
+    each other. After a long wait they may use it: one that had to leave its worker was
+    not running for 20 s although two others had just enough capacity for it.
     """
     if priority != URGENT_PRIORITY:
         return False
-    return not step.lasts or waited_s > LASTING_PATIENCE_S
+    return not step.lasts or waited_s > LONG_RUNNING_WAIT_S
 
 
 class Obstacle(StrEnum):
-    """Why a worker can't take a task."""
+    """Why a worker cannot take a task."""
 
     LABEL = "label"
     SUSPECT = "suspect"
@@ -106,7 +111,7 @@
 def find_obstacle(
     request: PlacementRequest, view: WorkerView, model: InterferenceModel
 ) -> Obstacle | None:
-    """Return why a worker can't take one more task of a step, None if it can."""
+    """Return why a worker cannot take one more task of a step, None if it can."""
     step, key = request.step, request.key
     if step.label and step.label not in view.labels:
         return Obstacle.LABEL
@@ -116,7 +121,7 @@
         return Obstacle.PROBATION
     if step.spread and view.steps.get(key, 0) >= step.spread:
         return Obstacle.SPREAD
-    if not _has_room(request, view):
+    if not _has_capacity(request, view):
         return Obstacle.ROOM
     return _find_filling_obstacle(request, view, model) if step.fills else None
 
@@ -132,25 +137,25 @@
     if step.same_rack and racks and view.rack not in racks:
         cost += request.remote_cost
     if request.may_crash_worker:
-        # Where least is lost if it does end the worker.
-        return cost + view.load + (EXPOSED_SERVING_COST if view.serving else 0.0)
+        # Prefer the worker where the least work is lost if it crashes.
+        return cost + view.load + (SERVING_AT_RISK_COST if view.serving else 0.0)
     cost += SPREAD_COST * view.steps.get(request.key, 0)
     if step.fills:
-        return cost + _score_filling(request, view, model)
+        return cost + _compute_filling_cost(request, view, model)
     if step.serves_ms:
-        return cost + _score_serving(request, view, model)
-    return cost + view.load + (0.0 if view.serving else UNSHARED_COST)
+        return cost + _compute_serving_cost(request, view, model)
+    return cost + view.load + (0.0 if view.serving else NON_SERVING_WORKER_COST)
 
 
 def choose_worker(
     request: PlacementRequest, views: Iterable[WorkerView], model: InterferenceModel
 ) -> WorkerView | None:
-    """Return the best worker for a task, or None when it has to wait."""
-    fitting = [view for view in views if not find_obstacle(request, view, model)]
-    if not fitting:
+    """Return the best worker for a task, None if it has to wait."""
+    eligible = [view for view in views if not find_obstacle(request, view, model)]
+    if not eligible:
         return None
     return min(
-        fitting,
+        eligible,
         key=lambda view: (
             view.node in request.avoid,
             compute_cost(request, view, model),
@@ -159,13 +164,13 @@
 
 
 class Candidates:
-    """The workers that can take tasks of one step, the best first.
+    """A heap of the workers that can take tasks of one step, the cheapest first.
 
-    Equal tasks are placed one after another. Each changes one worker only, so only
-    that one is weighed again. If each task weighed all workers, the leader would hear
-    nobody while it places a burst.
+    Equal tasks are placed one after another. Each placement changes only one worker, so
+    only that worker's cost is computed again. Scoring all workers for each task would
+    block the leader's message handling while it places a burst.
 
-    :ivar obstacles: how many workers can't take one more task, by the reason.
+    :ivar obstacles: how many workers cannot take one more task, by reason.
     """
 
     def __init__(
@@ -179,12 +184,13 @@
         self._model = model
         self._heap: list[tuple[float, int, WorkerView]] = []
         for number, view in enumerate(views):
-            self._weigh(number, view)
+            self._push_if_eligible(number, view)
 
     def reserve(self, avoid: frozenset[str]) -> WorkerView | None:
-        """Reserve the best worker for one task; None when it has to wait.
+        """Reserve capacity for one task on the best worker.
 
-        :param avoid: nodes taken only as a last resort.
+        :param avoid: nodes used only as a last resort.
+        :return: the worker, None if the task has to wait.
         """
         passed = []
         best = None
@@ -202,10 +208,10 @@
             return None
         _, number, view = best
         view.reserve(self._request.key, self._request.step)
-        self._weigh(number, view)
+        self._push_if_eligible(number, view)
         return view
 
-    def _weigh(self, number: int, view: WorkerView) -> None:
+    def _push_if_eligible(self, number: int, view: WorkerView) -> None:
         obstacle = find_obstacle(self._request, view, self._model)
         if obstacle is not None:
             self.obstacles[obstacle] += 1
@@ -214,12 +220,12 @@
         heappush(self._heap, (cost, number, view))
 
 
-def _has_room(request: PlacementRequest, view: WorkerView) -> bool:
-    """Tell whether what a task reserves is free; field by field, as it is hot."""
+def _has_capacity(request: PlacementRequest, view: WorkerView) -> bool:
+    """Tell whether a task's reservation fits; field by field, as this is a hot path."""
     step, whole, used = request.step, view.capacity, view.used
     kept = 0.0 if request.urgent else URGENT_SHARE
-    # Filling work reserves no processor: it finds a worker also while serving tasks
-    # have reserved every core, of which they use half.
+    # Filling tasks reserve no processor time, so they also fit where serving tasks have
+    # reserved every core, of which they use half.
     if not step.fills:
         free_milli = whole.cpu_milli - used.cpu_milli - int(whole.cpu_milli * kept)
         if step.size.cpu_milli > max(0, free_milli):
@@ -230,53 +236,56 @@
     return step.size.accelerators <= max(0, whole.accelerators - used.accelerators)
 
 
-def _score_filling(
+def _compute_filling_cost(
     request: PlacementRequest, view: WorkerView, model: InterferenceModel
 ) -> float:
     asked = view.fill_cpu_milli + request.step.size.cpu_milli
     cost = asked / max(view.leftover_milli, 1)
     if view.serving:
-        cost += SERVING_COST + _find_excess(request, view, model)
+        cost += SERVING_COST + _compute_excess_interference(request, view, model)
     return cost
 
 
-def _score_serving(
+def _compute_serving_cost(
     request: PlacementRequest, view: WorkerView, model: InterferenceModel
 ) -> float:
-    # The fullest worker that still has room: what is left of it is of no use to work
-    # that disturbs, and another worker stays free of serving tasks. Serving tasks of
-    # one image bear the same filling work, so they share workers first.
+    # Prefer the fullest worker with enough capacity: interfering tasks cannot use the
+    # rest of it, and another worker stays free of serving tasks. Serving tasks of one
+    # image tolerate the same filling tasks, so they share workers first.
     image = request.step.image
     cost = model.compute_interference((image,), view.filling) - view.load
     if not view.serving:
-        return cost + FRESH_COST
+        return cost + NEW_SERVING_WORKER_COST
     return cost if image in view.serving else cost + OTHER_IMAGE_COST
 
 
-def _find_excess(
+def _compute_excess_interference(
     request: PlacementRequest, view: WorkerView, model: InterferenceModel
 ) -> float:
-    """Return by how much a worker's filling tasks, with one more, take too much slack.
+    """Return the slack that filling tasks would take beyond the limit with one more.
 
-    Half of what they may take is what the serving tasks have to spare now: filling
-    tasks last for about half of a swing, so they go where a swing is at its low. And it
-    is never much more than what they have to spare now: their agent would pace the
-    newcomer down at once, and it would be moved again.
+    The limit is the mean of the average limit and of what the serving tasks can spare
+    now: filling tasks run for about half of a load cycle, so they are placed where the
+    load is low. It never exceeds what can be spared now by more than a margin:
+    otherwise the agent would lower the new task's pace immediately, and the task would
+    be moved again.
     """
     image = request.step.image
-    if view.pressed is None:
-        view.pressed = {
+    if view.interference is None:
+        view.interference = {
             serving: model.compute_interference((serving,), view.filling)
             for serving in view.serving
         }
-    worst = -MOST_SLACK
+    worst = -MAX_SLACK
     for serving in view.serving:
-        limit = PRESS_LIMIT
+        limit = MAX_INTERFERENCE
         if serving in view.solo_slack:
-            spare = view.solo_slack[serving] - KEPT_SLACK
-            limit = min((PRESS_LIMIT + spare) / 2, spare + SPARE_MARGIN)
-        press = view.pressed[serving] + model.get_interference(image, serving)
-        worst = max(worst, press - limit)
+            spare = view.solo_slack[serving] - REQUIRED_SLACK
+            limit = min((MAX_INTERFERENCE + spare) / 2, spare + SPARE_MARGIN)
+        interference = view.interference[serving] + model.get_interference(
+            image, serving
+        )
+        worst = max(worst, interference - limit)
     return worst
 
 
@@ -284,10 +293,10 @@
     request: PlacementRequest, view: WorkerView, model: InterferenceModel
 ) -> Obstacle | None:
     asked = view.fill_cpu_milli + request.step.size.cpu_milli
-    if view.leftover_milli < LEAST_FILL_SHARE * asked and view.fill_cpu_milli:
+    if view.leftover_milli < MIN_FILL_SHARE * asked and view.fill_cpu_milli:
         return Obstacle.LEFTOVER
     if not view.serving or request.may_interfere:
         return None
-    if _find_excess(request, view, model) > 0:
+    if _compute_excess_interference(request, view, model) > 0:
         return Obstacle.NEIGHBOURS
     return None
--- a/pistachiodeal/scheduling/preemption.py
+++ b/pistachiodeal/scheduling/preemption.py
@@ -1,8 +1,8 @@
-"""Which work gives way: to more urgent work, or on a worker that has shrunk.
+"""Chooses runs to stop, for more urgent tasks or on a worker whose capacity shrank.
 
-The load that this answers: large tasks of a lower priority hold every worker when
-urgent ones arrive. The cheapest victim is the one that loses least work: one that saves
-its progress loses the time of its move, any other all that it has done.
+Large tasks of a lower priority can hold every worker when urgent tasks arrive. The
+cheapest victim is the one that loses the least work: a task with checkpoints loses the
+time of its move, any other task loses all its work.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
 class Victim:
     """A run that could be stopped.
 
-    :param worked_s: how long it has been at work.
-    :param move_s: for how long it would not be at work if it were moved.
-    :param room: what its stop sets free.
+    :param worked_s: how long it has been running.
+    :param move_s: how long it would not run if it were moved.
+    :param room: resources that stopping it frees.
     """
 
     task: str
@@ -32,8 +32,8 @@
 
     @property
     def loss(self) -> float:
-        """Return what is thrown away, core-seconds."""
-        # What is stopped saves its progress then.
+        """Return the work that is lost, core-seconds."""
+        # A task with checkpoints saves its progress when it is stopped.
         lost_s = self.move_s if self.checkpoints else self.worked_s + self.move_s
         return lost_s * max(self.room.cpu_milli, 1) / 1000
 
@@ -41,7 +41,7 @@
 def choose_victims(
     need: Resources, free: Resources, candidates: Iterable[Victim], priority: int
 ) -> list[Victim]:
-    """Return the runs of one worker to stop so that a task fits; empty if none do."""
+    """Return a worker's runs to stop so that a task fits, empty if none suffice."""
     lower = [victim for victim in candidates if victim.priority > priority]
     chosen, fits = _choose(need, free, lower)
     return chosen if fits else []
@@ -50,12 +50,14 @@
 def choose_victims_to_fit(
     missing: Resources, candidates: Iterable[Victim]
 ) -> list[Victim]:
-    """Return the runs of one worker to stop so that the others fit, or all that help.
+    """Return a worker's runs to stop so that the others fit, or all runs that help.
 
-    :param missing: what the worker's runs reserve beyond what it has.
+    :param missing: resources that its runs reserve beyond its capacity.
     """
     helpful = [
-        one for one in candidates if one.room.memory_mib or one.room.accelerators
+        victim
+        for victim in candidates
+        if victim.room.memory_mib or victim.room.accelerators
     ]
     return _choose(missing, Resources(), helpful)[0]
 
@@ -63,7 +65,7 @@
 def _choose(
     need: Resources, free: Resources, candidates: list[Victim]
 ) -> tuple[list[Victim], bool]:
-    """Return the cheapest victims in turn, and whether they are enough."""
+    """Return the cheapest victims in order, and whether they free enough."""
     chosen: list[Victim] = []
     for victim in sorted(candidates, key=lambda one: (-one.priority, one.loss)):
         if need.fits(free):
--- a/pistachiodeal/scheduling/retry_after.py
+++ b/pistachiodeal/scheduling/retry_after.py
@@ -1,28 +1,28 @@
-"""When a caller that is turned away should come back.
+"""Chooses the Retry-After value for callers that are rejected during an outage.
 
-The load that this answers: the store is away for 4 to 9 s, and callers try a handful
-of times. Told to come back each second, they have used up their tries before it is
-back. How long an outage still lasts is not known; as long as it has lasted already is
-the best guess for outages whose lengths differ a lot. So four tries reach over 8 s.
+The store can be unavailable for 4 to 9 s while callers retry only a few times. With a
+fixed delay of one second they run out of attempts before the store is back. The
+remaining length of an outage is unknown; where lengths vary a lot, the best estimate is
+the time that it has lasted so far. With that, four attempts cover more than 8 s.
 """
 
 from __future__ import annotations
 
 import random
 
-# An HTTP header gives whole seconds, and a first try elsewhere is worth making soon.
-SHORTEST_S = 1.0
-# Beyond this, a caller would still wait when the store has long been back.
-LONGEST_S = 8.0
-# Callers that were turned away together come back over this share of their wait, so
-# that they are no wave.
-SPREAD = 0.3
+# The HTTP header holds whole seconds, and an early first retry elsewhere is worthwhile.
+MIN_RETRY_AFTER_S = 1.0
+# With a longer delay, callers would still be waiting long after the store is back.
+MAX_RETRY_AFTER_S = 8.0
+# Retries of callers that were rejected together are spread over this share of the
+# delay, so that they do not arrive in one wave.
+JITTER = 0.3
 
 
-def choose_retry_after_s(away_s: float, dice: random.Random) -> float:
-    """Return the seconds after which a caller should come back.
+def choose_retry_after_s(outage_s: float, rng: random.Random) -> float:
+    """Return the delay in seconds after which a caller should retry.
 
-    :param away_s: for how long what it needs has been away.
+    :param outage_s: how long the dependency has been unavailable, seconds.
     """
-    wait_s = min(LONGEST_S, max(SHORTEST_S, away_s))
-    return wait_s * dice.uniform(1.0, 1.0 + SPREAD)
+    wait_s = min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, outage_s))
+    return wait_s * rng.uniform(1.0, 1.0 + JITTER)
--- a/pistachiodeal/scheduling/tail_guard.py
+++ b/pistachiodeal/scheduling/tail_guard.py
@@ -1,8 +1,8 @@
-"""When all filling work on a worker stands, whatever is believed of it.
+"""Pauses all filling tasks on a worker, regardless of their estimated interference.
 
-The load that this answers: filling work that is believed harmless keeps a serving task
-over its aim. Figures of tails come late and are off, and what a pair of images does to
-each other changes within seconds, so beliefs alone keep no aim.
+A filling task that is estimated to be harmless can keep a serving task over its latency
+objective. Tail latency samples are late and noisy, and the interference of a pair of
+images changes within seconds, so estimates alone do not keep the objective.
 """
 
 from __future__ import annotations
@@ -12,71 +12,77 @@
 
 from pistachiodeal.scheduling.tails import ServingTail
 
-# A serving task over its aim for this long, whatever is believed of its neighbours,
-# has them stand still. A tail that rises slowly is noticed late, so this leaves a
-# margin within the time that deployments allow.
+# When a serving task has been over its objective for this long, its neighbours are
+# paused. A tail that rises slowly is detected late, so this leaves a margin within the
+# time that deployments allow.
 GUARD_DELAY_S = 1.2
-# From then on it takes this long until its tail shows that they do, and until it is
-# within its aim again.
-GUARD_LAG_S = 2.2
-# Figures follow late: with all neighbours standing for this long, a tail is what the
-# serving task makes of it alone.
-PROOF_S = 1.3
-# The guard counts while the listed tail is above this share of the aim: noise puts
-# single figures of a task that is over its aim just below the aim.
-CLEAR_STRAIN = 0.9
-# A figure above this share of the aim may well be that of a task over its aim.
-LIKELY_STRAIN = 0.97
+# From then on, it takes this long until the tail latency reflects the pause and is
+# within the objective again.
+GUARD_EFFECT_S = 2.2
+# Samples lag: after all neighbours have been paused for this long, the tail latency is
+# caused by the serving task alone.
+SOLO_PROOF_S = 1.3
+# The timer keeps running while the listed tail is above this share of the objective:
+# noise can put single samples of a task over its objective just below it.
+CLEAR_LATENCY_RATIO = 0.9
+# A sample above this share of the objective may be from a task over its objective.
+LIKELY_LATENCY_RATIO = 0.97
 
 
 @dataclass(slots=True)
 class TailGuard:
     """Watches the serving tasks of one worker.
 
-    :ivar guard_s: neighbours of a serving task that is over its aim for longer stand.
-    :ivar over_since: the tasks that may be over their aim, and since when.
-    :ivar guarded: the tasks among them whose neighbours stand.
-    :ivar own_faults: the tasks among them that are slow by themselves.
+    :ivar guard_delay_s: neighbours of a serving task that is over its objective for
+        longer are paused.
+    :ivar over_since: tasks that may be over their objective, and since when.
+    :ivar guarded: those among them whose neighbours are paused.
+    :ivar own_faults: those among them that are slow without neighbours.
     """
 
-    guard_s: float = GUARD_DELAY_S
+    guard_delay_s: float = GUARD_DELAY_S
     over_since: dict[str, float] = field(default_factory=dict)
     guarded: set[str] = field(default_factory=set)
     own_faults: set[str] = field(default_factory=set)
     _worked_at: float = 0.0
     _at_work: bool = True
 
-    def judge(self, tails: Iterable[ServingTail], at_work: bool, now: float) -> bool:
-        """Tell whether all filling work has to stand.
+    def update(self, tails: Iterable[ServingTail], at_work: bool, now: float) -> bool:
+        """Process new tail latencies, and tell whether to pause all filling tasks.
 
-        :param at_work: whether any of it may be at work. Work that has just come is,
-            whatever its figures say.
+        :param at_work: whether any filling task may be running. A task that has just
+            started is, whatever its samples say.
         """
-        # What has ended since the last look, or was told to stand then, was still at
-        # work for a part of that time.
+        # Tasks that ended or were paused since the last update were still running for a
+        # part of that time.
         if at_work or self._at_work:
             self._worked_at = now
         self._at_work = at_work
-        alone = now - self._worked_at >= PROOF_S
+        unloaded = now - self._worked_at >= SOLO_PROOF_S
         tails = list(tails)
         self._forget({tail.task for tail in tails})
         for tail in tails:
-            self._judge_task(tail, alone, now)
+            self._update_task(tail, unloaded, now)
         return bool(self.guarded)
 
-    def _judge_task(self, tail: ServingTail, alone: bool, now: float) -> None:
+    def _update_task(self, tail: ServingTail, unloaded: bool, now: float) -> None:
         task = tail.task
-        if tail.strain <= 1.0 and (alone or tail.listed_strain <= CLEAR_STRAIN):
+        if tail.latency_ratio <= 1.0 and (
+            unloaded or tail.listed_latency_ratio <= CLEAR_LATENCY_RATIO
+        ):
             self._clear(task)
-        elif alone:
-            # To have its neighbours stand gains nothing. They may go on for as long as
-            # beside any other task over its aim, and then have to prove it again.
+        elif unloaded:
+            # Pausing its neighbours has no benefit. They may run for as long as beside
+            # any other task over its objective; then the task is checked again.
             self.own_faults.add(task)
             self.guarded.discard(task)
             self.over_since[task] = now
-        elif now - self.over_since.setdefault(task, now) > self.guard_s:
+        elif now - self.over_since.setdefault(task, now) > self.guard_delay_s:
             self.own_faults.discard(task)
-            if max(tail.strain, tail.listed_strain) > LIKELY_STRAIN:
+            if (
+                max(tail.latency_ratio, tail.listed_latency_ratio)
+                > LIKELY_LATENCY_RATIO
+            ):
                 self.guarded.add(task)
 
     def _forget(self, listed: set[str]) -> None:
@@ -90,8 +96,8 @@
 
 
 def compute_guard_delay_s(interference_s: float) -> float:
-    """Return how long neighbours of a serving task over its aim may go on.
+    """Return how long neighbours of a serving task over its objective may go on.
 
-    :param interference_s: a serving task may be over its aim for this long.
+    :param interference_s: how long a serving task may be over its objective.
     """
-    return max(0.0, min(GUARD_DELAY_S, interference_s - GUARD_LAG_S))
+    return max(0.0, min(GUARD_DELAY_S, interference_s - GUARD_EFFECT_S))
--- a/pistachiodeal/scheduling/views.py
+++ b/pistachiodeal/scheduling/views.py
@@ -1,4 +1,4 @@
-"""A worker as the decisions see it."""
+"""The state of a worker that placement decisions use."""
 
 from __future__ import annotations
 
@@ -11,31 +11,33 @@
 """Job, occurrence and number of a step."""
 
 
-# Serving tasks use about half of what they reserve, by the tails they show alone.
+# Serving tasks use about half of their reservation, judging by their tail latencies
+# without neighbours.
 SERVING_USE = 0.5
 
 
 @dataclass(slots=True)
 class WorkerView:
-    """Room and company on one worker.
+    """Capacity and tasks of one worker.
 
     :param place: node and incarnation.
-    :param capacity: what the worker has.
-    :param used: what is reserved; tasks that fill reserve no processor.
-    :param fill_cpu_milli: what the tasks that fill would like to use.
-    :param steps: number of tasks of each step on it.
-    :param serving: tasks on it that keep a tail latency, by image.
+    :param capacity: total resources of the worker.
+    :param used: reserved resources; filling tasks reserve no processor time.
+    :param fill_cpu_milli: processor time that its filling tasks request.
+    :param steps: number of its tasks by step.
+    :param serving: number of its tasks with a latency objective, by image.
     :param solo_slack: slack that serving tasks would have now without neighbours, the
         least by image.
-    :param serving_cpu_milli: what the serving tasks have reserved.
-    :param filling: tasks on it that fill, by image.
-    :param excluded: whether it gets nothing, since it fails or stands still.
-    :param probing: whether it gets one task, to see whether that is over.
-    :param probation: whether a suspect of having ended a worker has just begun there.
-    :param unlisted: tasks that were ordered and have not been seen at work.
-    :param built_round: the round of decisions that it was built in.
-    :param pressed: slack that the filling tasks take, by serving image; worked out
-        when it is first asked for, and forgotten when a task comes.
+    :param serving_cpu_milli: processor time that serving tasks have reserved.
+    :param filling: number of its filling tasks, by image.
+    :param excluded: whether it gets no tasks, because it fails or stalls them.
+    :param probing: whether it gets a single task, as a probe after an exclusion.
+    :param probation: whether a task that is suspected of crashing its worker has just
+        started there.
+    :param unlisted: tasks that were ordered and not yet reported as running.
+    :param built_round: the round of decisions in which it was built.
+    :param interference: slack that filling tasks take, by serving image; computed on
+        first use, and reset when a task is added.
     """
 
     place: str
@@ -55,11 +57,11 @@
     probation: bool = False
     unlisted: int = 0
     built_round: int = 0
-    pressed: dict[str, float] | None = None
+    interference: dict[str, float] | None = None
 
     @property
     def free(self) -> Resources:
-        """Return what is not reserved."""
+        """Return the resources that are not reserved."""
         return self.capacity - self.used
 
     @property
@@ -71,12 +73,12 @@
 
     @property
     def leftover_milli(self) -> int:
-        """Return the processor time that filling tasks find, thousandths of a core."""
+        """Return the processor time left for filling tasks, thousandths of a core."""
         unused = int(self.serving_cpu_milli * (1.0 - SERVING_USE))
         return self.capacity.cpu_milli - self.used.cpu_milli + unused
 
     def copy(self) -> WorkerView:
-        """Return a view that can be changed by itself."""
+        """Return a copy that can be changed independently."""
         return replace(
             self,
             steps=dict(self.steps),
@@ -85,11 +87,11 @@
         )
 
     def reserve(self, key: StepKey, step: Step) -> None:
-        """Reserve the room of one task."""
+        """Add one task and reserve its resources."""
         self.used = self.used + get_reserved_size(step)
         self.excluded |= self.probing
         self.unlisted += 1
-        self.pressed = None
+        self.interference = None
         self.steps[key] = self.steps.get(key, 0) + 1
         if step.fills:
             self.fill_cpu_milli += step.size.cpu_milli
@@ -100,7 +102,7 @@
 
 
 def get_reserved_size(step: Step) -> Resources:
-    """Return what a task of a step reserves on its worker."""
+    """Return the resources that a task of a step reserves on its worker."""
     if not step.fills:
         return step.size
     return Resources(0, step.size.memory_mib, step.size.accelerators)
--- a/tests/unit/test_harmed_neighbours.py
+++ b/tests/unit/test_harmed_neighbours.py
@@ -1,4 +1,4 @@
-"""Serving tasks that filling work keeps over their aim."""
+"""Serving tasks that filling tasks keep over their latency objective."""
 
 from __future__ import annotations
 
@@ -20,27 +20,29 @@
 
 INTERFERENCE_S = 4.0
 PAIR = ("filling", "serving")
-# Of the load that keeps a serving task 5% over its aim.
-JUST_TOO_MUCH = 0.36
+# Load of a filling task that keeps a serving task 5% over its objective.
+SLIGHT_OVERLOAD = 0.36
 
 
-class Play:
-    """One worker with a serving task whose load doesn't swing, and others of its image.
+class Simulation:
+    """One worker with a serving task of constant load, and others of its image.
 
-    :param load: that a filling task puts on each of them.
-    :param press: what it is believed to take from their slack.
+    :param load: load that a filling task adds to each of them.
+    :param interference: estimate of the slack that it takes from them.
     """
 
-    def __init__(self, seed: int, load: float, press: float, *others: Serving) -> None:
+    def __init__(
+        self, seed: int, load: float, interference: float, *others: Serving
+    ) -> None:
         self.now = 100.0
         self.serving = Serving("serving", 0.0, swing=0.0)
         self.worker = PacedWorker(
             [self.serving, *others], {PAIR: load}, random.Random(seed), INTERFERENCE_S
         )
-        self.worker.ledger.presses[PAIR] = press
+        self.worker.ledger.presses[PAIR] = interference
 
     async def advance(self, length_s: float) -> None:
-        """Let time pass."""
+        """Advance the simulation."""
         until = self.now + length_s
         while self.now < until:
             self.now += STEP_S
@@ -49,114 +51,116 @@
                 await self.worker.list(self.now)
 
 
-def test_work_that_has_just_come_is_not_overlooked():
-    """Guards against a serving task taken for slow by itself beside new work."""
+def test_filling_tasks_that_have_just_started_count_as_running():
+    """Guards against a serving task that counts as slow by itself beside new tasks."""
 
     async def main() -> None:
         for number in range(10):
-            play = Play(number, load=0.5, press=0.0)
-            await play.advance(2.0 + number * LISTED_S / 10)
+            simulation = Simulation(number, load=0.5, interference=0.0)
+            await simulation.advance(2.0 + number * LISTED_S / 10)
             for _ in range(3):
-                play.worker.begin("filling", 60.0, play.now, stays=True)
-            await play.advance(8.0)
-            assert play.serving.longest_s < INTERFERENCE_S
+                simulation.worker.begin("filling", 60.0, simulation.now, stays=True)
+            await simulation.advance(8.0)
+            assert simulation.serving.longest_s < INTERFERENCE_S
 
     curio.run(main)
 
 
-def test_one_figure_within_the_aim_does_not_restart_the_guard():
-    """Guards against a serving task just over its aim whose neighbours never stand."""
+def test_one_sample_within_the_objective_does_not_restart_the_guard():
+    """Guards against neighbours that are never paused beside a slight overload."""
 
     async def main() -> None:
         for number in range(60):
-            play = Play(number, load=JUST_TOO_MUCH, press=0.0)
-            filling = play.worker.begin("filling", 1_000.0, play.now, stays=True)
+            simulation = Simulation(number, load=SLIGHT_OVERLOAD, interference=0.0)
+            filling = simulation.worker.begin(
+                "filling", 1_000.0, simulation.now, stays=True
+            )
             filling.phase_until = float("inf")
-            await play.advance(60.0)
-            assert play.serving.longest_s < INTERFERENCE_S
+            await simulation.advance(60.0)
+            assert simulation.serving.longest_s < INTERFERENCE_S
 
     curio.run(main)
 
 
-def test_a_pace_that_the_runner_does_not_have_is_told_again():
-    """Guards against work that goes on at a pace from an order carried out late."""
+def test_a_pace_that_the_runner_does_not_have_is_sent_again():
+    """Guards against a task that keeps a pace from an order carried out late."""
 
     async def main() -> None:
-        play = Play(1, load=0.5, press=100.0)
-        filling = play.worker.begin("filling", 60.0, play.now, stays=True)
-        await play.advance(6.0)
+        simulation = Simulation(1, load=0.5, interference=100.0)
+        filling = simulation.worker.begin("filling", 60.0, simulation.now, stays=True)
+        await simulation.advance(6.0)
         assert filling.percent == 0
-        filling.due.append((play.now, 100))
-        await play.advance(12.0)
-        assert play.serving.longest_s < INTERFERENCE_S
+        filling.due.append((simulation.now, 100))
+        await simulation.advance(12.0)
+        assert simulation.serving.longest_s < INTERFERENCE_S
 
     curio.run(main)
 
 
-def test_a_tail_that_is_still_coming_down_proves_nothing():
-    """Guards against a serving task taken for slow by itself by a late figure."""
-    guard = TailGuard(guard_s=1.8)
+def test_a_tail_that_is_still_falling_is_no_proof_of_an_own_fault():
+    """Guards against a serving task that a late sample marks as slow by itself."""
+    guard = TailGuard(guard_delay_s=1.8)
 
-    def judge(strain: float, at_work: bool, now: float) -> bool:
-        tail_ms = int(strain * 1_000)
+    def update(latency_ratio: float, at_work: bool, now: float) -> bool:
+        tail_ms = int(latency_ratio * 1_000)
         tail = ServingTail("t", "serving", tail_ms, tail_ms, 1_000)
-        return guard.judge([tail], at_work, now)
+        return guard.update([tail], at_work, now)
 
-    assert [judge(6.0, True, 10.0 + 0.5 * beat) for beat in range(5)][-1]
-    for strain, now in ((6.0, 12.5), (3.0, 13.0), (1.6, 13.5)):
-        assert judge(strain, False, now)
+    assert [update(6.0, True, 10.0 + 0.5 * beat) for beat in range(5)][-1]
+    for latency_ratio, now in ((6.0, 12.5), (3.0, 13.0), (1.6, 13.5)):
+        assert update(latency_ratio, False, now)
     assert not guard.own_faults
-    assert not judge(0.8, False, 14.0)
+    assert not update(0.8, False, 14.0)
 
 
-def test_a_task_over_its_aim_with_nobody_beside_it_is_slow_by_itself():
-    """Guards against filling work that stands for good beside a broken task."""
-    guard = TailGuard(guard_s=1.8)
+def test_a_task_over_its_objective_without_neighbours_is_slow_by_itself():
+    """Guards against filling tasks that stay paused for ever beside a broken task."""
+    guard = TailGuard(guard_delay_s=1.8)
     tail = ServingTail("t", "serving", 20_000, 20_000, 1_000)
-    stands = [guard.judge([tail], False, 10.0 + 0.5 * beat) for beat in range(4)]
+    stands = [guard.update([tail], False, 10.0 + 0.5 * beat) for beat in range(4)]
     assert guard.own_faults == {"t"}
     assert not stands[-1]
-    # It may have been harmed since then: its neighbours have to prove it again.
-    assert [guard.judge([tail], True, 12.0 + 0.5 * beat) for beat in range(5)][-1]
+    # Neighbours may slow it since then, so the proof has to be repeated.
+    assert [guard.update([tail], True, 12.0 + 0.5 * beat) for beat in range(5)][-1]
     assert not guard.own_faults
 
 
-def test_a_task_that_has_left_keeps_nobody_standing():
-    """Guards against filling work that stands for a serving task that has left."""
-    guard = TailGuard(guard_s=1.8)
+def test_a_task_that_has_left_keeps_no_neighbour_paused():
+    """Guards against filling tasks that stay paused for a task that has left."""
+    guard = TailGuard(guard_delay_s=1.8)
     tail = ServingTail("t", "serving", 2_000, 2_000, 1_000)
-    assert [guard.judge([tail], True, 10.0 + 0.5 * beat) for beat in range(5)][-1]
-    assert not guard.judge([], False, 12.5)
+    assert [guard.update([tail], True, 10.0 + 0.5 * beat) for beat in range(5)][-1]
+    assert not guard.update([], False, 12.5)
 
 
-def test_filling_work_goes_on_beside_a_broken_task():
-    """Guards against a broken serving task that costs its worker all filling work."""
+def test_filling_tasks_run_on_beside_a_broken_task():
+    """Guards against a broken serving task that stops all filling tasks on a worker."""
 
     async def main() -> None:
-        play = Play(1, 0.0, 0.0)
-        play.serving.broken_until = float("inf")
-        play.worker.begin("filling", 60.0, play.now, stays=True)
-        await play.advance(30.0)
-        assert play.worker.done_s > 10.0
+        simulation = Simulation(1, 0.0, 0.0)
+        simulation.serving.broken_until = float("inf")
+        simulation.worker.begin("filling", 60.0, simulation.now, stays=True)
+        await simulation.advance(30.0)
+        assert simulation.worker.done_s > 10.0
 
     curio.run(main)
 
 
-def test_a_calm_task_does_not_hide_another_of_its_image():
-    """Guards against a clock that the sibling of a harmed task sets back."""
+def test_a_fast_task_does_not_hide_a_slow_one_of_its_image():
+    """Guards against a guard timer that the sibling of a slow task resets."""
 
     async def main() -> None:
         calm = Serving("serving", 0.0, load=0.1, swing=0.0)
-        play = Play(1, 0.4, 0.0, calm)
-        play.worker.begin("filling", 60.0, play.now, stays=True)
-        await play.advance(30.0)
-        assert play.serving.longest_s < INTERFERENCE_S
+        simulation = Simulation(1, 0.4, 0.0, calm)
+        simulation.worker.begin("filling", 60.0, simulation.now, stays=True)
+        await simulation.advance(30.0)
+        assert simulation.serving.longest_s < INTERFERENCE_S
 
     curio.run(main)
 
 
 def test_a_broken_task_does_not_hide_another_of_its_image():
-    """Guards against a harmed task that counts as slow by itself with its sibling."""
+    """Guards against a slowed task that counts as slow by itself like its sibling."""
 
     def decide(now: float, harmed_ms: int, standing: int) -> int:
         tails = [
@@ -175,10 +179,10 @@
 
 @pytest.mark.parametrize("late", [0.0, 0.05])
 @pytest.mark.parametrize("wrong", [None, 0.4])
-def test_neighbours_keep_no_serving_task_over_its_aim_for_long(
+def test_neighbours_keep_no_serving_task_over_its_objective_for_long(
     wrong: float | None, late: float
 ):
-    """Guards against harm by figures that are late and off, and by wrong beliefs."""
+    """Guards against interference due to late and noisy samples or wrong estimates."""
     for seed in range(4):
         rng = random.Random(seed)
         loads = draw_loads(rng)
@@ -194,18 +198,18 @@
         assert fleet.longest_s < INTERFERENCE_S
 
 
-def test_work_that_goes_on_while_it_should_stand_is_noticed():
+def test_a_task_that_runs_on_while_it_should_be_paused_is_detected():
     """Guards against a proof of an own fault while a late pace is in force."""
 
     async def main() -> None:
-        play = Play(1, load=0.5, press=0.0)
-        filling = play.worker.begin("filling", 60.0, play.now, stays=True)
+        simulation = Simulation(1, load=0.5, interference=0.0)
+        filling = simulation.worker.begin("filling", 60.0, simulation.now, stays=True)
         while not any(percent == 0 for _, percent in filling.due):
-            await play.advance(STEP_S)
+            await simulation.advance(STEP_S)
         filling.phase_until = float("inf")
-        # Carried out late, and just after the order to stand.
+        # Carried out late, just after the order to pause.
         filling.due.append((filling.due[-1][0], 100))
-        await play.advance(12.0)
-        assert play.serving.longest_s < INTERFERENCE_S
+        await simulation.advance(12.0)
+        assert simulation.serving.longest_s < INTERFERENCE_S
 
     curio.run(main)
--- a/tests/unit/test_pacing_load.py
+++ b/tests/unit/test_pacing_load.py
@@ -1,4 +1,4 @@
-"""Paces of filling work replayed on the loads that they answer."""
+"""Paces of filling tasks under simulated loads."""
 
 from __future__ import annotations
 
@@ -6,32 +6,32 @@
 import random
 
 from pistachiodeal.scheduling.interference import InterferenceModel, PairEstimate
-from pistachiodeal.scheduling.pacing import FillingLoad, Pacer, share_slack
+from pistachiodeal.scheduling.pacing import FillingLoad, Pacer, allocate_slack
 from pistachiodeal.scheduling.tails import PaceHistory, ServingTail, TailFilter
 from tests.unit.test_scheduling_load import swing
 
 
-class PlayedWorker:
-    """A serving task with a swinging load beside three filling images, 60 s long.
+class SimulatedWorker:
+    """A serving task with a varying load beside three filling images.
 
-    Its runner lists a figure that follows the tail slowly, with 8% of noise.
+    Its runner lists a smoothed tail latency with 8% of noise.
     """
 
-    PRESSES = {"mild": 0.0, "light": 0.06, "harsh": 0.2}
+    ADDED_LOADS = {"mild": 0.0, "light": 0.06, "harsh": 0.2}
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
         self.phase = self.rng.uniform(0, 14)
         self.now = 0.0
         self.figure = self.listed = 0.3
-        self.paces = dict.fromkeys(self.PRESSES, 100)
-        self.histories = {image: PaceHistory(0.0) for image in self.PRESSES}
+        self.paces = dict.fromkeys(self.ADDED_LOADS, 100)
+        self.histories = {image: PaceHistory(0.0) for image in self.ADDED_LOADS}
         self.tails = TailFilter()
         self.sampled_at = 0.0
         self.done = self.over = 0.0
 
     def work(self, span_s: float) -> None:
-        """Let time pass."""
+        """Advance the simulation."""
         until = self.now + span_s
         while self.now < until:
             self.now += 0.02
@@ -40,47 +40,49 @@
                 for image, history in self.histories.items()
             }
             load = swing(self.now + self.phase)
-            load += sum(self.PRESSES[image] * worked[image] for image in worked)
-            strain = 0.2 / max(0.02, 1 - load)
-            self.figure += (strain - self.figure) * (1 - math.exp(-0.02 / 0.5))
-            self.over += 0.02 * (strain > 1.0)
+            load += sum(self.ADDED_LOADS[image] * worked[image] for image in worked)
+            latency_ratio = 0.2 / max(0.02, 1 - load)
+            self.figure += (latency_ratio - self.figure) * (1 - math.exp(-0.02 / 0.5))
+            self.over += 0.02 * (latency_ratio > 1.0)
             self.done += 0.02 * sum(worked.values())
 
     def sample(self) -> tuple[float, dict[str, float]]:
-        """Return the tail as a share of its aim, and what worked beside it."""
+        """Return the latency ratio, and the filling load beside the task by image."""
         self.listed = self.figure * self.rng.uniform(0.92, 1.08)
-        strain = self.tails.estimate(self.listed, self.now)
+        latency_ratio = self.tails.estimate(self.listed, self.now)
         worked = {
             image: history.average(self.sampled_at, self.now)
             for image, history in self.histories.items()
         }
         self.sampled_at = self.now
-        return strain, worked
+        return latency_ratio, worked
 
     def set_paces(self, paces: dict[str, int]) -> None:
-        """Tell the runner the paces."""
+        """Apply the paces."""
         for image, percent in paces.items():
             if percent != self.histories[image].newest:
                 self.histories[image].note(percent, self.now)
 
 
-def play_pacing(*, by_image: bool) -> tuple[float, float]:
-    """Return the shares of filling work done and of time over the aim, twelve times."""
+def simulate_pacing(*, by_image: bool) -> tuple[float, float]:
+    """Return the shares of filling work done and of time over the objective."""
     done = over = 0.0
     for seed in range(12):
-        worker = PlayedWorker(seed)
+        worker = SimulatedWorker(seed)
         pacer = Pacer()
         while worker.now < 60.0:
             worker.work(0.4)
-            strain, worked = worker.sample()
-            tail_ms, listed_ms = int(strain * 1000), int(worker.listed * 1000)
+            latency_ratio, worked = worker.sample()
+            tail_ms, listed_ms = int(latency_ratio * 1000), int(worker.listed * 1000)
             tails = [ServingTail("t", "s", tail_ms, listed_ms, 1000)]
             if by_image:
                 fills = {
                     image: FillingLoad(1, worked[image], int(history.newest == 0))
                     for image, history in worker.histories.items()
                 }
-                paces = pacer.decide(tails, fills, find_played_press, worker.now)
+                paces = pacer.decide(
+                    tails, fills, find_simulated_interference, worker.now
+                )
             else:
                 whole = {"all": FillingLoad(3, sum(worked.values()))}
                 pace = pacer.decide(tails, whole, lambda *_: 0.43, worker.now)["all"]
@@ -91,28 +93,28 @@
     return done, over
 
 
-def find_played_press(filling: str, _: str) -> float:
-    """Return what was learnt of a pair, a quarter too much."""
-    return PlayedWorker.PRESSES[filling] * 5 * 1.25
+def find_simulated_interference(filling: str, _: str) -> float:
+    """Return the estimate for a pair, which is a quarter too high."""
+    return SimulatedWorker.ADDED_LOADS[filling] * 5 * 1.25
 
 
-def test_a_pace_by_image_keeps_the_aim_and_holds_back_only_who_disturbs():
-    """The load: serving tasks that swing, beside work that harms and work that doesn't.
+def test_paces_by_image_keep_the_objective_and_slow_only_interfering_images():
+    """Load: serving tasks with varying load, beside harmful and harmless images.
 
-    One pace for all images, as a worker had before, holds the harmless ones back too.
+    One pace for all images, as a worker had before, slows the harmless ones as well.
     """
-    done, over = play_pacing(by_image=True)
-    done_as_one, _ = play_pacing(by_image=False)
+    done, over = simulate_pacing(by_image=True)
+    done_with_one_pace, _ = simulate_pacing(by_image=False)
     assert over < 0.03
     assert done > 0.7
-    assert done > done_as_one + 0.05
+    assert done > done_with_one_pace + 0.05
 
 
-def test_a_tail_is_worked_out_from_figures_that_lag():
-    """Symptom: filling work was blamed for, or kept back by, a tail that was over.
+def test_the_current_tail_is_estimated_from_smoothed_figures():
+    """Guards against smoothed figures that are used as the current tail latency.
 
-    Sequence: a neighbour stops; the figure falls by half every 0.3 s, for 1.3 s.
-    Cause: figures were taken for the tail of the moment.
+    A neighbour stops, and the figure halves only every 0.3 s, for 1.3 s. Filling tasks
+    were then blamed or slowed for a tail latency that was already normal.
     """
     tails = TailFilter()
     figure, now = 5.1, 1.0
@@ -125,20 +127,20 @@
     assert abs(estimate - 0.6) < 0.1
 
 
-def test_a_pair_that_is_learnt_roughly_works_on_at_the_peak():
-    """Guards against harmless filling work that stands at each peak of the load."""
+def test_an_image_with_a_small_rough_estimate_runs_on_at_load_peaks():
+    """Guards against harmless filling tasks that are paused at each load peak."""
     model = InterferenceModel()
     model.adopt(
         (PairEstimate("mild", "s", 0.28, 0.04), PairEstimate("harsh", "s", 0.9, 0.04))
     )
     tails = [ServingTail("t", "s", 72, 72, 100)]
     fills = {"mild": FillingLoad(6, 0.0), "harsh": FillingLoad(1, 0.0)}
-    paces = share_slack(tails, fills, model.get_interference)
+    paces = allocate_slack(tails, fills, model.get_interference)
     assert paces == {"mild": 100, "harsh": 0}
 
 
-def test_harmless_work_goes_on_at_the_peak_of_a_neighbours_load():
-    """Guards against filling work that stands for its neighbour's own load."""
+def test_harmless_tasks_run_on_at_a_neighbours_load_peak():
+    """Guards against filling tasks that are paused for their neighbour's own load."""
     pacer = Pacer()
     for beat in range(8):
         paces = pacer.decide(
@@ -150,19 +152,19 @@
         assert paces == {"calm": 100}
 
 
-def test_a_neighbour_over_its_aim_has_all_filling_work_stand():
-    """The load: a filling image is believed harmless and is not.
+def test_a_serving_task_over_its_objective_pauses_all_filling_tasks():
+    """Load: a filling image is estimated to be harmless and is not.
 
-    It is no suspect for that belief; after two seconds it stands, whatever is believed.
-    One that may press is suspected at once.
+    Because of that estimate it is not suspected, but it is paused after two seconds in
+    any case. An image that may interfere is suspected immediately.
     """
-    feared = Pacer().decide(
+    suspected = Pacer().decide(
         [ServingTail("t", "s", 1_050, 1_050, 1_000)],
         {"f": FillingLoad(1, 1.0)},
         lambda *_: 0.34,
         10.0,
     )
-    assert feared["f"] < 50
+    assert suspected["f"] < 50
     pacer = Pacer()
     paces = []
     for beat in range(8):
@@ -178,28 +180,30 @@
     assert paces[-1] == 0
 
 
-def test_a_harmless_image_is_no_suspect_while_another_may_have_pressed():
-    """Symptom: work that harms nobody gets 0.6 of its speed beside serving tasks.
+def test_a_harmless_image_is_not_suspected_beside_a_harmful_one():
+    """Guards against harmless tasks that get 0.6 of their speed beside serving tasks.
 
-    Sequence: a harmful image drives a tail over its aim; for seconds, all images
-    beside it are held back. Cause: all were suspected alike.
+    A harmful image raises a tail latency over its objective. When all images beside the
+    serving task were suspected, all of them were slowed for seconds.
     """
     pacer = Pacer()
-    presses = {"calm": 0.0, "harsh": 1.2}
+    interference = {"calm": 0.0, "harsh": 1.2}
 
-    def decide(strain: float, harsh_at_work: float, now: float) -> dict[str, int]:
+    def decide(
+        latency_ratio: float, harsh_at_work: float, now: float
+    ) -> dict[str, int]:
         fills = {"calm": FillingLoad(2, 2.0), "harsh": FillingLoad(1, harsh_at_work)}
-        tail_ms = int(strain * 1_000)
+        tail_ms = int(latency_ratio * 1_000)
         tails = [ServingTail("t", "s", tail_ms, tail_ms, 1_000)]
-        return pacer.decide(tails, fills, lambda filling, _: presses[filling], now)
+        return pacer.decide(tails, fills, lambda filling, _: interference[filling], now)
 
     assert decide(1.2, 1.0, 10.0)["calm"] == 100
     paces = decide(0.9, 0.0, 10.4)
     assert paces == {"calm": 100, "harsh": 0}
 
 
-def test_a_serving_task_that_is_slow_by_itself_holds_nobody_back():
-    """The load: a serving task stands still for seconds, whoever is beside it."""
+def test_a_serving_task_that_is_slow_by_itself_slows_no_neighbour():
+    """Load: a serving task stalls for seconds, regardless of its neighbours."""
     pacer = Pacer()
     worked = 1.0
     paces = {}
--- a/tests/unit/test_scheduling_load.py
+++ b/tests/unit/test_scheduling_load.py
@@ -1,4 +1,4 @@
-"""The scheduling decisions replayed on the loads that they answer."""
+"""Scheduling decisions under simulated loads."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from pistachiodeal.jobs.model import Step
 from pistachiodeal.model.resources import Resources
 from pistachiodeal.scheduling.durations import DurationModel
-from pistachiodeal.scheduling.health import FIRST_SUSPECT_S, WorkerHealth
+from pistachiodeal.scheduling.health import MIN_SUSPECT_S, WorkerHealth
 from pistachiodeal.scheduling.interference import (
     InterferenceModel,
     ServingSample,
@@ -18,7 +18,7 @@
 )
 from pistachiodeal.scheduling.ordering import WaitingStep, rank_step
 from pistachiodeal.scheduling.placement import (
-    LASTING_PATIENCE_S,
+    LONG_RUNNING_WAIT_S,
     Candidates,
     PlacementRequest,
     choose_worker,
@@ -33,7 +33,7 @@
 
 @dataclass
 class BurstJob:
-    """A job of the burst: one task of ``work_s``."""
+    """A job of the burst, with one task of ``work_s``."""
 
     arrives: float
     work_s: float
@@ -43,7 +43,7 @@
         return 2.0 * self.work_s + 1.0
 
 
-def play_burst(jobs: list[BurstJob], slots: int, *, ranked: bool) -> float:
+def simulate_burst(jobs: list[BurstJob], slots: int, *, ranked: bool) -> float:
     """Return the share of the work that is done in time."""
     waiting: list[BurstJob] = []
     free_at = [0.0] * slots
@@ -73,7 +73,7 @@
 
 
 def build_burst(seed: int) -> list[BurstJob]:
-    """Return 34 s of steady jobs, two and a half times as many for 6 s of them."""
+    """Return 34 s of steady arrivals, with 2.5 times the rate for 6 s of them."""
     rng = random.Random(seed)
     jobs = []
     now = 0.0
@@ -84,13 +84,13 @@
     return jobs
 
 
-def test_a_burst_is_served_better_by_rank_than_in_order_of_arrival():
-    """The load: 2.5 times the usual jobs for 6 s, on workers that are nearly full."""
+def test_rank_order_completes_more_work_in_time_than_arrival_order():
+    """Load: 2.5 times the usual arrivals for 6 s, on workers that are nearly full."""
     gains = []
     for seed in range(8):
         jobs = build_burst(seed)
-        first_come = play_burst(jobs, 20, ranked=False)
-        gains.append(play_burst(jobs, 20, ranked=True) - first_come)
+        first_come = simulate_burst(jobs, 20, ranked=False)
+        gains.append(simulate_burst(jobs, 20, ranked=True) - first_come)
     assert sum(gains) / len(gains) > 0.2
     assert min(gains) > 0.0
 
@@ -116,8 +116,8 @@
     return view.node if view else None
 
 
-def test_serving_tasks_share_few_workers_and_leave_the_others_to_filling_work():
-    """The load: serving tasks come first, filling work that may disturb them later."""
+def test_serving_tasks_are_packed_and_leave_workers_to_filling_tasks():
+    """Load: serving tasks first, then filling tasks that may interfere with them."""
     model = InterferenceModel()
     views = [build_view(f"n{number}") for number in range(6)]
     for _ in range(10):
@@ -132,40 +132,44 @@
 
 
 def swing(now: float) -> float:
-    """Return the load of a serving step: it swings by 60% within 14 s."""
+    """Return the load of a serving step, which varies by 60% with a period of 14 s."""
     return 0.45 * (1 + 0.6 * math.sin(now * 2 * math.pi / 14))
 
 
-def compute_strain(load: float, rng: random.Random) -> float:
-    """Return what a runner would list: a queue's tail, and 8% of noise."""
+def compute_latency_ratio(load: float, rng: random.Random) -> float:
+    """Return the latency ratio that a runner lists: a queue's tail with 8% of noise."""
     return 0.2 / max(0.02, 1 - load) * rng.uniform(0.92, 1.08)
 
 
-def learn(model: InterferenceModel, presses: dict[str, float], until: float) -> None:
-    """Play two workers with tasks of one serving step; filling work comes and goes.
+def learn(
+    model: InterferenceModel, added_loads: dict[str, float], until: float
+) -> None:
+    """Simulate two workers with tasks of one serving step and changing filling tasks.
 
-    :param presses: load that one task of a filling image adds to its neighbour.
+    :param added_loads: load that one task of a filling image adds to its neighbour.
     """
     rng = random.Random(3)
-    images = sorted(presses)
+    images = sorted(added_loads)
     now = 0.0
     while now < until:
         now += 0.4
         beside = images[int(now / 3) % len(images)]
         for worker, mix in (("a", {beside: 1.0}), ("b", {})):
-            load = swing(now) + sum(presses[image] for image in mix)
-            strain = compute_strain(load, rng)
+            load = swing(now) + sum(added_loads[image] for image in mix)
+            latency_ratio = compute_latency_ratio(load, rng)
             model.observe(
-                ServingSample(SERVING_STEP, f"task-{worker}", "s", strain, mix, now)
+                ServingSample(
+                    SERVING_STEP, f"task-{worker}", "s", latency_ratio, mix, now
+                )
             )
 
 
-def test_a_pair_that_disturbs_is_told_from_the_swing_of_the_load():
-    """Symptom: harmless neighbours were kept off, and harmful ones were tried again.
+def test_interference_is_distinguished_from_the_load_of_the_serving_task():
+    """Guards against load changes that are attributed to filling neighbours.
 
-    Sequence: a serving task's own load swings by 60%, which moves its tail from 0.24
-    to 0.71 of its aim; one filling image adds a quarter of a core's load, one nothing.
-    Cause: tails were learnt from as they were, so the swing went to whoever was there.
+    A serving task's own load varies by 60%, which moves its tail latency from 0.24 to
+    0.71 of its objective; one filling image adds a quarter of a core's load, one none.
+    Learnt from unadjusted tails, harmless images were kept off and harmful ones placed.
     """
     model = InterferenceModel()
     learn(model, {"mild": 0.0, "harsh": 0.25}, until=12.0)
@@ -178,8 +182,8 @@
         assert place(build_filling("mild"), [view], model) == "n"
 
 
-def test_an_untried_pair_is_tried_with_two_tasks():
-    """The load: many tasks of a new image arrive at once beside serving tasks."""
+def test_an_unobserved_pair_is_tried_with_two_tasks():
+    """Load: many tasks of a new image arrive at once beside serving tasks."""
     model = InterferenceModel()
     view = build_view("n")
     view.reserve(KEY, build_serving("s"))
@@ -187,12 +191,12 @@
     assert placed == ["n", "n", None]
 
 
-def test_filling_work_goes_beside_serving_tasks_that_reserve_every_core():
-    """Symptom: filling jobs earned 0.02 of their worth on workers that stood half idle.
+def test_filling_tasks_fit_beside_serving_tasks_that_reserve_every_core():
+    """Guards against filling tasks that find no worker although half of it is idle.
 
-    Sequence: serving tasks reserve nearly all cores and use half of them; the room
-    kept for urgent work makes what is left negative; a filling task asks for no core.
-    Cause: no core did not fit into less than no core.
+    Serving tasks reserve nearly all cores and use half of them. With the share reserved
+    for urgent tasks, the free processor time is negative, and a filling task's
+    reservation of 0 did not fit: filling jobs earned 0.02 of their value.
     """
     model = InterferenceModel()
     view = build_view("n")
@@ -203,8 +207,8 @@
     assert place(build_filling("new"), [view], model) == "n"
 
 
-def test_urgent_work_finds_room_while_large_work_queues():
-    """The load: more large tasks than fit; a small urgent one comes after them."""
+def test_an_urgent_task_fits_while_large_tasks_queue():
+    """Load: more large tasks than fit, then a small urgent one."""
     model = InterferenceModel()
     views = [build_view(f"n{number}") for number in range(3)]
     large = Step(1, Resources(1_900, 3_000, 0), 4.0)
@@ -217,11 +221,11 @@
     )
 
 
-def test_short_urgent_work_finds_room_beside_tasks_that_last():
-    """Symptom: half of the urgent jobs wait 0.36 s for their start, one in 20 for 10 s.
+def test_short_urgent_tasks_fit_beside_long_running_ones():
+    """Guards against long-running tasks in the capacity reserved for urgent tasks.
 
-    The load: more serving tasks than fit, in an urgent queue; short urgent tasks all
-    the time. Cause: serving tasks took the room that is kept for urgent work.
+    Load: more serving tasks than fit, in an urgent queue, and short urgent tasks all
+    the time. Half of these waited 0.36 s for their start, one in 20 for 10 s.
     """
     model = InterferenceModel()
     views = [build_view(f"n{number}") for number in range(10)]
@@ -243,16 +247,16 @@
         view.reserve(KEY, short)
         begun += 1
     assert begun >= len(views)
-    # No more than a tenth of the workers is lost to tasks that last.
+    # Long-running tasks can still reserve at least nine tenths of the workers.
     lasting_milli = sum(view.serving_cpu_milli for view in views)
     assert lasting_milli >= 0.9 * len(views) * ROOM.cpu_milli
 
 
-def test_a_task_that_lasts_takes_the_last_room_when_it_has_waited():
-    """Symptom: a serving task is away for 20 s although there is room for it.
+def test_a_long_running_task_uses_reserved_capacity_after_a_wait():
+    """Guards against a serving task that is not running although it would fit.
 
-    Sequence: its worker leaves; others have just as much free as it needs. Cause: the
-    room that is kept for short urgent work was never for it.
+    Its worker leaves, and others have just enough free. It was down for 20 s when it
+    could never use the capacity reserved for short urgent tasks.
     """
     model = InterferenceModel()
     views = [build_view(f"n{number}") for number in range(2)]
@@ -267,15 +271,15 @@
         return choose_worker(PlacementRequest(lasting, KEY, urgent), views, model)
 
     assert choose(0.0) is None
-    assert choose(LASTING_PATIENCE_S + 0.1) is not None
+    assert choose(LONG_RUNNING_WAIT_S + 0.1) is not None
 
 
-def test_a_worker_that_fails_all_gets_one_task_at_a_time():
-    """Symptom: 26 jobs failed in six seconds, their tasks all on one worker.
+def test_a_worker_that_fails_every_task_gets_one_task_at_a_time():
+    """Guards against a failing worker that uses up the attempts of many jobs.
 
-    Sequence: a worker fails what it starts, so it has room when all others are full;
-    every waiting task goes there, again and again.
-    Cause: a suspect was only the last choice, and on a full deployment the only one.
+    A worker that fails every task has free capacity when all others are full, so each
+    waiting task goes there repeatedly: 26 jobs failed in six seconds. Ranking a suspect
+    last did not help, since on a full deployment it is the only choice.
     """
     health = WorkerHealth()
     health.note_failure(10.0)
@@ -286,20 +290,20 @@
     view = build_view("hole")
     view.excluded = health.is_excluded(10.2, at_work=0)
     assert place(small, [view], model) is None
-    after = 10.1 + FIRST_SUSPECT_S
+    after = 10.1 + MIN_SUSPECT_S
     assert health.is_excluded(after, at_work=1)
     view.excluded = health.is_excluded(after, at_work=0)
     view.probing = health.suspect
     assert place(small, [view], model) == "hole"
     assert place(small, [view], model) is None
     health.note_failure(after)
-    assert health.is_excluded(after + FIRST_SUSPECT_S, at_work=0)
+    assert health.is_excluded(after + MIN_SUSPECT_S, at_work=0)
     health.note_success()
     assert not health.is_excluded(after, at_work=5)
 
 
-def test_the_cheapest_work_gives_way():
-    """The load: urgent work finds every core taken by large tasks."""
+def test_the_cheapest_victim_is_stopped():
+    """Load: an urgent task finds every core taken by large tasks."""
     need = Resources(2_000, 1_000, 0)
     room = Resources(2_000, 2_000, 0)
     victims = [
@@ -312,57 +316,59 @@
     assert choose_victims(Resources(9_000, 0, 0), Resources(), victims, 0) == []
 
 
-def test_a_pair_is_learnt_from_the_figures_before_the_neighbour_came():
-    """The load: a serving step of one task has no siblings to be compared with."""
+def test_a_pair_is_learnt_from_samples_before_the_neighbour_started():
+    """Load: a serving step with one task, so there are no siblings to compare with."""
     model = InterferenceModel()
     rng = random.Random(5)
     for beat in range(40):
         mix = {"harsh": 1.0} if beat % 4 >= 2 else {}
-        strain = compute_strain(0.45 + 0.25 * sum(mix.values()), rng)
-        sample = ServingSample(SERVING_STEP, "only", "s", strain, mix, 0.4 * beat)
+        latency_ratio = compute_latency_ratio(0.45 + 0.25 * sum(mix.values()), rng)
+        sample = ServingSample(
+            SERVING_STEP, "only", "s", latency_ratio, mix, 0.4 * beat
+        )
         model.observe(sample)
     assert 0.8 < model.get_interference("harsh", "s") < 1.8
 
 
-def show_two_workers(
+def observe_two_workers(
     model: InterferenceModel,
     mix: dict[str, float],
     load: float,
     now: float,
     rng: random.Random,
 ) -> None:
-    """Show the figures of two siblings, one of them beside filling work."""
+    """Feed the model with two siblings, one of them beside filling tasks."""
     for worker, beside, whole in (
         ("a", mix, load + 0.25 * mix.get("harsh", 0.0)),
         ("b", {}, load),
     ):
-        strain = compute_strain(whole, rng)
+        latency_ratio = compute_latency_ratio(whole, rng)
         model.observe(
-            ServingSample(SERVING_STEP, f"t-{worker}", "s", strain, beside, now)
+            ServingSample(SERVING_STEP, f"t-{worker}", "s", latency_ratio, beside, now)
         )
 
 
-def test_a_newcomer_is_blamed_and_not_who_has_been_harmless():
-    """Symptom: a harmful image comes again, and a harmless one is kept off.
+def test_a_newcomer_is_blamed_instead_of_a_harmless_neighbour():
+    """Guards against equal blame for a new neighbour and one known to be harmless.
 
-    Sequence: a harmless image works beside a serving task for 12 s; a harmful one
-    comes for 0.8 s. Cause: both were blamed alike, so one figure told too little.
+    A harmless image runs beside a serving task for 12 s, then a harmful one for 0.8 s.
+    With equal blame, the harmful image was placed again and the harmless one kept off.
     """
     for seed in range(20):
         model = InterferenceModel()
         rng = random.Random(seed)
         for beat in range(33):
             mix = {"calm": 1.0} | ({"harsh": 1.0} if beat > 30 else {})
-            show_two_workers(model, mix, swing(0.4 * beat), 0.4 * beat, rng)
+            observe_two_workers(model, mix, swing(0.4 * beat), 0.4 * beat, rng)
         assert model.get_interference("calm", "s") < 0.3
         assert model.get_interference("harsh", "s") > 1.0
 
 
-def test_noise_beside_a_slow_neighbour_clears_nobody():
-    """Symptom: a harmful image is let in at full speed beside a serving task.
+def test_noise_beside_a_slow_neighbour_does_not_change_its_estimate():
+    """Guards against a harmful image that noise makes look harmless.
 
-    Sequence: it works at a third of its speed for five seconds, beside figures that
-    are 8% off. Cause: the error was divided by that third, whatever was known before.
+    It runs at a third of its speed for five seconds, beside samples that are 8% off.
+    The error was divided by that third without regard to earlier evidence.
     """
     for seed in range(20):
         model = InterferenceModel()
@@ -370,37 +376,37 @@
         learn(model, {"harsh": 0.25}, until=6.0)
         known = model.get_interference("harsh", "s")
         for beat in range(12):
-            show_two_workers(model, {"harsh": 0.35}, 0.25, 7.0 + 0.4 * beat, rng)
+            observe_two_workers(model, {"harsh": 0.35}, 0.25, 7.0 + 0.4 * beat, rng)
             assert abs(model.get_interference("harsh", "s") - known) < 0.25
 
 
-def test_a_task_in_its_light_phase_does_not_clear_its_image():
-    """Symptom: an image is found harmless, works at full speed, and then it isn't.
+def test_a_phase_of_low_usage_does_not_clear_an_image():
+    """Guards against an image that looks harmless because its usage is low.
 
-    Sequence: a filling task uses two thirds of what it asks for over six seconds and
-    presses little; then it uses all, and the tail is seven times its aim. Cause: both
-    phases counted as work at full pace.
+    A filling task uses two thirds of its request for six seconds and interferes little;
+    then it uses all, and the tail latency is seven times its objective. Both phases
+    counted as running at full pace.
     """
     model = InterferenceModel()
     rng = random.Random(11)
     learn(model, {"harsh": 0.25}, until=4.0)
     for beat in range(15):
         now = 5.0 + 0.4 * beat
-        effort = compute_intensity(1.0, 2_300, 3_500)
-        for worker, mix in (("a", {"harsh": effort}), ("b", {})):
+        intensity = compute_intensity(1.0, 2_300, 3_500)
+        for worker, mix in (("a", {"harsh": intensity}), ("b", {})):
             load = swing(now) + 0.1 * (worker == "a")
-            strain = compute_strain(load, rng)
+            latency_ratio = compute_latency_ratio(load, rng)
             model.observe(
-                ServingSample(SERVING_STEP, f"t-{worker}", "s", strain, mix, now)
+                ServingSample(SERVING_STEP, f"t-{worker}", "s", latency_ratio, mix, now)
             )
     assert compute_intensity(1.0, 3_500, 3_500) == 1.0
     assert model.get_interference("harsh", "s") > 0.7
 
 
-def test_serving_images_have_workers_of_their_own_while_there_are_some():
-    """The load: serving tasks reserve most cores; filling work comes after them.
+def test_serving_images_get_separate_workers_while_there_are_enough():
+    """Load: serving tasks reserve most cores, then filling tasks follow.
 
-    Work that disturbs one image finds workers without it.
+    Filling tasks that interfere with one image can then use workers without it.
     """
     model = InterferenceModel()
     views = [build_view(f"n{number}") for number in range(4)]
@@ -410,19 +416,19 @@
     assert max(len(view.serving) for view in views) == 1
 
 
-def test_filling_work_goes_where_the_swing_is_at_its_low():
-    """The load: two workers alike, one of them at the peak of its swing."""
+def test_filling_tasks_go_where_the_serving_load_is_low():
+    """Load: two equal workers, one of them at its load peak."""
     model = InterferenceModel()
     views = [build_view("peak"), build_view("low")]
-    for view, alone in zip(views, (1.4, 4.0), strict=True):
+    for view, slack in zip(views, (1.4, 4.0), strict=True):
         view.reserve(KEY, build_serving("s"))
-        view.solo_slack = {"s": alone}
+        view.solo_slack = {"s": slack}
     placed = [place(build_filling("new"), views, model) for _ in range(3)]
     assert placed == ["low", "low", "low"]
 
 
-def test_a_small_step_is_not_put_on_one_worker():
-    """The load: a black hole among idle workers; a job's tasks come all at once."""
+def test_a_small_step_is_not_placed_on_one_worker():
+    """Load: a failing worker among idle ones; a job's tasks arrive all at once."""
     model = InterferenceModel()
     views = [build_view(f"n{number}") for number in range(4)]
     views[0].reserve(("other", 0, 0), build_serving("s"))
@@ -445,10 +451,10 @@
     return views
 
 
-def test_candidates_choose_as_if_each_task_weighed_all_workers():
-    """Symptom: tasks go to workers that others of their step have filled meanwhile.
+def test_candidates_choose_as_if_each_task_scored_all_workers():
+    """Guards against placements on workers that tasks of the same step have filled.
 
-    Cause to guard against: only the worker that took a task is weighed again.
+    Only the worker that took a task is scored again.
     """
     for seed in range(300):
         rng = random.Random(seed)
@@ -473,16 +479,17 @@
 
 
 def test_a_burst_on_many_workers_is_placed_fast():
-    """Symptom: a leader hears nobody for seconds while it places a burst.
+    """Guards against a leader that handles no messages while it places a burst.
 
-    The load: 800 waiting tasks on 74 workers. Cause: each task weighed all workers.
+    Load: 800 waiting tasks on 74 workers. Scoring all workers for each task took
+    seconds.
     """
-    weighed = 0
+    evaluated = 0
 
     class CountingModel(InterferenceModel):
         def get_interference(self, filling: str, serving: str) -> float:
-            nonlocal weighed
-            weighed += 1
+            nonlocal evaluated
+            evaluated += 1
             return super().get_interference(filling, serving)
 
     model = CountingModel()
@@ -494,14 +501,14 @@
     while placed < 800 and candidates.reserve(frozenset()) is not None:
         placed += 1
     assert placed > 100
-    # One look at each worker, and a few for each task that is placed.
-    assert weighed < 4 * (74 + placed)
+    # One evaluation of each worker, and a few for each task that is placed.
+    assert evaluated < 4 * (74 + placed)
 
 
-def play_declarations(off: float) -> tuple[float, float]:
-    """Return the error of declared and of expected times, as logarithms.
+def simulate_declarations(off: float) -> tuple[float, float]:
+    """Return the errors of declared and of predicted durations, as logarithms.
 
-    Tasks take 3 to 7 s; what is declared for them is off by a factor.
+    Tasks take 3 to 7 s; their declared durations are off by a factor.
 
     :param off: standard deviation of that factor's logarithm.
     """
@@ -519,39 +526,38 @@
     return declared_off, expected_off
 
 
-def test_declared_times_that_are_noise_give_way_to_usual_ones():
-    """Symptom: jobs wait behind all others from their first second, or never hurry.
+def test_noisy_declared_durations_are_replaced_by_the_usual_one():
+    """Guards against an order that relies on wrong declarations.
 
-    The load: declared times are off by a factor of 2.5, up and down. Cause: the order
-    took them at their word.
+    Declared durations are off by a factor of 2.5, up and down. Used as they are, jobs
+    waited behind all others from their first second, or never became urgent.
     """
-    declared_off, expected_off = play_declarations(0.9)
+    declared_off, expected_off = simulate_declarations(0.9)
     assert declared_off > 0.6
     assert expected_off < 0.3
 
 
-def test_declared_times_that_are_right_are_kept():
-    declared_off, expected_off = play_declarations(0.05)
+def test_accurate_declared_durations_are_kept():
+    declared_off, expected_off = simulate_declarations(0.05)
     assert expected_off < declared_off + 0.06
 
 
-def test_a_first_declaration_is_taken_at_its_word():
+def test_a_first_declaration_is_used_as_it_is():
     assert DurationModel().predict_s("q", 4.0) == 4.0
 
 
-def test_a_filling_task_waits_rather_than_be_paced_to_nothing():
-    """Symptom: filling tasks are moved again within 2 s, and lose 2 s each time.
+def test_a_filling_task_waits_instead_of_being_paused_after_placement():
+    """Guards against filling tasks that are moved within 2 s, losing 2 s each time.
 
-    The load: serving tasks at the peak of their swing have nothing to spare. Cause:
-    half of the limit went by the average of the swing, so a task was let in that its
-    worker's agent had to hold back at once.
+    Serving tasks at their load peak have no slack to spare. Half of the limit followed
+    the average load, so a task was placed that its worker's agent paused immediately.
     """
     model = InterferenceModel()
     learn(model, {"light": 0.1}, until=8.0)
     assert 0.15 < model.get_interference("light", "s") < 0.8
     peak, low = build_view("peak"), build_view("low")
-    for view, alone in ((peak, 1.4), (low, 3.0)):
+    for view, slack in ((peak, 1.4), (low, 3.0)):
         view.reserve(KEY, build_serving("s"))
-        view.solo_slack = {"s": alone}
+        view.solo_slack = {"s": slack}
     assert place(build_filling("light"), [peak], model) is None
     assert place(build_filling("light"), [low], model) == "low"
--- a/tests/unit/test_scheduling_retry_after.py
+++ b/tests/unit/test_scheduling_retry_after.py
@@ -1,4 +1,4 @@
-"""When callers that were turned away come back."""
+"""Retry-After values of callers that are rejected during an outage."""
 
 from __future__ import annotations
 
@@ -7,38 +7,38 @@
 
 from pistachiodeal.scheduling.retry_after import choose_retry_after_s
 
-TRIES = 5
+ATTEMPTS = 5
 OUTAGES_S = (2.0, 4.0, 5.6, 7.0, 9.0)
 
 
 def count_served(outage_s: float, *, fixed_s: float = 0.0) -> int:
-    """Return how many of 100 callers, who come during an outage, are served."""
-    dice = random.Random(7)
+    """Return how many of 100 callers that arrive during an outage are served."""
+    rng = random.Random(7)
     served = 0
     for number in range(100):
         at = number * outage_s / 100
-        for _ in range(TRIES):
+        for _ in range(ATTEMPTS):
             if at >= outage_s:
                 served += 1
                 break
-            at += ceil(fixed_s or choose_retry_after_s(at, dice))
+            at += ceil(fixed_s or choose_retry_after_s(at, rng))
     return served
 
 
-def test_callers_outlast_an_outage_of_the_usual_length():
-    """Symptom: callers give up although the store is back within their patience.
+def test_callers_outlast_an_outage_of_typical_length():
+    """Guards against callers that run out of attempts before the store is back.
 
-    Sequence: the store is away for 2 to 9 s; callers try five times. Cause: told to
-    come back each second, they have used up their tries after 4 s.
+    The store is unavailable for 2 to 9 s, and callers try five times. With a delay of
+    one second, they have used up their attempts after 4 s.
     """
-    told = [count_served(outage_s) for outage_s in OUTAGES_S]
-    each_second = [count_served(outage_s, fixed_s=1.0) for outage_s in OUTAGES_S]
-    assert told == [100] * len(OUTAGES_S)
-    assert each_second[-1] < 60
+    adaptive = [count_served(outage_s) for outage_s in OUTAGES_S]
+    fixed = [count_served(outage_s, fixed_s=1.0) for outage_s in OUTAGES_S]
+    assert adaptive == [100] * len(OUTAGES_S)
+    assert fixed[-1] < 60
 
 
-def test_callers_turned_away_together_do_not_return_as_one_wave():
-    """Symptom: the store is back, and all callers come in the same moment."""
-    dice = random.Random(7)
-    seconds = {ceil(choose_retry_after_s(6.0, dice)) for _ in range(200)}
+def test_callers_rejected_together_do_not_return_in_one_wave():
+    """Guards against retries of all callers at the moment the store is back."""
+    rng = random.Random(7)
+    seconds = {ceil(choose_retry_after_s(6.0, rng)) for _ in range(200)}
     assert len(seconds) >= 2
