--- a/pistachiodeal/scheduling/pacing.py
+++ b/pistachiodeal/scheduling/pacing.py
@@ -103,9 +103,11 @@
         wanted = allocate_slack(tails, fills, find_with_suspicion)
         rise = int(MAX_RISE_PER_S * (now - self.decided_at))
         if rise < PACE_STEP and all(
-            wanted[image] >= self.paces.get(image, 0) for image in wanted
+            wanted[filling] >= self.paces.get(filling, 0) for filling in wanted
         ):
-            return {image: self.paces.get(image, wanted[image]) for image in wanted}
+            return {
+                filling: self.paces.get(filling, wanted[filling]) for filling in wanted
+            }
         self.decided_at = now
         self.paces = {
             image: min(percent, self.paces.get(image, FULL_PACE) + rise)
@@ -134,7 +136,9 @@
                 at_work = load.active >= MIN_SUSPECT_ACTIVITY
                 if at_work and find_interference(image, tail.image) > 0:
                     self.suspects[image, tail.image] = now + SUSPECT_S
-        for pair in [pair for pair, until in self.suspects.items() if until <= now]:
+        for pair in [
+            suspect for suspect, until in self.suspects.items() if until <= now
+        ]:
             del self.suspects[pair]
 
 
@@ -162,7 +166,7 @@
         for image in fills
     }
     paces: dict[str, int] = {}
-    for image in sorted(fills, key=lambda one: (worst[one], one)):
+    for image in sorted(fills, key=lambda filling: (worst[filling], filling)):
         costs = {
             serving: find_interference(image, serving) * fills[image].count
             for serving in available
--- a/pistachiodeal/scheduling/preemption.py
+++ b/pistachiodeal/scheduling/preemption.py
@@ -67,7 +67,9 @@
 ) -> tuple[list[Victim], bool]:
     """Return the cheapest victims in order, and whether they free enough."""
     chosen: list[Victim] = []
-    for victim in sorted(candidates, key=lambda one: (-one.priority, one.loss)):
+    for victim in sorted(
+        candidates, key=lambda candidate: (-candidate.priority, candidate.loss)
+    ):
         if need.fits(free):
             break
         chosen.append(victim)
--- a/tests/unit/test_harmed_neighbours.py
+++ b/tests/unit/test_harmed_neighbours.py
@@ -117,9 +117,9 @@
     """Guards against filling tasks that stay paused for ever beside a broken task."""
     guard = TailGuard(guard_delay_s=1.8)
     tail = ServingTail("t", "serving", 20_000, 20_000, 1_000)
-    stands = [guard.update([tail], False, 10.0 + 0.5 * beat) for beat in range(4)]
+    paused = [guard.update([tail], False, 10.0 + 0.5 * beat) for beat in range(4)]
     assert guard.own_faults == {"t"}
-    assert not stands[-1]
+    assert not paused[-1]
     # Neighbours may slow it since then, so the proof has to be repeated.
     assert [guard.update([tail], True, 12.0 + 0.5 * beat) for beat in range(5)][-1]
     assert not guard.own_faults
@@ -162,12 +162,12 @@
 def test_a_broken_task_does_not_hide_another_of_its_image():
     """Guards against a slowed task that counts as slow by itself like its sibling."""
 
-    def decide(now: float, harmed_ms: int, standing: int) -> int:
+    def decide(now: float, harmed_ms: int, paused: int) -> int:
         tails = [
             ServingTail("broken", "serving", 20_000, 20_000, 1_000),
             ServingTail("harmed", "serving", harmed_ms, harmed_ms, 1_000),
         ]
-        fills = {"filling": FillingLoad(1, 1.0 - standing, standing)}
+        fills = {"filling": FillingLoad(1, 1.0 - paused, paused)}
         return pacer.decide(tails, fills, lambda *_: 1.0, now)["filling"]
 
     pacer = Pacer()
--- a/tests/unit/test_pacing_load.py
+++ b/tests/unit/test_pacing_load.py
@@ -8,7 +8,7 @@
 from pistachiodeal.scheduling.interference import InterferenceModel, PairEstimate
 from pistachiodeal.scheduling.pacing import FillingLoad, Pacer, allocate_slack
 from pistachiodeal.scheduling.tails import PaceHistory, ServingTail, TailFilter
-from tests.unit.test_scheduling_load import swing
+from tests.unit.test_scheduling_load import compute_serving_load
 
 
 class SimulatedWorker:
@@ -39,7 +39,7 @@
                 image: history.average(self.now - 0.02, self.now)
                 for image, history in self.histories.items()
             }
-            load = swing(self.now + self.phase)
+            load = compute_serving_load(self.now + self.phase)
             load += sum(self.ADDED_LOADS[image] * worked[image] for image in worked)
             latency_ratio = 0.2 / max(0.02, 1 - load)
             self.figure += (latency_ratio - self.figure) * (1 - math.exp(-0.02 / 0.5))
--- a/tests/unit/test_scheduling_load.py
+++ b/tests/unit/test_scheduling_load.py
@@ -131,7 +131,7 @@
 SERVING_STEP = ("serving", 0, 0)
 
 
-def swing(now: float) -> float:
+def compute_serving_load(now: float) -> float:
     """Return the load of a serving step, which varies by 60% with a period of 14 s."""
     return 0.45 * (1 + 0.6 * math.sin(now * 2 * math.pi / 14))
 
@@ -155,7 +155,7 @@
         now += 0.4
         beside = images[int(now / 3) % len(images)]
         for worker, mix in (("a", {beside: 1.0}), ("b", {})):
-            load = swing(now) + sum(added_loads[image] for image in mix)
+            load = compute_serving_load(now) + sum(added_loads[image] for image in mix)
             latency_ratio = compute_latency_ratio(load, rng)
             model.observe(
                 ServingSample(
@@ -242,11 +242,11 @@
         if (view := choose(lasting)) is not None:
             view.reserve(KEY, lasting)
     short = Step(1, Resources(430, 480, 0), 1.0)
-    begun = 0
-    while (view := choose(short)) is not None and begun < 100:
+    started = 0
+    while (view := choose(short)) is not None and started < 100:
         view.reserve(KEY, short)
-        begun += 1
-    assert begun >= len(views)
+        started += 1
+    assert started >= len(views)
     # Long-running tasks can still reserve at least nine tenths of the workers.
     lasting_milli = sum(view.serving_cpu_milli for view in views)
     assert lasting_milli >= 0.9 * len(views) * ROOM.cpu_milli
@@ -359,7 +359,9 @@
         rng = random.Random(seed)
         for beat in range(33):
             mix = {"calm": 1.0} | ({"harsh": 1.0} if beat > 30 else {})
-            observe_two_workers(model, mix, swing(0.4 * beat), 0.4 * beat, rng)
+            observe_two_workers(
+                model, mix, compute_serving_load(0.4 * beat), 0.4 * beat, rng
+            )
         assert model.get_interference("calm", "s") < 0.3
         assert model.get_interference("harsh", "s") > 1.0
 
@@ -394,7 +396,7 @@
         now = 5.0 + 0.4 * beat
         intensity = compute_intensity(1.0, 2_300, 3_500)
         for worker, mix in (("a", {"harsh": intensity}), ("b", {})):
-            load = swing(now) + 0.1 * (worker == "a")
+            load = compute_serving_load(now) + 0.1 * (worker == "a")
             latency_ratio = compute_latency_ratio(load, rng)
             model.observe(
                 ServingSample(SERVING_STEP, f"t-{worker}", "s", latency_ratio, mix, now)
