--- a/pistachiodeal/control/victims.py
+++ b/pistachiodeal/control/victims.py
@@ -19,23 +19,23 @@
     """
     cpu: dict[str, float] = {}
     for run in runs:
-        cpu[run.kind] = cpu.get(run.kind, 0.0) + _weigh(run)
-    allowed = [run for run in runs if run.kind in harm_s and _evictable(run, now)]
+        cpu[run.kind] = cpu.get(run.kind, 0.0) + _compute_cpu_milli(run)
+    allowed = [run for run in runs if run.kind in harm_s and _is_evictable(run, now)]
 
     def value(run: RunView) -> tuple[float, float]:
-        part = _weigh(run) / cpu[run.kind]
+        part = _compute_cpu_milli(run) / cpu[run.kind]
         cost = (_BASE_COST + run.eviction_cost) * (1 + run.evictions)
         return harm_s[run.kind] * part / cost, run.started_at
 
     return max(allowed, key=value, default=None)
 
 
-def _evictable(run: RunView, now: float) -> bool:
+def _is_evictable(run: RunView, now: float) -> bool:
     """Tell whether the run's profile allows an eviction now."""
     ran_s = now - run.started_at
     return ran_s >= run.min_run_s and run.evictions < run.max_evictions
 
 
-def _weigh(run: RunView) -> float:
-    """Return the processors that a run may use now, never 0."""
+def _compute_cpu_milli(run: RunView) -> float:
+    """Return the processor time that a run may use now, never 0."""
     return max(run.size.cpu_milli, 1) * max(run.share, 1e-6)
--- a/pistachiodeal/scheduling/durations.py
+++ b/pistachiodeal/scheduling/durations.py
@@ -38,25 +38,25 @@
 
     :param tasks: decayed number of observed tasks.
     :param declared: sum of the logarithms of declared durations.
-    :param off: sum of the errors, as logarithms of actual over declared duration.
+    :param error: sum of the errors, as logarithms of actual over declared duration.
     :param spread: sum of squares of the logarithms of declared durations.
-    :param joint: sum of products of declared logarithm and error.
+    :param cross: sum of products of declared logarithm and error.
     """
 
     tasks: float = 0.0
     declared: float = 0.0
-    off: float = 0.0
+    error: float = 0.0
     spread: float = 0.0
-    joint: float = 0.0
+    cross: float = 0.0
 
-    def add(self, declared: float, off: float, weight: float) -> None:
+    def add(self, declared: float, error: float, weight: float) -> None:
         """Add one completed task."""
         kept = DECAY**weight
         self.tasks = kept * self.tasks + weight
         self.declared = kept * self.declared + weight * declared
-        self.off = kept * self.off + weight * off
+        self.error = kept * self.error + weight * error
         self.spread = kept * self.spread + weight * declared**2
-        self.joint = kept * self.joint + weight * declared * off
+        self.cross = kept * self.cross + weight * declared * error
 
     def estimate(self, declared: float) -> float:
         """Return a declared duration's expected error, as the logarithm of a factor."""
@@ -64,9 +64,9 @@
             return 0.0
         mean = self.declared / self.tasks
         variance = max(0.0, self.spread - self.tasks * mean**2)
-        covariance = self.joint - mean * self.off
+        covariance = self.cross - mean * self.error
         slope = covariance / (variance + PRIOR_SPREAD)
-        return self.off / (self.tasks + PRIOR_TASKS) + slope * (declared - mean)
+        return self.error / (self.tasks + PRIOR_TASKS) + slope * (declared - mean)
 
 
 class DurationModel:
@@ -90,10 +90,10 @@
             take the same time and carry the same information.
         """
         declared = log(max(declared_s, MIN_DURATION_S))
-        off = log(max(took_s, MIN_DURATION_S)) - declared
-        if abs(off) > log(MAX_FACTOR):
+        error = log(max(took_s, MIN_DURATION_S)) - declared
+        if abs(error) > log(MAX_FACTOR):
             return
-        self._fits.setdefault(queue, DurationFit()).add(declared, off, weight)
+        self._fits.setdefault(queue, DurationFit()).add(declared, error, weight)
         while len(self._fits) > MAX_QUEUES:
             del self._fits[next(iter(self._fits))]
 
