--- a/pistachiodeal/leader/failed_placements.py
+++ b/pistachiodeal/leader/failed_placements.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from pistachiodeal.scheduling.placement import Request
+from pistachiodeal.scheduling.placement import PlacementRequest
 from pistachiodeal.scheduling.views import StepKey, WorkerView
 
 # A waiting step is checked against all workers again after this long, in case something
@@ -28,13 +28,13 @@
 
     :param round: of the worker views that the step was checked against.
     :param urgent: as in the request, where it affects which workers fit.
-    :param bold: likewise.
+    :param may_interfere: likewise.
     :param fully_checked_at: last check against all workers, boot clock.
     """
 
     round: int
     urgent: bool
-    bold: bool
+    may_interfere: bool
     fully_checked_at: float = 0.0
 
 
@@ -54,12 +54,15 @@
         failed = self._failed
         self._failed = {key: failed[key] for key in keys if key in failed}
 
-    def needs_full_check(self, request: Request, now: float) -> bool:
+    def needs_full_check(self, request: PlacementRequest, now: float) -> bool:
         """Tell whether a step has to be checked against all workers."""
         failure = self._failed.get(request.key)
         if failure is None:
             return True
-        if (failure.urgent, failure.bold) != (request.urgent, request.bold):
+        if (failure.urgent, failure.may_interfere) != (
+            request.urgent,
+            request.may_interfere,
+        ):
             return True
         if (
             now - failure.fully_checked_at < FULL_CHECK_INTERVAL_S
@@ -70,21 +73,23 @@
         return True
 
     def list_changed(
-        self, request: Request, views: Iterable[WorkerView]
+        self, request: PlacementRequest, views: Iterable[WorkerView]
     ) -> list[WorkerView]:
         """Return the workers that have changed since a step was last checked."""
         since = self._failed[request.key].round
-        return [view for view in views if view.built_in > since]
+        return [view for view in views if view.built_round > since]
 
-    def note_failure(self, request: Request, this_round: int) -> None:
+    def note_failure(self, request: PlacementRequest, this_round: int) -> None:
         """Record that no worker in this round's views fits a task of a step."""
         failure = self._failed.get(request.key)
         if failure is None:
-            failure = _FailedPlacement(this_round, request.urgent, request.bold)
+            failure = _FailedPlacement(
+                this_round, request.urgent, request.may_interfere
+            )
             self._failed[request.key] = failure
         failure.round = this_round
-        failure.urgent, failure.bold = request.urgent, request.bold
+        failure.urgent, failure.may_interfere = request.urgent, request.may_interfere
 
-    def note_full_check(self, request: Request, now: float) -> None:
+    def note_full_check(self, request: PlacementRequest, now: float) -> None:
         """Record that a step was checked against all workers."""
         self._failed[request.key].fully_checked_at = now
--- a/pistachiodeal/leader/learned_state.py
+++ b/pistachiodeal/leader/learned_state.py
@@ -18,7 +18,7 @@
 from pistachiodeal.jobs.checks import check_fields
 from pistachiodeal.leader.commits import CONTROL_TABLE, FencedWriter
 from pistachiodeal.scheduling.durations import DurationFit, DurationModel
-from pistachiodeal.scheduling.interference import InterferenceModel, Lesson
+from pistachiodeal.scheduling.interference import InterferenceModel, PairEstimate
 from pistachiodeal.store.row_store import RowStore, RowWrite, read_row
 
 log = Logger("lessons")
@@ -45,7 +45,7 @@
     :param durations: how long tasks take, by queue.
     """
 
-    pairs: list[Lesson]
+    pairs: list[PairEstimate]
     durations: dict[str, DurationFit]
 
 
@@ -86,7 +86,7 @@
 
     def _collect(self) -> LearnedState:
         newest = list(self._durations.fits.items())[-MAX_QUEUES:]
-        return LearnedState(self._model.list_lessons(MAX_PAIRS), dict(newest))
+        return LearnedState(self._model.list_estimates(MAX_PAIRS), dict(newest))
 
     async def _load(self) -> bool:
         try:
@@ -116,7 +116,12 @@
 def encode_learned_state(learned: LearnedState) -> bytes:
     """Return the value to store in the row."""
     pairs = [
-        [pair.filling, pair.serving, round(pair.press, 2), round(pair.variance, 3)]
+        [
+            pair.filling,
+            pair.serving,
+            round(pair.interference, 2),
+            round(pair.variance, 3),
+        ]
         for pair in learned.pairs
     ]
     durations = {
@@ -133,7 +138,7 @@
     """
     try:
         document = orjson.loads(value)
-        pairs = [Lesson(*fields) for fields in document["pairs"]]
+        pairs = [PairEstimate(*fields) for fields in document["pairs"]]
         durations = {
             queue: DurationFit(*figures)
             for queue, figures in document["durations"].items()
--- a/tests/unit/test_leader_learned_state.py
+++ b/tests/unit/test_leader_learned_state.py
@@ -22,15 +22,15 @@
 )
 from pistachiodeal.scheduling.durations import DurationFit, DurationModel
 from pistachiodeal.scheduling.interference import (
-    FIRST_PRESS,
+    DEFAULT_INTERFERENCE,
     InterferenceModel,
-    Lesson,
+    PairEstimate,
 )
 from pistachiodeal.store.row_store import RowWrite, Transaction
 from tests.standins.job_cluster import create_quiet_log
 from tests.standins.rows import MemoryRows, RowsState
 
-SLOW_PAIR = Lesson("harsh", "s", 1.4, 0.05)
+SLOW_PAIR = PairEstimate("harsh", "s", 1.4, 0.05)
 
 
 async def start_term(store: MemoryRows, epoch: int) -> FencedWriter:
@@ -66,8 +66,8 @@
         await lead_for(store, 2, second)
 
     curio.run(main)
-    assert second.get_press("harsh", "s") == pytest.approx(1.4)
-    assert second.get_press("harsh", "other") == FIRST_PRESS
+    assert second.get_interference("harsh", "s") == pytest.approx(1.4)
+    assert second.get_interference("harsh", "other") == DEFAULT_INTERFERENCE
 
 
 def test_a_replaced_leader_saves_no_learned_state():
@@ -110,8 +110,8 @@
 def test_own_observations_take_precedence_over_loaded_ones():
     model = InterferenceModel()
     model.adopt([SLOW_PAIR])
-    model.adopt([Lesson("harsh", "s", 0.1, 0.05)])
-    assert model.get_press("harsh", "s") == pytest.approx(1.4)
+    model.adopt([PairEstimate("harsh", "s", 0.1, 0.05)])
+    assert model.get_interference("harsh", "s") == pytest.approx(1.4)
 
 
 def test_the_learned_state_survives_encoding():
