--- a/bench/slopes/leader.py
+++ b/bench/slopes/leader.py
@@ -11,9 +11,9 @@
 from pistachiodeal.config.deployment import LimitSettings
 from pistachiodeal.events import EventLog
 from pistachiodeal.jobs.model import Job, Queue, Step
-from pistachiodeal.leader.book import JobBook
 from pistachiodeal.leader.planner import Planner
 from pistachiodeal.leader.reconcile import Reconciler
+from pistachiodeal.leader.registry import JobRegistry
 from pistachiodeal.leader.workers import Attachment, Fleet
 from pistachiodeal.model.resources import Resources
 from pistachiodeal.scheduling.interference import InterferenceModel
@@ -53,7 +53,7 @@
         with watch_cpu() as spent:
             for number in range(FULL_ROUNDS):
                 for state in states[number :: int(1 / CHANGED_SHARE)]:
-                    state.stamp += 1
+                    state.generation += 1
                 planner.plan()
         changed.append((float(workers), 1000 * spent.cpu_s / FULL_ROUNDS))
     return [
@@ -81,20 +81,20 @@
 def _build_report(runs: int) -> tuple[Reconciler, Attachment, bytes]:
     """Return a leader, one worker's link, and that worker's report."""
     events = EventLog(os.open(os.devnull, os.O_WRONLY), "bench")
-    book, fleet, model = JobBook(events), Fleet(), InterferenceModel()
-    reconciler = Reconciler(book, fleet, model, events)
+    registry, fleet, model = JobRegistry(events), Fleet(), InterferenceModel()
+    reconciler = Reconciler(registry, fleet, model, events)
     attachment = Attachment("n0", 1)
     fleet.get("n0").attach(attachment)
     now = time.time()
     step = Step(runs, Resources(1_000, 1_000, 0), 60.0, image="f", fills=True)
     job_id = f"{0:016x}"
-    book.add(Job(job_id, FILLING, "text", (step,), now), now)
+    registry.add(Job(job_id, FILLING, "text", (step,), now), now)
     running = []
-    for index, task in enumerate(book.records[job_id].iterate_tasks()):
-        book.place(task, 1, "n0/w", lambda: None)
+    for index, task in enumerate(registry.records[job_id].iterate_tasks()):
+        registry.place(task, 1, "n0/w", lambda: None)
         running.append(RunningTask(f"{job_id}.0.0.{index}", 1, "c" * 16, 40, 900, 950))
-    for record, _ in book.take_unsaved(1):
-        book.note_written(record.job_id)
+    for record, _ in registry.begin_writes(1):
+        registry.finish_write(record.job_id)
     labels = (Label("a"), Label("r1"))
     report = WorkerReport(
         1, 1, "w", (), SERVICE, True, False, 0, 16_000, 64_000, 0,
@@ -110,10 +110,10 @@
 
 def _build_planner(workers: int) -> tuple[Planner, Fleet]:
     events = EventLog(os.open(os.devnull, os.O_WRONLY), "bench")
-    book, fleet, model = JobBook(events), Fleet(), InterferenceModel()
-    reconciler = Reconciler(book, fleet, model, events)
+    registry, fleet, model = JobRegistry(events), Fleet(), InterferenceModel()
+    reconciler = Reconciler(registry, fleet, model, events)
     planner = Planner(
-        book,
+        registry,
         fleet,
         reconciler,
         model,
@@ -127,13 +127,13 @@
         worker.worker, worker.service, worker.listed = "w", SERVICE, True
         worker.capacity = Resources(16_000, 64_000, 0)
         worker.labels = ("a", f"r{number // 8}")
-    _add_jobs(book, SERVING, workers // WORKERS_A_SERVING_JOB)
+    _add_jobs(registry, SERVING, workers // WORKERS_A_SERVING_JOB)
     _plan_all(planner)
-    _add_jobs(book, FILLING, workers // WORKERS_A_FILLING_JOB)
+    _add_jobs(registry, FILLING, workers // WORKERS_A_FILLING_JOB)
     return planner, fleet
 
 
-def _add_jobs(book: JobBook, queue: Queue, count: int) -> None:
+def _add_jobs(registry: JobRegistry, queue: Queue, count: int) -> None:
     dice = random.Random(3)
     now = time.time()
     for number in range(count):
@@ -145,4 +145,4 @@
             size = Resources(dice.randrange(1_000, 2_500), 3_200, 0)
             step = Step(20, size, 2.2, image=f"f{number % 9}", fills=True)
         job_id = f"{queue.priority}{number:015x}"
-        book.add(Job(job_id, queue, "text", (step,), now), now)
+        registry.add(Job(job_id, queue, "text", (step,), now), now)
--- a/pistachiodeal/jobentry/seat.py
+++ b/pistachiodeal/jobentry/seat.py
@@ -258,6 +258,6 @@
         if leadership is None or not leadership.loaded:
             return
         state = leadership.find_state(query.job) if query.job else None
-        pending = leadership.book.count_pending(query.queue) if query.queue else 0
+        pending = leadership.registry.count_pending(query.queue) if query.queue else 0
         text = state.value if state is not None else ""
         await link.send(JobAnswer(query.request_id, text, pending))
--- a/pistachiodeal/jobentry/states.py
+++ b/pistachiodeal/jobentry/states.py
@@ -86,7 +86,7 @@
         """
         leadership = self._seat.leadership
         if leadership is not None and leadership.loaded:
-            return leadership.book.count_pending(queue.name)
+            return leadership.registry.count_pending(queue.name)
         now = read_boot_clock()
         answer = await self._ask("", queue.name)
         if answer is not None:
--- a/pistachiodeal/leader/commits.py
+++ b/pistachiodeal/leader/commits.py
@@ -24,7 +24,7 @@
     build_cancel_key,
     find_partition,
 )
-from pistachiodeal.leader.book import Effect, JobBook
+from pistachiodeal.leader.registry import Callback, JobRegistry
 from pistachiodeal.store.row_store import (
     RowCondition,
     RowStore,
@@ -92,15 +92,15 @@
         """Return how long the last write of jobs has taken."""
         return self._last_write_s
 
-    async def write(self, book: JobBook) -> None:
+    async def write(self, registry: JobRegistry) -> None:
         """Write one batch; return when it is durable and its effects have run.
 
         :raises FencedError: another process leads now.
         """
-        batch = book.take_unsaved(JOBS_A_TRANSACTION)
+        batch = registry.begin_writes(JOBS_A_TRANSACTION)
         while batch:
             part, batch = _split(batch)
-            await self._write_part(book, part)
+            await self._write_part(registry, part)
 
     async def confirm(self) -> None:
         """Look at the leader's row when the last look is long ago.
@@ -163,7 +163,7 @@
         return result.committed
 
     async def _write_part(
-        self, book: JobBook, part: list[tuple[JobRecord, list[Effect]]]
+        self, registry: JobRegistry, part: list[tuple[JobRecord, list[Callback]]]
     ) -> None:
         pause = RETRY_S
         while True:
@@ -189,10 +189,10 @@
         self._confirmed_at = max(self._confirmed_at, asked_at)
         self._last_write_s = read_boot_clock() - asked_at
         for record, _ in part:
-            book.note_written(record.job_id)
-        for _, effects in part:
-            for effect in effects:
-                effect()
+            registry.finish_write(record.job_id)
+        for _, callbacks in part:
+            for callback in callbacks:
+                callback()
 
     def _build(self, values: list[tuple[JobRecord, bytes]]) -> Transaction:
         conditions = [self._build_own_condition()]
@@ -216,7 +216,7 @@
             raise FencedError(step="leader.commit")
 
     def _adopt(
-        self, result: TransactionResult, part: list[tuple[JobRecord, list[Effect]]]
+        self, result: TransactionResult, part: list[tuple[JobRecord, list[Callback]]]
     ) -> None:
         # Only this epoch writes these rows, so another version is that of an earlier
         # try whose answer was lost.
@@ -238,8 +238,10 @@
 
 
 def _split(
-    batch: list[tuple[JobRecord, list[Effect]]],
-) -> tuple[list[tuple[JobRecord, list[Effect]]], list[tuple[JobRecord, list[Effect]]]]:
+    batch: list[tuple[JobRecord, list[Callback]]],
+) -> tuple[
+    list[tuple[JobRecord, list[Callback]]], list[tuple[JobRecord, list[Callback]]]
+]:
     """Return as many jobs as one call may carry, and the rest."""
     size = 0
     for number, (record, _) in enumerate(batch):
--- a/pistachiodeal/leader/crashes.py
+++ b/pistachiodeal/leader/crashes.py
@@ -10,7 +10,7 @@
 
 from pistachiodeal.events import EventLog
 from pistachiodeal.jobs.record import Task
-from pistachiodeal.leader.book import JobBook
+from pistachiodeal.leader.registry import JobRegistry
 from pistachiodeal.leader.workers import Fleet, WorkerState, build_place
 from pistachiodeal.scheduling.suspicion import (
     FRESH_S,
@@ -58,8 +58,8 @@
     Times are seconds of the boot clock.
     """
 
-    def __init__(self, book: JobBook, fleet: Fleet, events: EventLog) -> None:
-        self._book = book
+    def __init__(self, registry: JobRegistry, fleet: Fleet, events: EventLog) -> None:
+        self._registry = registry
         self._fleet = fleet
         self._events = events
         self._recent: list[_Crash] = []
@@ -75,7 +75,7 @@
         if place in self._heard:
             return
         self._heard[place] = now
-        runs = self._book.get_runs(place)
+        runs = self._registry.get_runs(place)
         at_work = [
             Casualty(
                 one.task,
@@ -147,7 +147,7 @@
 
     def _is_away(self, crash: _Crash) -> bool:
         worker = crash.worker
-        back = worker.open and worker.worker != crash.incarnation
+        back = worker.schedulable and worker.worker != crash.incarnation
         return crash.suspected and not back
 
     def _did_rack_fail(self, crash: _Crash) -> bool:
@@ -171,7 +171,7 @@
             task.crashes = max(0, task.crashes - 1)
             blames = crash.blames.get(str(task.name), 0)
             task.blames = max(0, task.blames - blames)
-            self._book.touch(task)
+            self._registry.touch(task)
             self._events.emit(
                 "task.pardoned",
                 task=str(task.name),
--- a/pistachiodeal/leader/moves.py
+++ b/pistachiodeal/leader/descheduler.py
@@ -8,8 +8,8 @@
 
 from pistachiodeal.config.deployment import LimitSettings
 from pistachiodeal.jobs.record import Task
-from pistachiodeal.leader.book import JobBook
 from pistachiodeal.leader.reconcile import Reconciler
+from pistachiodeal.leader.registry import JobRegistry
 from pistachiodeal.leader.victims import build_victim
 from pistachiodeal.leader.workers import Fleet, WorkerState
 from pistachiodeal.model.resources import Resources
@@ -43,14 +43,14 @@
 
     def __init__(
         self,
-        book: JobBook,
+        registry: JobRegistry,
         fleet: Fleet,
         reconciler: Reconciler,
         limits: LimitSettings,
     ) -> None:
         self._move_s = limits.move_s
         self._stop_s = limits.stop_ms / 1000
-        self._book = book
+        self._registry = registry
         self._fleet = fleet
         self._reconciler = reconciler
         self._short_since: dict[str, float] = {}
@@ -69,7 +69,7 @@
         for worker in self._fleet.workers.values():
             if not worker.listed or worker.attachment is None:
                 continue
-            for task in list(self._book.get_runs(worker.place).values()):
+            for task in list(self._registry.get_runs(worker.place).values()):
                 if not self._is_stalled(task):
                     continue
                 worker.health.note_stall(now)
@@ -82,7 +82,7 @@
         if task.step.fills and task.worked < STALL_PACE:
             task.moved_at = task.seen_at
             return False
-        expected_s = self._book.get_expected_s(task)
+        expected_s = self._registry.get_expected_s(task)
         return task.seen_at - task.moved_at > max(STALL_S, expected_s * STALL_SHARE)
 
     def _leave_draining(self, now: float) -> None:
@@ -90,7 +90,7 @@
             if not worker.draining or not worker.listed:
                 continue
             left_s = worker.leaving_at - now - self._stop_s - LEAVE_MARGIN_S
-            for task in list(self._book.get_runs(worker.place).values()):
+            for task in list(self._registry.get_runs(worker.place).values()):
                 if (
                     task.running
                     and not task.stopping
@@ -103,7 +103,7 @@
         for worker in self._fleet.workers.values():
             if not worker.listed or worker.attachment is None:
                 continue
-            for task in list(self._book.get_runs(worker.place).values()):
+            for task in list(self._registry.get_runs(worker.place).values()):
                 if not self._is_held_back(task, now):
                     continue
                 task.avoid |= {worker.node}
@@ -120,7 +120,7 @@
             # decisions, so only those that have shrunk are looked at.
             if not worker.shrunk or not worker.listed or worker.attachment is None:
                 continue
-            runs = list(self._book.get_runs(worker.place).values())
+            runs = list(self._registry.get_runs(worker.place).values())
             missing = _measure_missing(worker, runs)
             worker.shrunk = missing != Resources()
             if not worker.shrunk:
@@ -138,12 +138,12 @@
             if task.running and not task.stopping and not task.step.lasts
         ]
         for victim in choose_to_fit(missing, candidates):
-            run = self._book.find_task(victim.task)
+            run = self._registry.find_task(victim.task)
             if run is not None:
                 self._reconciler.stop(run, "its worker has too little memory")
 
     def _get_priority(self, task: Task) -> int:
-        return self._book.records[task.name.job_id].job.queue.priority
+        return self._registry.records[task.name.job_id].job.queue.priority
 
     def _is_held_back(self, task: Task, now: float) -> bool:
         if not task.step.fills or not task.running or task.stopping:
@@ -155,7 +155,7 @@
     def _must_leave(self, task: Task, left_s: float) -> bool:
         if task.step.lasts:
             return True
-        rest_s = self._book.get_expected_s(task) * (100 - task.percent) / 100
+        rest_s = self._registry.get_expected_s(task) * (100 - task.percent) / 100
         return rest_s > left_s
 
 
--- a/pistachiodeal/leader/feed.py
+++ b/pistachiodeal/leader/feed.py
@@ -13,7 +13,7 @@
 from pistachiodeal.exceptions import ProtocolError, StoreError
 from pistachiodeal.jobs.rows import JOBS_TABLE, decode_job, split_key
 from pistachiodeal.jobs.tables import read_submissions
-from pistachiodeal.leader.book import JobBook
+from pistachiodeal.leader.registry import JobRegistry
 from pistachiodeal.store.row_store import (
     HistoryLostError,
     RowStore,
@@ -41,13 +41,13 @@
     def __init__(
         self,
         store: RowStore,
-        book: JobBook,
+        registry: JobRegistry,
         events: EventLog,
         cancel: Callable[[str], None],
         changed: Callable[[], Awaitable[None]],
     ) -> None:
         self._store = store
-        self._book = book
+        self._registry = registry
         self._events = events
         self._cancel = cancel
         self._touch = changed
@@ -104,7 +104,7 @@
 
     def _is_known(self, key: str) -> bool:
         job_id, cancels = split_key(key)
-        record = self._book.records.get(job_id)
+        record = self._registry.records.get(job_id)
         return record is not None and (not cancels or record.state.final)
 
     async def _read_row(self, key: str) -> None:
@@ -138,7 +138,7 @@
                 self._cancel(job_id)
                 continue
             try:
-                self._book.add(decode_job(row.key, row.value), time.time())
+                self._registry.add(decode_job(row.key, row.value), time.time())
             except ProtocolError as error:
                 self._events.emit(
                     "row.unreadable", table=JOBS_TABLE, key=row.key, cause=str(error)
--- a/pistachiodeal/leader/fleet_views.py
+++ b/pistachiodeal/leader/fleet_views.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from pistachiodeal.jobs.record import Task
-from pistachiodeal.leader.book import JobBook
+from pistachiodeal.leader.registry import JobRegistry
 from pistachiodeal.leader.workers import Fleet, WorkerState
 from pistachiodeal.scheduling.health import MOST_SUSPECTS
 from pistachiodeal.scheduling.suspicion import FRESH_S, is_suspect
@@ -23,8 +23,8 @@
     round would take much of the leader's time.
     """
 
-    def __init__(self, book: JobBook, fleet: Fleet) -> None:
-        self._book = book
+    def __init__(self, registry: JobRegistry, fleet: Fleet) -> None:
+        self._registry = registry
         self._fleet = fleet
         self._views: dict[str, tuple[Stamp, WorkerView]] = {}
         self._round = 0
@@ -43,7 +43,7 @@
         views: Views = {}
         kept: dict[str, tuple[Stamp, WorkerView]] = {}
         for worker in self._fleet.workers.values():
-            if not worker.open:
+            if not worker.schedulable:
                 continue
             entry = self._find(worker, now)
             kept[worker.node] = entry
@@ -64,15 +64,15 @@
 
     def _build_stamp(self, worker: WorkerState) -> Stamp:
         place = worker.place
-        return place, worker.stamp, self._book.get_stamp(place)
+        return place, worker.generation, self._registry.get_stamp(place)
 
     def _find(self, worker: WorkerState, now: float) -> tuple[Stamp, WorkerView]:
-        stamp = self._build_stamp(worker)
+        generation = self._build_stamp(worker)
         known = self._views.get(worker.node)
         # How long a worker stays closed is a matter of time alone.
         timed = worker.health.suspect or worker.health.suspect_until > 0
-        if known is None or known[0] != stamp or timed or known[1].probation:
-            return stamp, _build(self._book, worker, now, self._round)
+        if known is None or known[0] != generation or timed or known[1].probation:
+            return generation, _build(self._registry, worker, now, self._round)
         return known
 
 
@@ -86,7 +86,7 @@
 
 
 def _build(
-    book: JobBook, worker: WorkerState, now: float, this_round: int
+    registry: JobRegistry, worker: WorkerState, now: float, this_round: int
 ) -> WorkerView:
     view = WorkerView(
         worker.place,
@@ -97,11 +97,11 @@
         alone=worker.alone,
         built_in=this_round,
     )
-    runs = book.get_runs(worker.place).values()
+    runs = registry.get_runs(worker.place).values()
     for task in runs:
         _take_room(view, task)
     for text in worker.strays:
-        stray = book.find_task(text)
+        stray = registry.find_task(text)
         if stray is not None:
             _take_room(view, stray)
     at_work = sum(1 for task in runs if not task.step.lasts)
--- a/pistachiodeal/leader/neighbours.py
+++ b/pistachiodeal/leader/interference_monitor.py
@@ -4,7 +4,7 @@
 
 from pistachiodeal.events import EventLog
 from pistachiodeal.jobs.record import Task
-from pistachiodeal.leader.book import JobBook
+from pistachiodeal.leader.registry import JobRegistry
 from pistachiodeal.leader.workers import Attachment, WorkerState
 from pistachiodeal.scheduling.interference import (
     InterferenceModel,
@@ -18,9 +18,9 @@
     """Shows figures to the interference model, and tells agents what it knows."""
 
     def __init__(
-        self, book: JobBook, interference: InterferenceModel, events: EventLog
+        self, registry: JobRegistry, interference: InterferenceModel, events: EventLog
     ) -> None:
-        self._book = book
+        self._registry = registry
         self._interference = interference
         self._events = events
 
@@ -28,7 +28,7 @@
         """Take in a worker's newest figures, and tell its agent what they taught."""
         runs = [
             task
-            for task in self._book.get_runs(worker.place).values()
+            for task in self._registry.get_runs(worker.place).values()
             if task.step.fills or task.step.serves_ms
         ]
         self._observe(worker, runs, _sum_efforts(runs), now)
--- a/pistachiodeal/leader/leadership.py
+++ b/pistachiodeal/leader/leadership.py
@@ -24,13 +24,13 @@
 )
 from pistachiodeal.jobs.tables import read_tables
 from pistachiodeal.leader.advice import AdviceKeeper
-from pistachiodeal.leader.book import JobBook
 from pistachiodeal.leader.closures import ClosureWatch
 from pistachiodeal.leader.commits import REMOVALS, Authority, CommitLog
 from pistachiodeal.leader.feed import JobFeed
 from pistachiodeal.leader.lessons import LessonKeeper
 from pistachiodeal.leader.planner import Planner
 from pistachiodeal.leader.reconcile import Reconciler
+from pistachiodeal.leader.registry import JobRegistry
 from pistachiodeal.leader.sessions import AgentSessions
 from pistachiodeal.leader.settling import Settling
 from pistachiodeal.leader.workers import Fleet, split_place
@@ -77,29 +77,29 @@
         self._changed = curio.Event()
         self._unsaved = curio.Event()
         self._superseded = curio.Event()
-        self._book = JobBook(events)
+        self._registry = JobRegistry(events)
         self._fleet = Fleet()
         self._closures = ClosureWatch(
             store, self._fleet, limits.closing_ms / 1000, events
         )
-        self._feed = JobFeed(store, self._book, events, self._cancel, self._touch)
+        self._feed = JobFeed(store, self._registry, events, self._cancel, self._touch)
         self._commits = CommitLog(store, authority, events)
         interference = InterferenceModel()
         self._advice = None
         if adviser is not None:
             self._advice = AdviceKeeper(adviser, events, self._changed.set)
         self._reconciler = Reconciler(
-            self._book, self._fleet, interference, events, advice=self._advice
+            self._registry, self._fleet, interference, events, advice=self._advice
         )
         self._lessons = LessonKeeper(
             store,
             self._commits,
             interference,
-            self._book.expectations.durations,
+            self._registry.estimator.durations,
             events,
         )
         self._planner = Planner(
-            self._book,
+            self._registry,
             self._fleet,
             self._reconciler,
             interference,
@@ -142,9 +142,9 @@
         return self._sessions
 
     @property
-    def book(self) -> JobBook:
+    def registry(self) -> JobRegistry:
         """Return the jobs."""
-        return self._book
+        return self._registry
 
     @property
     def fleet(self) -> Fleet:
@@ -153,7 +153,7 @@
 
     def find_state(self, job_id: str) -> JobState | None:
         """Return the durable state of a job, None when it isn't known (yet)."""
-        record = self._book.records.get(job_id) if self._loaded else None
+        record = self._registry.records.get(job_id) if self._loaded else None
         return record.shown if record is not None else None
 
     def announce(self, key: str) -> None:
@@ -224,13 +224,13 @@
                 log.info("leader: cannot read the jobs yet: {}", error)
                 await curio.sleep(RETRY_S)
         self._loaded_at = read_boot_clock()
-        nodes = {split_place(place)[0] for place in self._book.list_places()}
+        nodes = {split_place(place)[0] for place in self._registry.list_places()}
         self._settling.begin(nodes, self._loaded_at)
         self._events.emit(
             "leader.loaded",
             epoch=self.epoch,
-            jobs=len(self._book.records),
-            open=len(self._book.open_records),
+            jobs=len(self._registry.records),
+            open=len(self._registry.open_records),
             took_ms=int((self._loaded_at - self._took_at) * 1000),
         )
 
@@ -249,7 +249,7 @@
         self._feed.start_after(jobs.version)
 
     def _restore(self, row: StoredRow, progress: StoredRow | None) -> None:
-        known = self._book.records.get(row.key)
+        known = self._registry.records.get(row.key)
         undivided = row.partition == UNDIVIDED_PARTITION
         if known is not None:
             if known.undivided != undivided:
@@ -269,12 +269,12 @@
         record.undivided = undivided
         if record.state.final:
             record.finished_at = read_boot_clock()
-        self._book.restore(record)
+        self._registry.restore(record)
         if not record.state.final:
-            self._book.open_due(record, time.time())
+            self._registry.open_due(record, time.time())
 
     def _cancel(self, job_id: str) -> None:
-        for task in self._book.cancel(job_id):
+        for task in self._registry.cancel(job_id):
             self._reconciler.stop(task, "its job is cancelled")
 
     async def _keep_writing(self, number: int) -> None:
@@ -289,11 +289,11 @@
             self._unsaved.clear()
             if number:
                 await curio.sleep(number * SLOW_WRITE_S)
-            while self._book.has_writable and not self._paused:
-                await self._commits.write(self._book)
+            while self._registry.has_writable and not self._paused:
+                await self._commits.write(self._registry)
                 await self._sessions.send_orders()
                 await self._changed.set()
-                if self._book.has_unsaved:
+                if self._registry.has_unsaved:
                     await self._unsaved.set()
 
     async def _keep_planning(self) -> None:
@@ -307,7 +307,7 @@
                     await self._changed.set()
             took_s = read_boot_clock() - began_at
             await self._sessions.send_orders()
-            if self._book.has_unsaved:
+            if self._registry.has_unsaved:
                 await self._unsaved.set()
             await curio.sleep(max(PLAN_PAUSE_S, PLAN_REST * took_s))
 
@@ -319,24 +319,24 @@
                 # the links before everybody has been told who leads.
                 continue
             await self._commits.confirm()
-            for place in self._book.list_places():
+            for place in self._registry.list_places():
                 if self._sessions.is_lost(self._took_at, place):
-                    self._reconciler.lose(place, "its leases have run out")
+                    self._reconciler.requeue_lost_runs(place, "its leases have run out")
                     await self._touch()
             await self._feed.check_announced()
             await self._remove_old()
 
     async def _remove_old(self) -> None:
-        old = self._book.list_expired(read_boot_clock(), self._kept_s)[:REMOVALS]
+        old = self._registry.list_expired(read_boot_clock(), self._kept_s)[:REMOVALS]
         if not old:
             return
         if await self._commits.remove(old):
             for record in old:
-                self._book.remove(record)
+                self._registry.remove(record)
 
     async def _touch(self) -> None:
         await self._changed.set()
-        if self._book.has_unsaved:
+        if self._registry.has_unsaved:
             await self._unsaved.set()
 
 
--- a/pistachiodeal/leader/planner.py
+++ b/pistachiodeal/leader/planner.py
@@ -13,12 +13,12 @@
 from pistachiodeal.jobs.record import JobRecord, StepRecord, Task
 from pistachiodeal.leader.advice import AdviceKeeper
 from pistachiodeal.leader.attempts import Attempts
-from pistachiodeal.leader.book import JobBook
+from pistachiodeal.leader.descheduler import Mover
 from pistachiodeal.leader.fleet_views import FleetViews, Views
-from pistachiodeal.leader.moves import Mover
 from pistachiodeal.leader.preemptor import FindQueue, Preemptor
-from pistachiodeal.leader.probation import Probation
 from pistachiodeal.leader.reconcile import Reconciler
+from pistachiodeal.leader.registry import JobRegistry
+from pistachiodeal.leader.suspect_placer import Probation
 from pistachiodeal.leader.workers import Fleet, split_place
 from pistachiodeal.scheduling.interference import InterferenceModel
 from pistachiodeal.scheduling.ordering import (
@@ -60,7 +60,7 @@
 
     def __init__(
         self,
-        book: JobBook,
+        registry: JobRegistry,
         fleet: Fleet,
         reconciler: Reconciler,
         interference: InterferenceModel,
@@ -71,15 +71,15 @@
         advice: AdviceKeeper | None = None,
     ) -> None:
         self._interference = interference
-        self._mover = Mover(book, fleet, reconciler, limits)
-        self._views = FleetViews(book, fleet)
+        self._mover = Mover(registry, fleet, reconciler, limits)
+        self._views = FleetViews(registry, fleet)
         self._attempts = Attempts()
-        self._preemptor = Preemptor(book, fleet, reconciler, find_queue, limits)
-        self._probation = Probation(book, reconciler, interference, events)
+        self._preemptor = Preemptor(registry, fleet, reconciler, find_queue, limits)
+        self._probation = Probation(registry, reconciler, interference, events)
         # A task that takes twice as long elsewhere needs a whole worker's time more.
         self._remote_cost = limits.remote_factor - 1.0
         self._moved_at = 0.0
-        self._book = book
+        self._registry = registry
         self._fleet = fleet
         self._reconciler = reconciler
         self._find_queue = find_queue
@@ -109,14 +109,14 @@
 
     def _open_due(self) -> None:
         time_of_day_s = time.time()
-        for record in self._book.open_records.values():
+        for record in self._registry.open_records.values():
             if record.job.repeats:
-                self._book.open_due(record, time_of_day_s)
+                self._registry.open_due(record, time_of_day_s)
 
     def _order_ready(self) -> list[tuple[Rank, int, JobRecord, StepRecord]]:
         time_of_day_s = time.time()
         ready = []
-        for number, (record, step) in enumerate(self._book.iterate_ready()):
+        for number, (record, step) in enumerate(self._registry.iterate_ready()):
             queue = self._find_queue(record.job.queue)
             rank = self._rank(record, step, queue, time_of_day_s)
             ready.append((rank, number, record, step))
@@ -131,7 +131,7 @@
         if job.repeats:
             due_s = job.first_run_s + step.occurrence * job.interval_s
         steps = record.occurrences[step.occurrence]
-        self._book.expectations.expect(record, steps)
+        self._registry.estimator.expect(record, steps)
         return rank_step(
             Waiting(
                 queue.priority,
@@ -141,7 +141,7 @@
                 compute_objective_s(record.chain_s, queue.stretch, queue.aim_s),
                 sum(one.left_work for one in steps),
                 record.work,
-                self._book.expectations.get_usual_work(queue.name),
+                self._registry.estimator.get_usual_work(queue.name),
             )
         )
 
@@ -289,7 +289,7 @@
             load=round(view.load, 2),
             waited_ms=int((read_boot_clock() - task.ready_at) * 1000),
         )
-        self._book.place(
+        self._registry.place(
             task, run, place, lambda: self._reconciler.send_order(task, run, place)
         )
         self._views.keep(view)
--- a/pistachiodeal/leader/preemptor.py
+++ b/pistachiodeal/leader/preemptor.py
@@ -8,8 +8,8 @@
 from pistachiodeal.config.deployment import LimitSettings
 from pistachiodeal.jobs.model import Queue
 from pistachiodeal.jobs.record import Task
-from pistachiodeal.leader.book import JobBook
 from pistachiodeal.leader.reconcile import Reconciler
+from pistachiodeal.leader.registry import JobRegistry
 from pistachiodeal.leader.victims import build_victim
 from pistachiodeal.leader.workers import Fleet
 from pistachiodeal.model.resources import Resources
@@ -34,14 +34,14 @@
 
     def __init__(
         self,
-        book: JobBook,
+        registry: JobRegistry,
         fleet: Fleet,
         reconciler: Reconciler,
         find_queue: FindQueue,
         limits: LimitSettings,
     ) -> None:
         self._move_s = limits.move_s
-        self._book = book
+        self._registry = registry
         self._fleet = fleet
         self._reconciler = reconciler
         self._find_queue = find_queue
@@ -81,7 +81,7 @@
             hopeless.append(need)
         for victim in best:
             self._room_comes[service] = True
-            run = self._book.find_task(victim.task)
+            run = self._registry.find_task(victim.task)
             if run is not None:
                 self._stopped += 1
                 self._reconciler.stop(run, f"gives way to {task.name}")
@@ -89,9 +89,9 @@
     def _is_room_coming(self, service: str) -> bool:
         """Tell whether runs that are being stopped will make room for a task."""
         for worker in self._fleet.workers.values():
-            if not worker.open or worker.service != service:
+            if not worker.schedulable or worker.service != service:
                 continue
-            runs = self._book.get_runs(worker.place).values()
+            runs = self._registry.get_runs(worker.place).values()
             if any(run.stopping.startswith("gives way") for run in runs):
                 return True
         return False
@@ -99,10 +99,10 @@
     def _list_victims(self, view: WorkerView) -> list[Victim]:
         victims = []
         now = read_boot_clock()
-        for task in self._book.get_runs(view.place).values():
+        for task in self._registry.get_runs(view.place).values():
             if task.stopping or not task.running:
                 continue
-            record = self._book.records[task.name.job_id]
+            record = self._registry.records[task.name.job_id]
             priority = self._find_queue(record.job.queue).priority
             victim = build_victim(task, priority, now, self._move_s)
             if not task.step.lasts and victim.room != Resources():
--- a/pistachiodeal/leader/reconcile.py
+++ b/pistachiodeal/leader/reconcile.py
@@ -10,10 +10,10 @@
 from pistachiodeal.jobs.record import Task
 from pistachiodeal.jobs.runtime import CallResult
 from pistachiodeal.leader.advice import AdviceKeeper
-from pistachiodeal.leader.book import JobBook
 from pistachiodeal.leader.crashes import CrashTracker
+from pistachiodeal.leader.interference_monitor import NeighbourWatch
 from pistachiodeal.leader.listed import ListedRuns, RunKey, index_report
-from pistachiodeal.leader.neighbours import NeighbourWatch
+from pistachiodeal.leader.registry import JobRegistry
 from pistachiodeal.leader.workers import (
     PLACE_SEPARATOR,
     Attachment,
@@ -42,7 +42,7 @@
 
     def __init__(
         self,
-        book: JobBook,
+        registry: JobRegistry,
         fleet: Fleet,
         interference: InterferenceModel,
         events: EventLog,
@@ -50,10 +50,10 @@
         advice: AdviceKeeper | None = None,
     ) -> None:
         self._advice = advice
-        self._book = book
+        self._registry = registry
         self._fleet = fleet
-        self._crashes = CrashTracker(book, fleet, events)
-        self._neighbours = NeighbourWatch(book, interference, events)
+        self._crashes = CrashTracker(registry, fleet, events)
+        self._neighbours = NeighbourWatch(registry, interference, events)
         self._events = events
 
     @property
@@ -65,8 +65,8 @@
         """Take in one report."""
         now = read_boot_clock()
         worker = self._fleet.get(attachment.node)
-        attachment.beat, attachment.heard_at = report.beat, now
-        worker.stamp += 1
+        attachment.beat, attachment.last_report_at = report.beat, now
+        worker.generation += 1
         listed = index_report(report)
         place = build_place(worker.node, report.worker) if report.worker else ""
         others = self._list_others(worker, place)
@@ -116,13 +116,18 @@
             return
         worker = self._fleet.find_place(place)
         attachment = worker.attachment if worker else None
-        record = self._book.records[task.name.job_id]
+        record = self._registry.records[task.name.job_id]
         # An agent that has not listed its worker on this link may not know it yet, and
         # would drop the order in silence: its task would wait for ever.
-        if task.stopping or worker is None or attachment is None or not worker.open:
+        if (
+            task.stopping
+            or worker is None
+            or attachment is None
+            or not worker.schedulable
+        ):
             # Nobody was ever told of this run, so it cannot come to life later.
             self._events.emit("run.unsent", task=str(task.name), run=run, place=place)
-            self._book.requeue(task)
+            self._registry.requeue(task)
             return
         self._events.emit(
             "run.order",
@@ -133,14 +138,16 @@
         )
         attachment.order_start(build_order(task), record.job_id, record.job.text)
 
-    def lose(self, place: str, why: str, kept: Container[RunKey] = ()) -> None:
+    def requeue_lost_runs(
+        self, place: str, why: str, kept: Container[RunKey] = ()
+    ) -> None:
         """Give up the runs of a worker that is certainly gone.
 
         :param kept: runs that may begin yet, at the worker's next incarnation.
         """
         runs = [
             task
-            for name, task in self._book.get_runs(place).items()
+            for name, task in self._registry.get_runs(place).items()
             if (name, task.run) not in kept
         ]
         if runs:
@@ -157,8 +164,8 @@
                 blames=task.blames,
                 placed_ms=int((now - task.placed_at) * 1000),
             )
-            self._book.requeue(task)
-        self._book.forget_place(place)
+            self._registry.requeue(task)
+        self._registry.forget_place(place)
 
     def _take_loss(self, worker: WorkerState, loss: WorkerLoss, now: float) -> None:
         if worker.worker == loss.worker:
@@ -173,7 +180,7 @@
         prefix = worker.node + PLACE_SEPARATOR
         return [
             other
-            for other in self._book.list_places()
+            for other in self._registry.list_places()
             if other.startswith(prefix) and other != place
         ]
 
@@ -181,7 +188,7 @@
         self, places: list[str], why: str, kept: Container[RunKey] = ()
     ) -> None:
         for place in places:
-            self.lose(place, why, kept)
+            self.requeue_lost_runs(place, why, kept)
 
     def _move_runs(self, others: list[str], place: str, listed: ListedRuns) -> None:
         """Take in that orders for earlier incarnations were carried out by this one.
@@ -189,12 +196,12 @@
         Queued again, such a task would run twice, or again after its end.
         """
         for other in others:
-            for name, task in list(self._book.get_runs(other).items()):
+            for name, task in list(self._registry.get_runs(other).items()):
                 if listed.has((name, task.run)):
                     self._events.emit(
                         "run.moved", task=name, run=task.run, place=place, was=other
                     )
-                    self._book.move_run(task, place)
+                    self._registry.move_run(task, place)
 
     def _apply_runs(
         self,
@@ -203,7 +210,7 @@
         listed: ListedRuns,
         now: float,
     ) -> None:
-        for name, task in list(self._book.get_runs(worker.place).items()):
+        for name, task in list(self._registry.get_runs(worker.place).items()):
             key = (name, task.run)
             if key in listed.running:
                 self._note_running(task, listed.running[key], now)
@@ -221,11 +228,11 @@
                 attachment.order_stop(name, task.run)
 
     def _is_durable(self, task: Task) -> bool:
-        record = self._book.records[task.name.job_id]
-        return not self._book.is_unsaved(record.job_id)
+        record = self._registry.records[task.name.job_id]
+        return not self._registry.is_unsaved(record.job_id)
 
     def _is_over(self, task: Task) -> bool:
-        return self._book.records[task.name.job_id].state.final
+        return self._registry.records[task.name.job_id].state.final
 
     def _note_running(self, task: Task, seen: RunningTask, now: float) -> None:
         if not task.running:
@@ -266,10 +273,10 @@
             detail=outcome.detail,
         )
         if outcome.detail == CallResult.NO_TICKET and self._advice is not None:
-            record = self._book.records[task.name.job_id]
+            record = self._registry.records[task.name.job_id]
             key = record.find_step(task.name).key
             self._advice.forget_ticket(key, worker.worker)
-        self._book.requeue(task)
+        self._registry.requeue(task)
         if outcome.outcome == OrderState.REFUSED:
             # Placed again at once, it would be refused again as fast as orders travel.
             task.held_until = now + REFUSED_S
@@ -281,7 +288,7 @@
             if end.number in worker.ends_taken:
                 continue
             worker.ends_taken.add(end.number)
-            task = self._book.find_task(end.task)
+            task = self._registry.find_task(end.task)
             if task is None or task.run != end.run or task.place != worker.place:
                 worker.note_end(end.number)
                 continue
@@ -307,8 +314,8 @@
             worker.health.note_success()
             if task.watched and not task.step.lasts:
                 self._note_work(task, task.worked if task.seen_at else 1.0, now)
-                record = self._book.records[task.name.job_id]
-                self._book.expectations.note_took(record, task, task.work_s)
+                record = self._registry.records[task.name.job_id]
+                self._registry.estimator.note_took(record, task, task.work_s)
         elif kind is EndKind.FAILED and not task.step.lasts:
             # A task that fails everywhere says nothing of the worker.
             if not task.failures:
@@ -320,14 +327,14 @@
             if worker.worker == incarnation:
                 worker.note_end(end.number)
 
-        for other in self._book.end_run(task, kind, end.checkpoint, note):
+        for other in self._registry.end_run(task, kind, end.checkpoint, note):
             self.stop(other, "the job has failed")
 
     def _stop_strays(
         self, worker: WorkerState, attachment: Attachment, listed: ListedRuns
     ) -> None:
         worker.strays = {}
-        runs = self._book.get_runs(worker.place)
+        runs = self._registry.get_runs(worker.place)
         for name, run in listed.running:
             task = runs.get(name)
             if task is not None and task.run == run:
--- a/pistachiodeal/leader/book.py
+++ b/pistachiodeal/leader/registry.py
@@ -15,20 +15,20 @@
 from pistachiodeal.jobs.model import EndKind, Job, JobState
 from pistachiodeal.jobs.names import parse_task_name
 from pistachiodeal.jobs.record import JobRecord, StepRecord, Task, build_record
-from pistachiodeal.leader.expectations import Expectations
+from pistachiodeal.leader.estimator import Expectations
 from pistachiodeal.scheduling.ordering import compute_objective_s
 
-Effect = Callable[[], None]
+Callback = Callable[[], None]
 
 
-class JobBook:
+class JobRegistry:
     """The leader's memory of jobs."""
 
     def __init__(self, events: EventLog) -> None:
         self._events = events
         self._records: dict[str, JobRecord] = {}
         self._open: dict[str, JobRecord] = {}
-        self._unsaved: dict[str, list[Effect]] = {}
+        self._unsaved: dict[str, list[Callback]] = {}
         self._writing: set[str] = set()
         self._expectations = Expectations()
         self._runs: dict[str, dict[str, Task]] = {}
@@ -45,7 +45,7 @@
         return self._open
 
     @property
-    def expectations(self) -> Expectations:
+    def estimator(self) -> Expectations:
         """Return what is expected of jobs."""
         return self._expectations
 
@@ -130,7 +130,7 @@
         self._events.emit("job.cancelled", job=job_id, state=record.state.value)
         return self._finish(record, JobState.CANCELLED)
 
-    def place(self, task: Task, run: int, place: str, ordered: Effect) -> None:
+    def place(self, task: Task, run: int, place: str, ordered: Callback) -> None:
         """Decide a run; ``ordered`` runs once the decision is durable."""
         now = read_boot_clock()
         task.run, task.place = run, place
@@ -147,7 +147,7 @@
         self._save(record, ordered)
 
     def end_run(
-        self, task: Task, kind: EndKind, checkpoint: str, noted: Effect
+        self, task: Task, kind: EndKind, checkpoint: str, noted: Callback
     ) -> list[Task]:
         """Take in the end of a task's newest run.
 
@@ -216,7 +216,7 @@
             self._runs.pop(place, None)
             self._stamps.pop(place, None)
 
-    def take_unsaved(self, most: int) -> list[tuple[JobRecord, list[Effect]]]:
+    def begin_writes(self, most: int) -> list[tuple[JobRecord, list[Callback]]]:
         """Return jobs to write, oldest change first, with their effects."""
         writable = [one for one in self._unsaved if one not in self._writing][:most]
         self._writing.update(writable)
@@ -224,7 +224,7 @@
             (self._records[job_id], self._unsaved.pop(job_id)) for job_id in writable
         ]
 
-    def note_written(self, job_id: str) -> None:
+    def finish_write(self, job_id: str) -> None:
         """Note that a job's row is written; its effects run next."""
         self._writing.discard(job_id)
 
@@ -310,13 +310,13 @@
     def _note_change(self, place: str) -> None:
         self._stamps[place] = self._stamps.get(place, 0) + 1
 
-    def _save(self, record: JobRecord, effect: Effect | None) -> None:
-        effects = self._unsaved.setdefault(record.job_id, [])
-        if effect is not None:
-            effects.append(effect)
+    def _save(self, record: JobRecord, callback: Callback | None) -> None:
+        callbacks = self._unsaved.setdefault(record.job_id, [])
+        if callback is not None:
+            callbacks.append(callback)
         state = record.state
         if state is not record.shown:
-            effects.append(lambda: self._show(record, state))
+            callbacks.append(lambda: self._show(record, state))
 
     def _show(self, record: JobRecord, state: JobState) -> None:
         if record.shown is not state and not record.shown.final:
--- a/pistachiodeal/leader/sessions.py
+++ b/pistachiodeal/leader/sessions.py
@@ -55,7 +55,7 @@
         token = (self._commits.epoch << TOKEN_SHIFT) + self._tokens
         attachment = Attachment(node, token)
         worker = self._fleet.get(node)
-        self._fleet.locate(worker, link.peer.data_centre)
+        self._fleet.set_data_centre(worker, link.peer.data_centre)
         worker.attach(attachment)
         self._links[node] = (link, attachment)
         self._events.emit("agent.attached", node=node, token=token)
@@ -105,7 +105,7 @@
             attachment.withdraw_starts()
         # The grant may not outlive this process's own right to lead: a successor
         # waits for it from the moment of its own take-over.
-        until = min(attachment.heard_at, self._commits.confirmed_at) + GRANT_S
+        until = min(attachment.last_report_at, self._commits.confirmed_at) + GRANT_S
         grant_ms = _measure_ms(attachment, until)
         worker.granted_until = max(worker.granted_until, until)
         directive = attachment.build_directive(
@@ -120,4 +120,4 @@
 
 def _measure_ms(attachment: Attachment, until: float) -> int:
     """Return the time from an agent's newest report to a moment of the boot clock."""
-    return max(0, int((until - attachment.heard_at) * 1000))
+    return max(0, int((until - attachment.last_report_at) * 1000))
--- a/pistachiodeal/leader/settling.py
+++ b/pistachiodeal/leader/settling.py
@@ -46,7 +46,7 @@
 
     def _have_all_come(self, now: float) -> bool:
         """Tell whether workers are listed, and no further one for a moment."""
-        listed = sum(worker.open for worker in self._fleet.workers.values())
+        listed = sum(worker.schedulable for worker in self._fleet.workers.values())
         if listed != self._listed:
             self._listed, self._listed_at = listed, now
         return listed > 0 and now - self._listed_at > QUIET_S
--- a/pistachiodeal/leader/probation.py
+++ b/pistachiodeal/leader/suspect_placer.py
@@ -12,9 +12,9 @@
 
 from pistachiodeal.events import EventLog
 from pistachiodeal.jobs.record import JobRecord, Task
-from pistachiodeal.leader.book import JobBook
 from pistachiodeal.leader.crashes import CrashTracker
 from pistachiodeal.leader.reconcile import Reconciler
+from pistachiodeal.leader.registry import JobRegistry
 from pistachiodeal.scheduling.interference import InterferenceModel
 from pistachiodeal.scheduling.placement import Request, choose_worker
 from pistachiodeal.scheduling.suspicion import is_hopeless, limit_exposed
@@ -34,12 +34,12 @@
 
     def __init__(
         self,
-        book: JobBook,
+        registry: JobRegistry,
         reconciler: Reconciler,
         interference: InterferenceModel,
         events: EventLog,
     ) -> None:
-        self._book = book
+        self._registry = registry
         self._reconciler = reconciler
         self._interference = interference
         self._events = events
@@ -64,7 +64,7 @@
         """Give the job up if one of its waiting tasks has ended too many workers."""
         for task in tasks:
             if is_hopeless(task):
-                for other in self._book.give_up(record, task):
+                for other in self._registry.give_up(record, task):
                     self._reconciler.stop(other, "the job has failed")
                 return True
         return False
--- a/pistachiodeal/leader/workers.py
+++ b/pistachiodeal/leader/workers.py
@@ -57,13 +57,13 @@
 
     :param token: the lowest of the agent's fencing tokens, higher than any earlier
         one's.
-    :param beat: the newest report's number, received at ``heard_at`` (boot clock).
+    :param beat: the newest report's number, received at ``last_report_at`` (boot clock).
     """
 
     node: str
     token: int
     beat: int = 0
-    heard_at: float = 0.0
+    last_report_at: float = 0.0
     answered: int = 0
     outbox: Outbox = field(default_factory=Outbox)
     ordered: set[tuple[str, int]] = field(default_factory=set)
@@ -136,7 +136,7 @@
     :param closed: whether its data centre is closed: nothing is started there.
     :param shrunk: whether it may have too little memory for its runs: it has less
         than before, or this leader has not looked yet.
-    :param stamp: rises with each report and link, so that whoever keeps something
+    :param generation: rises with each report and link, so that whoever keeps something
         worked out from this knows that it is old.
     :param alone: slack that its serving tasks would have without filling work, the
         least by image.
@@ -161,7 +161,7 @@
     health: WorkerHealth = field(default_factory=WorkerHealth)
     closed: bool = False
     shrunk: bool = True
-    stamp: int = 0
+    generation: int = 0
 
     @property
     def place(self) -> str:
@@ -174,7 +174,7 @@
         return self.labels[-1] if self.labels else ""
 
     @property
-    def open(self) -> bool:
+    def schedulable(self) -> bool:
         """Tell whether the worker takes new tasks."""
         present = bool(self.worker and self.listed and self.attachment)
         return present and not self.draining and not self.closed
@@ -187,7 +187,7 @@
         """
         self.attachment = attachment
         self.listed = False
-        self.stamp += 1
+        self.generation += 1
 
     def become(self, report: WorkerReport) -> None:
         """Take in what a report says of the worker itself."""
@@ -246,7 +246,7 @@
         for worker in self._workers.values():
             self._apply_closing(worker)
 
-    def locate(self, worker: WorkerState, data_centre: str) -> None:
+    def set_data_centre(self, worker: WorkerState, data_centre: str) -> None:
         """Note in which data centre a worker is."""
         worker.data_centre = data_centre
         self._apply_closing(worker)
@@ -266,7 +266,7 @@
         closed = worker.data_centre in self._closed
         if closed != worker.closed:
             worker.closed = closed
-            worker.stamp += 1
+            worker.generation += 1
 
 
 def build_order(task: Task) -> RunOrder:
--- a/tests/unit/test_closed_data_centres.py
+++ b/tests/unit/test_closed_data_centres.py
@@ -181,7 +181,7 @@
     attachment = Attachment(worker.node, 1)
     worker.attach(attachment)
     worker.worker, worker.service, worker.listed = "w", "svc", True
-    fleet.locate(worker, data_centre)
+    fleet.set_data_centre(worker, data_centre)
     return attachment
 
 
@@ -201,13 +201,13 @@
     fleet = Fleet()
     for name in ("a", "b"):
         attach_worker(fleet, name)
-    stamps = {node: worker.stamp for node, worker in fleet.workers.items()}
+    stamps = {node: worker.generation for node, worker in fleet.workers.items()}
     fleet.close(frozenset(("a",)))
-    assert not fleet.get("node-a").open
-    assert fleet.get("node-b").open
-    assert fleet.get("node-b").stamp == stamps["node-b"]
+    assert not fleet.get("node-a").schedulable
+    assert fleet.get("node-b").schedulable
+    assert fleet.get("node-b").generation == stamps["node-b"]
     fleet.close(frozenset())
-    assert fleet.get("node-a").open
+    assert fleet.get("node-a").schedulable
 
 
 class LateRows(MemoryRows):
@@ -297,7 +297,7 @@
     fleet = Fleet()
     fleet.close(frozenset(("a",)))
     attach_worker(fleet, "a")
-    assert not fleet.get("node-a").open
+    assert not fleet.get("node-a").schedulable
 
 
 SIZE = Resources(15_000, 1_000, 0)
@@ -315,11 +315,11 @@
     """Guards against a way of placing tasks that passes the closing by."""
     cluster = Cluster(workers=2)
     for node, data_centre in (("n0", "a"), ("n1", "b")):
-        cluster.fleet.locate(cluster.fleet.get(node), data_centre)
+        cluster.fleet.set_data_centre(cluster.fleet.get(node), data_centre)
     cluster.fleet.close(frozenset("ab"))
     job = Job(f"{1:016x}", QUEUE, "text", (KINDS[kind],), time.time())
-    cluster.book.add(job, time.time())
-    task = next(cluster.book.records[job.job_id].iterate_tasks())
+    cluster.registry.add(job, time.time())
+    task = next(cluster.registry.records[job.job_id].iterate_tasks())
     for suspect in (False, True):
         task.crashes, task.blames = int(suspect), int(suspect)
         cluster.plan_all()
@@ -332,12 +332,12 @@
 def test_urgent_work_stops_nothing_in_a_closed_data_centre():
     """Guards against runs that give way to a task that may not start there."""
     cluster = Cluster(workers=1)
-    cluster.fleet.locate(cluster.fleet.get("n0"), "a")
+    cluster.fleet.set_data_centre(cluster.fleet.get("n0"), "a")
     large = replace(QUEUE, name="large", priority=2)
     first = Job(f"{1:016x}", large, "text", (KINDS["plain"],), time.time())
-    cluster.book.add(first, time.time())
+    cluster.registry.add(first, time.time())
     cluster.plan_all()
-    run = next(cluster.book.records[first.job_id].iterate_tasks())
+    run = next(cluster.registry.records[first.job_id].iterate_tasks())
     run.running = True
     cluster.fleet.close(frozenset("a"))
     cluster.add(2, 1, 15_000)
--- a/tests/unit/test_deployment_settings.py
+++ b/tests/unit/test_deployment_settings.py
@@ -18,7 +18,7 @@
 from pistachiodeal.jobagent.authority import LEASE_S
 from pistachiodeal.jobagent.ledger import AgentLedger
 from pistachiodeal.jobs.model import Step
-from pistachiodeal.leader.moves import Mover
+from pistachiodeal.leader.descheduler import Mover
 from pistachiodeal.model.resources import Resources
 from pistachiodeal.scheduling.interference import InterferenceModel
 from pistachiodeal.scheduling.pacing import FillingLoad, Pacer
@@ -30,7 +30,7 @@
 from pistachiodeal.wire.job_messages import RunningTask
 from tests.standins.job_cluster import create_quiet_log
 from tests.unit.test_jobagent_ledger import build_beat
-from tests.unit.test_leader_reconcile import TASK, Stage
+from tests.unit.test_leader_reconcile import TASK, LeaderHarness
 
 ROOM = Resources(16_000, 64_000, 0)
 DOCUMENT = {
@@ -85,14 +85,14 @@
 @pytest.mark.parametrize(("stop_ms", "expected"), [(200, False), (2_000, True)])
 def test_a_task_leaves_in_time_for_its_stop(stop_ms: int, expected: bool):
     """Guards against a stop that ends after its worker, so that progress is lost."""
-    stage = Stage()
+    stage = LeaderHarness()
     stage.report(running=[RunningTask(TASK, 1, "", 0, 0)])
     worker = stage.fleet.get("node")
     now = read_boot_clock()
-    work_s = stage.book.get_expected_s(stage.task)
+    work_s = stage.registry.get_expected_s(stage.task)
     worker.draining, worker.leaving_at = True, now + work_s + 1.0
     limits = LimitSettings(stop_ms=stop_ms)
-    Mover(stage.book, stage.fleet, stage.reconciler, limits).move(now)
+    Mover(stage.registry, stage.fleet, stage.reconciler, limits).move(now)
     assert bool(stage.task.stopping) is expected
 
 
--- a/tests/unit/test_foreign_writers.py
+++ b/tests/unit/test_foreign_writers.py
@@ -16,12 +16,12 @@
 from pistachiodeal.jobs.record import apply_progress, build_record, encode_progress
 from pistachiodeal.jobs.rows import decode_job, encode_job
 from pistachiodeal.jobs.runtime import CallResult, WorkerBeat
-from pistachiodeal.leader.book import JobBook
 from pistachiodeal.leader.commits import CONTROL_TABLE, LEADER_KEY, Authority
 from pistachiodeal.leader.directory import Directory
 from pistachiodeal.leader.election import Election
 from pistachiodeal.leader.feed import JobFeed
 from pistachiodeal.leader.leader_row import decode_leader_row
+from pistachiodeal.leader.registry import JobRegistry
 from pistachiodeal.model.resources import Resources
 from pistachiodeal.peers import PeerContext
 from pistachiodeal.platform.configuration import decode_configuration
@@ -164,8 +164,8 @@
     Sequence: a page of the feed holds a row that can't be read before one that can.
     Cause: an error that ended the reading of the page.
     """
-    book = JobBook(create_quiet_log())
-    feed = JobFeed(None, book, create_quiet_log(), lambda job: None, None)
+    registry = JobRegistry(create_quiet_log())
+    feed = JobFeed(None, registry, create_quiet_log(), lambda job: None, None)
     job = build_job(2)
     sized = orjson.loads(encode_job(build_job(3)))
     sized["steps"][0]["count"] = "many"
@@ -177,7 +177,7 @@
             StoredRow(job.job_id, encode_job(job), 4),
         )
     )
-    assert list(book.records) == [job.job_id]
+    assert list(registry.records) == [job.job_id]
 
 
 def test_a_row_under_another_jobs_key_is_no_job():
--- a/tests/unit/test_job_cluster.py
+++ b/tests/unit/test_job_cluster.py
@@ -91,7 +91,7 @@
             leader = await wait_for(cluster.find_leader)
             leadership = leader.seat.leadership
             leadership.announce(build_cancel_key(job.job_id))
-            assert leadership.book.records[job.job_id].state is JobState.CANCELLED
+            assert leadership.registry.records[job.job_id].state is JobState.CANCELLED
 
     curio.run(main)
 
--- a/tests/unit/test_leader_advice.py
+++ b/tests/unit/test_leader_advice.py
@@ -11,9 +11,9 @@
 from pistachiodeal.exceptions import AdviceError
 from pistachiodeal.jobs.advice import Advice
 from pistachiodeal.leader.advice import WORKERS_A_CALL, AdviceKeeper
-from pistachiodeal.leader.book import JobBook
 from pistachiodeal.leader.planner import Planner
 from pistachiodeal.leader.reconcile import Reconciler
+from pistachiodeal.leader.registry import JobRegistry
 from pistachiodeal.leader.workers import Attachment, Fleet
 from pistachiodeal.scheduling.interference import InterferenceModel
 from pistachiodeal.wire.job_messages import Label, OrderOutcome, WorkerReport
@@ -46,15 +46,15 @@
 
     def __init__(self, adviser: FakeAdviser, workers: int) -> None:
         events = create_quiet_log()
-        self.book = JobBook(events)
+        self.registry = JobRegistry(events)
         fleet = Fleet()
         model = InterferenceModel()
         self.advice = AdviceKeeper(adviser, events, self.note_change)
         self.reconciler = reconciler = Reconciler(
-            self.book, fleet, model, events, advice=self.advice
+            self.registry, fleet, model, events, advice=self.advice
         )
         self.planner = Planner(
-            self.book,
+            self.registry,
             fleet,
             reconciler,
             model,
@@ -63,7 +63,7 @@
             events=events,
             advice=self.advice,
         )
-        self.book.add(build_job(1, count=2, steps=1), 0.0)
+        self.registry.add(build_job(1, count=2, steps=1), 0.0)
         self.attachments = [Attachment(f"n{n}", n + 1) for n in range(workers)]
         for number, attachment in enumerate(self.attachments):
             fleet.get(f"n{number}").attachment = attachment
@@ -84,7 +84,7 @@
 
     def list_tickets(self) -> set[tuple[str, str]]:
         """Return place and ticket of each placed task."""
-        tasks = self.book.records[KEY[0]].iterate_tasks()
+        tasks = self.registry.records[KEY[0]].iterate_tasks()
         return {(task.place, task.ticket) for task in tasks if task.place}
 
     async def run(self, for_s: float) -> None:
@@ -138,7 +138,7 @@
     """
     adviser = FakeAdviser({"w1"})
     stage = Stage(adviser, 4)
-    for task in stage.book.records[KEY[0]].iterate_tasks():
+    for task in stage.registry.records[KEY[0]].iterate_tasks():
         task.crashes = task.blames = 1
     curio.run(stage.run, 0.1)
     assert stage.list_tickets() == {("n1/w1", "t-w1")}
@@ -165,7 +165,7 @@
     stage = Stage(adviser, 2)
     curio.run(stage.run, 0.05)
     assert stage.list_tickets() == {("n1/w1", "t-w1")}
-    tasks = list(stage.book.records[KEY[0]].iterate_tasks())
+    tasks = list(stage.registry.records[KEY[0]].iterate_tasks())
     stage.report(
         1, [OrderOutcome(str(task.name), 1, "refused", "no_ticket") for task in tasks]
     )
--- a/tests/unit/test_leader_commits.py
+++ b/tests/unit/test_leader_commits.py
@@ -11,9 +11,9 @@
 from pistachiodeal.jobs.model import EndKind, JobState
 from pistachiodeal.jobs.record import read_state
 from pistachiodeal.jobs.rows import UNDIVIDED_PARTITION
-from pistachiodeal.leader.book import JobBook
 from pistachiodeal.leader.commits import Authority, CommitLog
 from pistachiodeal.leader.leadership import WRITERS, Leadership
+from pistachiodeal.leader.registry import JobRegistry
 from pistachiodeal.store.row_store import (
     ABSENT,
     RowCondition,
@@ -38,16 +38,20 @@
     return Authority(epoch, result.version, now, now)
 
 
-def create_leader(state: RowsState) -> tuple[JobBook, CommitLog, list[str]]:
+def create_leader(state: RowsState) -> tuple[JobRegistry, CommitLog, list[str]]:
     """Return a leader with one job whose only task is placed."""
     events = create_quiet_log()
-    book = JobBook(events)
+    registry = JobRegistry(events)
     job = build_job(1, count=1, steps=1)
-    book.add(job, 0.0)
+    registry.add(job, 0.0)
     seen: list[str] = []
-    task = next(book.records[job.job_id].iterate_tasks())
-    book.place(task, 1, "node/worker", lambda: seen.append("ordered"))
-    return book, CommitLog(MemoryRows(state), take_office(state, 1, 0), events), seen
+    task = next(registry.records[job.job_id].iterate_tasks())
+    registry.place(task, 1, "node/worker", lambda: seen.append("ordered"))
+    return (
+        registry,
+        CommitLog(MemoryRows(state), take_office(state, 1, 0), events),
+        seen,
+    )
 
 
 def test_an_order_leaves_only_once_its_decision_is_durable():
@@ -57,9 +61,9 @@
 
     async def main():
         state = RowsState()
-        book, commits, seen = create_leader(state)
+        registry, commits, seen = create_leader(state)
         assert seen == []
-        await commits.write(book)
+        await commits.write(registry)
         assert seen == ["ordered"]
         assert ("progress", build_job(1).job_id) in state.rows
 
@@ -73,10 +77,10 @@
 
     async def main():
         state = RowsState()
-        book, commits, seen = create_leader(state)
+        registry, commits, seen = create_leader(state)
         take_office(state, 2, state.rows["control", "leader"].version)
         with pytest.raises(FencedError):
-            await commits.write(book)
+            await commits.write(registry)
         assert seen == []
         assert ("progress", build_job(1).job_id) not in state.rows
 
@@ -93,7 +97,7 @@
 
     async def main():
         state = RowsState()
-        book, commits, _ = create_leader(state)
+        registry, commits, _ = create_leader(state)
         late: list[Transaction] = []
 
         class LateRows(MemoryRows):
@@ -102,11 +106,11 @@
                 return await super().commit(transaction)
 
         commits._store = LateRows(state)  # noqa: SLF001
-        await commits.write(book)
-        record = book.records[build_job(1).job_id]
+        await commits.write(registry)
+        record = registry.records[build_job(1).job_id]
         task = next(record.iterate_tasks())
-        book.end_run(task, EndKind.DONE, "", lambda: None)
-        await commits.write(book)
+        registry.end_run(task, EndKind.DONE, "", lambda: None)
+        await commits.write(registry)
         assert not state.apply(late[0]).committed
         row: StoredRow = state.rows["progress", record.job_id]
         assert read_state(row.value) is JobState.COMPLETED
@@ -121,14 +125,14 @@
 
     async def main():
         state = RowsState()
-        book, commits, seen = create_leader(state)
+        registry, commits, seen = create_leader(state)
         state.faults.lost = 1.0
-        writing = await curio.spawn(commits.write, book)
+        writing = await curio.spawn(commits.write, registry)
         await curio.sleep(0.05)
         state.faults.lost = 0.0
         await curio.timeout_after(2.0, writing.join)
         assert seen == ["ordered"]
-        assert book.records[build_job(1).job_id].row_version != ABSENT
+        assert registry.records[build_job(1).job_id].row_version != ABSENT
 
     curio.run(main)
 
@@ -153,9 +157,9 @@
 
         def decide(number: int) -> None:
             job = build_job(number, count=1, steps=1)
-            leadership.book.add(job, 0.0)
-            task = next(leadership.book.records[job.job_id].iterate_tasks())
-            leadership.book.place(
+            leadership.registry.add(job, 0.0)
+            task = next(leadership.registry.records[job.job_id].iterate_tasks())
+            leadership.registry.place(
                 task,
                 1,
                 "node/worker",
@@ -185,17 +189,17 @@
     Sequence: a job changes again while its row is being written. Cause to guard
     against: two writes of one row on their way, carried out in the wrong order.
     """
-    book, _, _ = create_leader(RowsState())
-    batch = book.take_unsaved(10)
+    registry, _, _ = create_leader(RowsState())
+    batch = registry.begin_writes(10)
     assert [record.job_id for record, _ in batch] == [build_job(1).job_id]
     task = next(batch[0][0].iterate_tasks())
-    book.requeue(task)
-    assert book.has_unsaved
-    assert not book.has_writable
-    assert book.take_unsaved(10) == []
-    book.note_written(build_job(1).job_id)
-    assert book.has_writable
-    assert len(book.take_unsaved(10)) == 1
+    registry.requeue(task)
+    assert registry.has_unsaved
+    assert not registry.has_writable
+    assert registry.begin_writes(10) == []
+    registry.finish_write(build_job(1).job_id)
+    assert registry.has_writable
+    assert len(registry.begin_writes(10)) == 1
 
 
 def test_a_write_whose_answer_was_lost_is_not_written_once_more():
@@ -207,10 +211,10 @@
 
     async def main() -> tuple[int, list[str]]:
         state = RowsState()
-        book, commits, seen = create_leader(state)
+        registry, commits, seen = create_leader(state)
         before = state.transactions
         state.faults.lost = 1.0
-        writer = await curio.spawn(commits.write, book)
+        writer = await curio.spawn(commits.write, registry)
         while state.transactions == before:
             await curio.sleep(0.005)
         state.faults.lost = 0.0
@@ -231,13 +235,13 @@
     async def main() -> RowsState:
         state = RowsState()
         state.faults.transaction_s = 0.001
-        book, commits, _ = create_leader(state)
-        record = book.records[build_job(1).job_id]
+        registry, commits, _ = create_leader(state)
+        record = registry.records[build_job(1).job_id]
         record.undivided = True
         for partition in ("", UNDIVIDED_PARTITION):
             write = RowWrite("jobs", record.job_id, b"row", partition)
             state.apply(Transaction((), (write,)))
-        await commits.write(book)
+        await commits.write(registry)
         assert await commits.remove([record])
         return state
 
@@ -257,10 +261,10 @@
 
     async def main() -> tuple[float, float]:
         state = RowsState()
-        book, commits, _ = create_leader(state)
+        registry, commits, _ = create_leader(state)
         state.faults.slow_s = 0.3
         asked_at = read_boot_clock()
-        await commits.write(book)
+        await commits.write(registry)
         return commits.confirmed_at, asked_at
 
     confirmed_at, asked_at = curio.run(main)
--- a/tests/unit/test_leader_crashes.py
+++ b/tests/unit/test_leader_crashes.py
@@ -11,11 +11,11 @@
 from pistachiodeal.config.deployment import LimitSettings
 from pistachiodeal.jobs.model import Job, JobState, LossCause, Queue, Step
 from pistachiodeal.jobs.record import apply_progress, build_record, encode_progress
-from pistachiodeal.leader.book import JobBook
 from pistachiodeal.leader.crashes import VERDICT_S
 from pistachiodeal.leader.planner import Planner
-from pistachiodeal.leader.probation import PATIENCE_S
 from pistachiodeal.leader.reconcile import Reconciler
+from pistachiodeal.leader.registry import JobRegistry
+from pistachiodeal.leader.suspect_placer import PATIENCE_S
 from pistachiodeal.leader.workers import Attachment, Fleet
 from pistachiodeal.model.resources import Resources
 from pistachiodeal.scheduling.interference import InterferenceModel
@@ -43,21 +43,21 @@
 SIZE = Resources(1_000, 1_000, 0)
 
 
-class Stage:
+class LeaderHarness:
     """A leader and workers that are told of by hand; time is moved by hand as well."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, racks: list[str]) -> None:
         self._now = read_boot_clock()
-        for module in ("reconcile", "planner", "book"):
+        for module in ("reconcile", "planner", "registry"):
             monkeypatch.setattr(
                 f"pistachiodeal.leader.{module}.read_boot_clock", lambda: self._now
             )
         events = create_quiet_log()
-        self.book, self.fleet = JobBook(events), Fleet()
+        self.registry, self.fleet = JobRegistry(events), Fleet()
         model = InterferenceModel()
-        self.reconciler = Reconciler(self.book, self.fleet, model, events)
+        self.reconciler = Reconciler(self.registry, self.fleet, model, events)
         self.planner = Planner(
-            self.book,
+            self.registry,
             self.fleet,
             self.reconciler,
             model,
@@ -82,17 +82,17 @@
     def add(self, number: int, step: Step) -> Job:
         """Hand in a job of one step."""
         job = Job(f"{number:016x}", QUEUE, "text", (step,), time.time())
-        self.book.add(job, time.time())
+        self.registry.add(job, time.time())
         return job
 
     def find(self, job: Job, index: int = 0):
         """Return a task."""
-        return self.book.find_task(f"{job.job_id}.0.0.{index}")
+        return self.registry.find_task(f"{job.job_id}.0.0.{index}")
 
     def report(self, number: int, losses=(), **fields) -> None:
         """Apply a report in which the worker lists every run that it was given."""
         worker = f"w{number}-{self.lives[number]}"
-        runs = self.book.get_runs(f"n{number}/{worker}").values()
+        runs = self.registry.get_runs(f"n{number}/{worker}").values()
         self.percent = self.percent % 99 + 1
         running = [
             RunningTask(str(task.name), task.run, "", self.percent, 0) for task in runs
@@ -111,7 +111,7 @@
         self, number: int, ages_ms: dict[str, int], cause=LossCause.CRASHED
     ) -> None:
         """Let a worker end and come back; ``ages_ms`` is by task."""
-        runs = self.book.get_runs(f"n{number}/w{number}-{self.lives[number]}")
+        runs = self.registry.get_runs(f"n{number}/w{number}-{self.lives[number]}")
         lost = tuple(
             LostRun(name, task.run, ages_ms.get(name, 60_000))
             for name, task in runs.items()
@@ -130,11 +130,11 @@
 
 
 @pytest.fixture
-def stage(monkeypatch) -> Stage:
-    return Stage(monkeypatch, ["r1", "r1", "r2", "r2", "r3", "r3"])
+def stage(monkeypatch) -> LeaderHarness:
+    return LeaderHarness(monkeypatch, ["r1", "r1", "r2", "r2", "r3", "r3"])
 
 
-def place(stage: Stage, seconds: float = VERDICT_S + 0.01) -> None:
+def place(stage: LeaderHarness, seconds: float = VERDICT_S + 0.01) -> None:
     """Let a moment pass, and decide."""
     stage.wait(seconds)
     stage.planner.plan()
@@ -149,9 +149,9 @@
     for _ in range(2):
         place(stage)
         stage.crash_under(task)
-    assert stage.book.records[job.job_id].state is JobState.ACTIVE
+    assert stage.registry.records[job.job_id].state is JobState.ACTIVE
     place(stage)
-    assert stage.book.records[job.job_id].state is JobState.FAILED
+    assert stage.registry.records[job.job_id].state is JobState.FAILED
     assert task.run == 2
 
 
@@ -163,8 +163,8 @@
     job = stage.add(1, Step(2, SIZE, 2.0))
     guilty, neighbour = stage.find(job, 0), stage.find(job, 1)
     place(stage)
-    stage.book.requeue(neighbour)
-    stage.book.place(neighbour, 1, guilty.place, lambda: None)
+    stage.registry.requeue(neighbour)
+    stage.registry.place(neighbour, 1, guilty.place, lambda: None)
     ages_ms = {str(guilty.name): 8, str(neighbour.name): 7}
     stage.lose(stage.find_node(guilty), ages_ms)
     assert is_suspect(guilty)
@@ -184,7 +184,7 @@
     old = stage.find(stage.add(1, Step(1, SIZE, 90.0)))
     place(stage)
     guilty = stage.find(stage.add(2, Step(1, SIZE, 2.0)))
-    stage.book.place(guilty, 1, old.place, lambda: None)
+    stage.registry.place(guilty, 1, old.place, lambda: None)
     ages_ms = {str(guilty.name): 8, str(old.name): 5_000}
     stage.lose(stage.find_node(old), ages_ms)
     assert (guilty.blames, guilty.crashes) == (BLAME_AT_ONCE, 1)
@@ -222,7 +222,7 @@
     place(stage, 0.05)
     stage.lose(mate, {})
     place(stage)
-    assert stage.book.records[job.job_id].state is JobState.ACTIVE
+    assert stage.registry.records[job.job_id].state is JobState.ACTIVE
     assert (task.crashes, task.blames) == (1, BLAME_AT_ONCE)
 
 
@@ -230,10 +230,10 @@
     """The round of decisions that gave a job up went on to place its other steps."""
     steps = (Step(1, SIZE, 2.0), Step(4, SIZE, 2.0))
     job = Job(f"{1:016x}", QUEUE, "text", steps, time.time())
-    stage.book.add(job, time.time())
+    stage.registry.add(job, time.time())
     stage.find(job).crashes = CRASHES_TO_GIVE_UP
     place(stage)
-    record = stage.book.records[job.job_id]
+    record = stage.registry.records[job.job_id]
     assert record.state is JobState.FAILED
     assert not any(task.place for task in record.iterate_tasks())
 
@@ -291,7 +291,7 @@
     task = stage.find(stage.add(1, Step(1, SIZE, 2.0)))
     place(stage)
     number = stage.find_node(task)
-    stage.book.place(task, 2, task.place, lambda: None)
+    stage.registry.place(task, 2, task.place, lambda: None)
     loss = WorkerLoss(f"w{number}-1", "crashed", 0, (LostRun(str(task.name), 1, 8),))
     stage.lives[number] += 1
     stage.report(number, (loss,))
@@ -319,7 +319,7 @@
     task = stage.find(job)
     place(stage)
     stage.crash_under(task)
-    value = encode_progress(stage.book.records[job.job_id])
+    value = encode_progress(stage.registry.records[job.job_id])
     successor = build_record(job)
     apply_progress(successor, value, 7)
     restored = next(successor.iterate_tasks())
@@ -341,11 +341,13 @@
     task = stage.find(stage.add(1, Step(1, SIZE, 2.0)))
     elsewhere = stage.fleet.get("n5").place
     assert host.place != elsewhere
-    stage.book.place(task, 1, elsewhere, lambda: None)
+    stage.registry.place(task, 1, elsewhere, lambda: None)
     stage.crash_under(task)
     for number in set(range(6)) - {stage.find_node(host)}:
         filler = stage.find(stage.add(20 + number, Step(1, Resources(8_000), 60.0)))
-        stage.book.place(filler, 1, stage.fleet.get(f"n{number}").place, lambda: None)
+        stage.registry.place(
+            filler, 1, stage.fleet.get(f"n{number}").place, lambda: None
+        )
     for number in range(6):
         stage.report(number)
     place(stage)
@@ -375,7 +377,7 @@
     """A task that was ordered a moment before a suspect for the same worker began with
     it, and shared the blame.
     """
-    stage = Stage(monkeypatch, ["r1"])
+    stage = LeaderHarness(monkeypatch, ["r1"])
     stage.find(stage.add(1, Step(1, SIZE, 2.0)))
     place(stage)
     suspect = stage.find(stage.add(2, Step(1, SIZE, 2.0)))
@@ -391,13 +393,13 @@
     """A fleet that starts a task every few milliseconds has a start on its way to each
     worker all the time.
     """
-    stage = Stage(monkeypatch, ["r1"])
+    stage = LeaderHarness(monkeypatch, ["r1"])
     suspect = stage.find(stage.add(1, Step(1, SIZE, 2.0)))
     suspect.crashes = suspect.blames = 1
     for number in range(2, 9):
         other = stage.find(stage.add(number, Step(1, SIZE, 2.0)))
         stage.report(0)
-        stage.book.place(other, 1, stage.fleet.get("n0").place, lambda: None)
+        stage.registry.place(other, 1, stage.fleet.get("n0").place, lambda: None)
         place(stage, 0.2)
     assert suspect.waits
     place(stage, PATIENCE_S)
@@ -419,7 +421,7 @@
         stage.report(number)
     for other in others:
         if stage.find_node(stage.find(other)) == first:
-            stage.book.requeue(stage.find(other))
+            stage.registry.requeue(stage.find(other))
     place(stage)
     assert task.place
     assert stage.find_node(task) != first
@@ -472,11 +474,11 @@
     job = stage.add(1, Step(1, SIZE, 9.0))
     task = stage.find(job)
     for _ in range(CRASHES_TO_GIVE_UP):
-        assert stage.book.records[job.job_id].state is not JobState.FAILED
+        assert stage.registry.records[job.job_id].state is not JobState.FAILED
         place(stage)
         stage.crash_under(task, age_ms=4_000)
     place(stage)
-    assert stage.book.records[job.job_id].state is JobState.FAILED
+    assert stage.registry.records[job.job_id].state is JobState.FAILED
 
 
 def test_where_workers_crash_by_themselves_two_crashes_settle_nothing(stage):
@@ -491,7 +493,7 @@
         place(stage)
         stage.crash_under(task, age_ms=age_ms)
     place(stage)
-    assert stage.book.records[job.job_id].state is JobState.ACTIVE
+    assert stage.registry.records[job.job_id].state is JobState.ACTIVE
     assert task.blames == BLAME_FRESH + (BLAME_AT_ONCE - 1) + (BLAME_FRESH - 1)
 
 
@@ -503,11 +505,11 @@
     idle = next(one for one in range(6) if one != stage.find_node(task))
     stage.lose(idle, {})
     for _ in range(3):
-        assert stage.book.records[job.job_id].state is not JobState.FAILED
+        assert stage.registry.records[job.job_id].state is not JobState.FAILED
         place(stage)
         stage.crash_under(task)
     place(stage)
-    assert stage.book.records[job.job_id].state is JobState.FAILED
+    assert stage.registry.records[job.job_id].state is JobState.FAILED
 
 
 def test_bystanders_of_crashes_do_not_wait_in_line(stage):
@@ -538,7 +540,7 @@
         stage.wait(SOUND_S)
         stage.report(number)
         stage.lose(number, {str(task.name): int(SOUND_S * 1_000)})
-    assert stage.book.records[task.name.job_id].state is JobState.ACTIVE
+    assert stage.registry.records[task.name.job_id].state is JobState.ACTIVE
 
 
 def test_who_began_last_is_blamed():
@@ -556,15 +558,15 @@
 
 def test_one_worker_that_ends_again_and_again_costs_no_job(monkeypatch):
     """A sound job is given up for a runner that starts and ends by itself in a loop."""
-    stage = Stage(monkeypatch, ["r1"])
+    stage = LeaderHarness(monkeypatch, ["r1"])
     job = stage.add(1, Step(1, SIZE, 2.0))
     task = stage.find(job)
     for _ in range(CRASHES_TO_GIVE_UP - 1):
         place(stage)
         stage.crash_under(task)
-        assert stage.book.records[job.job_id].state is JobState.ACTIVE
+        assert stage.registry.records[job.job_id].state is JobState.ACTIVE
     assert task.blames == BLAME_AT_ONCE
     place(stage)
     stage.crash_under(task)
     place(stage)
-    assert stage.book.records[job.job_id].state is JobState.FAILED
+    assert stage.registry.records[job.job_id].state is JobState.FAILED
--- a/tests/unit/test_leader_fleet_views.py
+++ b/tests/unit/test_leader_fleet_views.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from pistachiodeal.clock import read_boot_clock
-from pistachiodeal.leader.book import JobBook
 from pistachiodeal.leader.fleet_views import FleetViews
+from pistachiodeal.leader.registry import JobRegistry
 from pistachiodeal.leader.workers import Attachment, Fleet
 from tests.standins.job_cluster import create_quiet_log
 
@@ -25,8 +25,8 @@
 
 def test_suspects_are_closed():
     """The load: one worker of six fails what it starts."""
-    book = JobBook(create_quiet_log())
-    views = FleetViews(book, build_fleet(6, 1)).refresh(read_boot_clock())["svc"]
+    registry = JobRegistry(create_quiet_log())
+    views = FleetViews(registry, build_fleet(6, 1)).refresh(read_boot_clock())["svc"]
     assert [view.closed for view in views] == [True] + [False] * 5
 
 
@@ -34,6 +34,6 @@
     """Symptom: nothing is placed for seconds. Sequence: many jobs come that fail
     everywhere, so most workers see failures in a row. Cause: all became suspects.
     """
-    book = JobBook(create_quiet_log())
-    views = FleetViews(book, build_fleet(6, 3)).refresh(read_boot_clock())["svc"]
+    registry = JobRegistry(create_quiet_log())
+    views = FleetViews(registry, build_fleet(6, 3)).refresh(read_boot_clock())["svc"]
     assert not any(view.closed or view.probing for view in views)
--- a/tests/unit/test_leader_planner.py
+++ b/tests/unit/test_leader_planner.py
@@ -10,9 +10,9 @@
 
 from pistachiodeal.config.deployment import LimitSettings
 from pistachiodeal.jobs.model import EndKind, Job, Queue, Step
-from pistachiodeal.leader.book import JobBook
 from pistachiodeal.leader.planner import SLICE_S, Planner
 from pistachiodeal.leader.reconcile import Reconciler
+from pistachiodeal.leader.registry import JobRegistry
 from pistachiodeal.leader.workers import Attachment, Fleet
 from pistachiodeal.model.resources import Resources
 from pistachiodeal.scheduling import placement
@@ -29,11 +29,11 @@
 
     def __init__(self, workers: int = WORKERS) -> None:
         events = create_quiet_log()
-        self.book, self.fleet = JobBook(events), Fleet()
+        self.registry, self.fleet = JobRegistry(events), Fleet()
         model = InterferenceModel()
-        reconciler = Reconciler(self.book, self.fleet, model, events)
+        reconciler = Reconciler(self.registry, self.fleet, model, events)
         self.planner = Planner(
-            self.book,
+            self.registry,
             self.fleet,
             reconciler,
             model,
@@ -52,7 +52,7 @@
         """Hand in a job of one step."""
         step = Step(count, Resources(cpu_milli, 1_000, 0), 2.0)
         job = Job(f"{number:016x}", QUEUE, "text", (step,), time.time())
-        self.book.add(job, time.time())
+        self.registry.add(job, time.time())
         return job
 
     def plan_all(self) -> None:
@@ -62,7 +62,7 @@
 
     def count_placed(self, job: Job) -> int:
         """Return how many tasks of a job have a place."""
-        record = self.book.records[job.job_id]
+        record = self.registry.records[job.job_id]
         return sum(1 for task in record.iterate_tasks() if task.place)
 
 
@@ -94,7 +94,7 @@
     for number in range(50):
         cluster.add(2 + number, 5, 8_000)
     cluster.plan_all()
-    cluster.fleet.get("n7").stamp += 1
+    cluster.fleet.get("n7").generation += 1
     with count_weighed(monkeypatch) as weighed:
         cluster.plan_all()
     assert set(weighed) == {"n7"}
@@ -111,8 +111,8 @@
     second = cluster.add(2, 1, 15_000)
     cluster.plan_all()
     assert (cluster.count_placed(first), cluster.count_placed(second)) == (WORKERS, 0)
-    task = next(cluster.book.records[first.job_id].iterate_tasks())
-    cluster.book.end_run(task, EndKind.DONE, "", lambda: None)
+    task = next(cluster.registry.records[first.job_id].iterate_tasks())
+    cluster.registry.end_run(task, EndKind.DONE, "", lambda: None)
     cluster.plan_all()
     assert cluster.count_placed(second) == 1
 
--- a/tests/unit/test_leader_sessions.py
+++ b/tests/unit/test_leader_sessions.py
@@ -7,8 +7,8 @@
 import curio
 
 from pistachiodeal.clock import read_boot_clock
-from pistachiodeal.leader.book import JobBook
 from pistachiodeal.leader.reconcile import Reconciler
+from pistachiodeal.leader.registry import JobRegistry
 from pistachiodeal.leader.sessions import GRANT_S, LOST_MARGIN_S, AgentSessions
 from pistachiodeal.leader.workers import Fleet
 from pistachiodeal.scheduling.interference import InterferenceModel
@@ -81,7 +81,7 @@
         self.commits, self.fleet = FakeCommits(), Fleet()
         self.closures = FakeClosures()
         reconciler = Reconciler(
-            JobBook(events), self.fleet, InterferenceModel(), events
+            JobRegistry(events), self.fleet, InterferenceModel(), events
         )
         self.sessions = AgentSessions(
             self.commits,  # type: ignore[arg-type]
--- a/tests/unit/test_shrinking_workers.py
+++ b/tests/unit/test_shrinking_workers.py
@@ -17,15 +17,15 @@
 from tests.unit.test_job_cluster import check, wait_until_begun
 from tests.unit.test_jobagent_executor import SETTLE_S, build_stage
 from tests.unit.test_jobagent_ledger import build_beat, create_ledger
-from tests.unit.test_leader_crashes import Stage, place
+from tests.unit.test_leader_crashes import LeaderHarness, place
 
 SMALL = Resources(2_000, 2_000, 0)
 JOB = "0123456789abcdef"
 
 
 @pytest.fixture
-def leader(monkeypatch) -> Stage:
-    return Stage(monkeypatch, ["r1", "r2"])
+def leader(monkeypatch) -> LeaderHarness:
+    return LeaderHarness(monkeypatch, ["r1", "r2"])
 
 
 def build_order(index: int) -> RunOrder:
@@ -117,18 +117,18 @@
     number = leader.find_node(keeper)
     worker = leader.fleet.get(f"n{number}")
     old = leader.find(leader.add(2, Step(1, Resources(1_000, 15_000, 0), 9.0)))
-    leader.book.place(old, 1, worker.place, lambda: None)
+    leader.registry.place(old, 1, worker.place, lambda: None)
     leader.report(number)
     leader.wait(3.0)
     young = leader.find(leader.add(3, Step(1, Resources(1_000, 15_000, 0), 9.0)))
-    leader.book.place(young, 1, worker.place, lambda: None)
+    leader.registry.place(young, 1, worker.place, lambda: None)
     leader.report(number)
     leader.wait(0.5)
     # It has begun last of all and would be the cheapest, and it lasts.
     guest = leader.find(
         leader.add(5, Step(1, Resources(0, 3_000, 0), 60.0, lasts=True))
     )
-    leader.book.place(guest, 1, worker.place, lambda: None)
+    leader.registry.place(guest, 1, worker.place, lambda: None)
     leader.report(number)
     leader.report(number, room=Resources(2_000, 64_000, 0))
     place(leader, 3.0)
@@ -146,7 +146,7 @@
     late = leader.find(leader.add(4, Step(1, Resources(1_000, 1_000, 0), 9.0)))
     place(leader)
     assert late.waits, "what is being stopped still counts"
-    leader.book.requeue(young)
+    leader.registry.requeue(young)
     place(leader)
     assert leader.find_node(late) == number
 
