--- a/pistachiodeal/leader/crashes.py
+++ b/pistachiodeal/leader/crashes.py
@@ -24,11 +24,11 @@
 
 # Suspects wait this long after a crash: by then the agents of a rack that lost its
 # power have told of it, and nobody is given up for that.
-VERDICT_S = 0.6
+RACK_CHECK_DELAY_S = 0.6
 # A worker that crashed is expected back within this time, and remembered for it.
-AWAY_S = 10.0
+RECOVERY_WINDOW_S = 10.0
 # Longer than any agent tells of a crash.
-HEARD_S = 60.0
+DEDUP_WINDOW_S = 60.0
 
 
 @dataclass(slots=True)
@@ -38,7 +38,7 @@
     :param at: seconds of the boot clock.
     :param suspected: whether a suspect was at work on it.
     :param explained: whether a task that had just begun is the likely cause.
-    :param counted: tasks that it was counted against.
+    :param counted_tasks: tasks that it was counted against.
     :param blames: how much was counted against those that were blamed.
     """
 
@@ -47,9 +47,9 @@
     incarnation: str
     suspected: bool
     explained: bool
-    counted: list[Task] = field(default_factory=list)
+    counted_tasks: list[Task] = field(default_factory=list)
     blames: dict[str, int] = field(default_factory=dict)
-    settled: bool = False
+    checked: bool = False
 
 
 class CrashTracker:
@@ -64,19 +64,19 @@
         self._events = events
         self._recent: list[_Crash] = []
         # Agents tell of a crash until they are answered, and again on a new link.
-        self._heard: dict[str, float] = {}
+        self._reported_at: dict[str, float] = {}
 
-    def note_crash(self, worker: WorkerState, loss: WorkerLoss, now: float) -> None:
+    def record_crash(self, worker: WorkerState, loss: WorkerLoss, now: float) -> None:
         """Count a crash against the tasks that were at work, before they are freed.
 
         One of an idle worker counts against nobody, and still shows that a rack fails.
         """
         place = build_place(worker.node, loss.worker)
-        if place in self._heard:
+        if place in self._reported_at:
             return
-        self._heard[place] = now
+        self._reported_at[place] = now
         runs = self._registry.get_runs(place)
-        at_work = [
+        active_runs = [
             Casualty(
                 one.task,
                 one.age_ms / 1000 if one.age_ms >= 0 else None,
@@ -86,38 +86,38 @@
             if one.task in runs and runs[one.task].run == one.run
         ]
         restless = any(not one.explained for one in self._recent)
-        verdict = judge(at_work, restless=restless)
+        attribution = judge(active_runs, restless=restless)
         # A runner that starts and ends in a loop hits a task more than once; only its
         # end under another task, or of another worker under this one, tells them apart.
         blames = {
             name: weight
-            for name, weight in verdict.blames.items()
+            for name, weight in attribution.blames.items()
             if not (runs[name].blames and worker.node in runs[name].avoid)
         }
         crash = _Crash(
             now - loss.ago_ms / 1000,
             worker,
             loss.worker,
-            suspected=any(one.suspect for one in at_work),
-            explained=verdict.explained,
+            suspected=any(one.suspect for one in active_runs),
+            explained=attribution.explained,
             blames=blames,
         )
-        for one in at_work:
-            if one.task not in verdict.involved:
+        for one in active_runs:
+            if one.task not in attribution.involved:
                 continue
             task = runs[one.task]
-            crash.counted.append(task)
+            crash.counted_tasks.append(task)
             task.crashes += 1
             task.blames += blames.get(one.task, 0)
             if is_suspect(task):
                 # It may be the worker that ends whatever begins there; emptied by its
                 # end it would be the first choice again.
                 task.avoid |= {worker.node}
-                task.held_until = max(task.held_until, crash.at + VERDICT_S)
-            self._log_count(task, one.age_s)
+                task.held_until = max(task.held_until, crash.at + RACK_CHECK_DELAY_S)
+            self._log_suspect(task, one.age_s)
         self._recent.append(crash)
 
-    def note_at_work(self, task: Task) -> None:
+    def clear_if_stable(self, task: Task) -> None:
         """Clear a task that has been at work without a crash."""
         worked_s = task.seen_at - task.began_at
         if task.blames and worked_s >= FRESH_S:
@@ -128,50 +128,54 @@
         if worked_s >= SOUND_S:
             task.crashes = 0
 
-    def settle(self, now: float) -> None:
+    def revert_rack_failures(self, now: float) -> None:
         """Take back what was counted for crashes that their rack explains."""
         for crash in self._recent:
-            if crash.settled or now - crash.at < VERDICT_S:
+            if crash.checked or now - crash.at < RACK_CHECK_DELAY_S:
                 continue
-            crash.settled = True
-            if crash.counted and self._did_rack_fail(crash):
-                self._take_back(crash)
-        self._recent = [one for one in self._recent if now - one.at < AWAY_S]
-        self._heard = {
-            place: at for place, at in self._heard.items() if now - at < HEARD_S
+            crash.checked = True
+            if crash.counted_tasks and self._did_rack_fail(crash):
+                self._revert_counts(crash)
+        self._recent = [one for one in self._recent if now - one.at < RECOVERY_WINDOW_S]
+        self._reported_at = {
+            place: at
+            for place, at in self._reported_at.items()
+            if now - at < DEDUP_WINDOW_S
         }
 
-    def count_away(self) -> int:
+    def count_unrecovered(self) -> int:
         """Return how many workers crashed under a suspect and are not back."""
-        return len({one.worker.node for one in self._recent if self._is_away(one)})
+        return len(
+            {one.worker.node for one in self._recent if self._is_unrecovered(one)}
+        )
 
-    def _is_away(self, crash: _Crash) -> bool:
+    def _is_unrecovered(self, crash: _Crash) -> bool:
         worker = crash.worker
         back = worker.schedulable and worker.worker != crash.incarnation
         return crash.suspected and not back
 
     def _did_rack_fail(self, crash: _Crash) -> bool:
         """Tell whether all other workers of the rack crashed at the same moment."""
-        together = {
+        crashed_together = {
             one.worker.node
             for one in self._recent
             if one is not crash and abs(one.at - crash.at) <= POWER_WINDOW_S
         }
-        mates = [
-            other.node in together
+        peers = [
+            other.node in crashed_together
             for other in self._fleet.workers.values()
             if other is not crash.worker
             and other.rack == crash.worker.rack
-            and (other.worker or other.node in together)
+            and (other.worker or other.node in crashed_together)
         ]
-        return bool(mates) and all(mates)
+        return bool(peers) and all(peers)
 
-    def _take_back(self, crash: _Crash) -> None:
-        for task in crash.counted:
+    def _revert_counts(self, crash: _Crash) -> None:
+        for task in crash.counted_tasks:
             task.crashes = max(0, task.crashes - 1)
             blames = crash.blames.get(str(task.name), 0)
             task.blames = max(0, task.blames - blames)
-            self._registry.touch(task)
+            self._registry.mark_unsaved(task)
             self._events.emit(
                 "task.pardoned",
                 task=str(task.name),
@@ -181,7 +185,7 @@
                 blames=task.blames,
             )
 
-    def _log_count(self, task: Task, age_s: float | None) -> None:
+    def _log_suspect(self, task: Task, age_s: float | None) -> None:
         self._events.emit(
             "task.suspect",
             task=str(task.name),
--- a/pistachiodeal/leader/descheduler.py
+++ b/pistachiodeal/leader/descheduler.py
@@ -30,15 +30,15 @@
 LEAVE_MARGIN_S = 0.2
 # A worker that has too little memory for its runs may have it back soon; after this
 # long the runs that cost least go. The machine would else end one of its own choice.
-SHRUNK_S = 1.0
+SHORTAGE_GRACE_S = 1.0
 # The pace comes back with the swing of the serving tasks' own load within a few
 # seconds; a task that saves its progress is better off elsewhere before that.
 HELD_BACK_S = 1.0
 # What saves nothing and is this far on is paced to its end where it is.
-RESTART_PERCENT = 40
+MAX_RESTART_PERCENT = 40
 
 
-class Mover:
+class Descheduler:
     """Stops runs that have to go on elsewhere."""
 
     def __init__(
@@ -55,15 +55,15 @@
         self._reconciler = reconciler
         self._short_since: dict[str, float] = {}
 
-    def move(self, now: float) -> None:
+    def run(self, now: float) -> None:
         """Stop what has to go on elsewhere.
 
         :param now: seconds of the boot clock.
         """
         self._stop_stalled(now)
-        self._leave_draining(now)
-        self._free_paced(now)
-        self._fit_memory(now)
+        self._stop_on_draining_workers(now)
+        self._stop_held_back(now)
+        self._relieve_memory_shortage(now)
 
     def _stop_stalled(self, now: float) -> None:
         for worker in self._fleet.workers.values():
@@ -85,20 +85,20 @@
         expected_s = self._registry.get_expected_s(task)
         return task.seen_at - task.moved_at > max(STALL_S, expected_s * STALL_SHARE)
 
-    def _leave_draining(self, now: float) -> None:
+    def _stop_on_draining_workers(self, now: float) -> None:
         for worker in self._fleet.workers.values():
             if not worker.draining or not worker.listed:
                 continue
-            left_s = worker.leaving_at - now - self._stop_s - LEAVE_MARGIN_S
+            available_s = worker.leaving_at - now - self._stop_s - LEAVE_MARGIN_S
             for task in list(self._registry.get_runs(worker.place).values()):
                 if (
                     task.running
                     and not task.stopping
-                    and self._must_leave(task, left_s)
+                    and self._must_leave(task, available_s)
                 ):
                     self._reconciler.stop(task, "its worker is leaving")
 
-    def _free_paced(self, now: float) -> None:
+    def _stop_held_back(self, now: float) -> None:
         """Stop filling tasks that hardly move beside their neighbours."""
         for worker in self._fleet.workers.values():
             if not worker.listed or worker.attachment is None:
@@ -109,7 +109,7 @@
                 task.avoid |= {worker.node}
                 self._reconciler.stop(task, "its neighbours leave it no pace")
 
-    def _fit_memory(self, now: float) -> None:
+    def _relieve_memory_shortage(self, now: float) -> None:
         """Stop what costs least on workers with too little memory for their runs.
 
         Processors are shared by all, so nobody goes for them.
@@ -118,20 +118,24 @@
         for worker in self._fleet.workers.values():
             # To add up the runs of hundreds of workers each time would slow down all
             # decisions, so only those that have shrunk are looked at.
-            if not worker.shrunk or not worker.listed or worker.attachment is None:
+            if (
+                not worker.maybe_overcommitted
+                or not worker.listed
+                or worker.attachment is None
+            ):
                 continue
             runs = list(self._registry.get_runs(worker.place).values())
             missing = _measure_missing(worker, runs)
-            worker.shrunk = missing != Resources()
-            if not worker.shrunk:
+            worker.maybe_overcommitted = missing != Resources()
+            if not worker.maybe_overcommitted:
                 continue
             since = self._short_since.get(worker.place, now)
             short[worker.place] = since
-            if now - since > SHRUNK_S:
-                self._make_fit(runs, missing, now)
+            if now - since > SHORTAGE_GRACE_S:
+                self._stop_to_fit(runs, missing, now)
         self._short_since = short
 
-    def _make_fit(self, runs: list[Task], missing: Resources, now: float) -> None:
+    def _stop_to_fit(self, runs: list[Task], missing: Resources, now: float) -> None:
         candidates = [
             build_victim(task, self._get_priority(task), now, self._move_s)
             for task in runs
@@ -150,13 +154,13 @@
             return False
         if now - task.slow_since < HELD_BACK_S:
             return False
-        return task.step.checkpoints or task.percent < RESTART_PERCENT
+        return task.step.checkpoints or task.percent < MAX_RESTART_PERCENT
 
-    def _must_leave(self, task: Task, left_s: float) -> bool:
+    def _must_leave(self, task: Task, available_s: float) -> bool:
         if task.step.lasts:
             return True
-        rest_s = self._registry.get_expected_s(task) * (100 - task.percent) / 100
-        return rest_s > left_s
+        remaining_s = self._registry.get_expected_s(task) * (100 - task.percent) / 100
+        return remaining_s > available_s
 
 
 def _measure_missing(worker: WorkerState, runs: list[Task]) -> Resources:
--- a/pistachiodeal/leader/estimator.py
+++ b/pistachiodeal/leader/estimator.py
@@ -6,22 +6,22 @@
 from pistachiodeal.scheduling.durations import DurationModel
 
 # A queue's usual job is that of about its last ten.
-USUAL_WEIGHT = 0.1
+WORK_AVERAGE_WEIGHT = 0.1
 
 
-class Expectations:
+class JobEstimator:
     """Learns from what was done, by queue."""
 
     def __init__(self) -> None:
         self._durations = DurationModel()
-        self._usual_work: dict[str, float] = {}
+        self._average_work: dict[str, float] = {}
 
     @property
     def durations(self) -> DurationModel:
         """Return what is known of how long tasks take."""
         return self._durations
 
-    def expect(self, record: JobRecord, steps: list[StepRecord]) -> None:
+    def estimate_steps(self, record: JobRecord, steps: list[StepRecord]) -> None:
         """Work out how long the steps of an occurrence will take."""
         queue = record.job.queue.name
         for one in steps:
@@ -40,12 +40,14 @@
             record.job.queue.name, task.step.estimate_s, took_s, 1 / len(step.tasks)
         )
 
-    def note_work(self, record: JobRecord) -> None:
+    def observe_work(self, record: JobRecord) -> None:
         """Learn from an accepted job how much work its queue's jobs are."""
         queue = record.job.queue.name
-        usual = self._usual_work.get(queue, record.work)
-        self._usual_work[queue] = usual + USUAL_WEIGHT * (record.work - usual)
+        average = self._average_work.get(queue, record.work)
+        self._average_work[queue] = average + WORK_AVERAGE_WEIGHT * (
+            record.work - average
+        )
 
-    def get_usual_work(self, queue: str) -> float:
+    def get_average_work(self, queue: str) -> float:
         """Return the core-seconds of a usual job of a queue."""
-        return self._usual_work.get(queue, 0.0)
+        return self._average_work.get(queue, 0.0)
--- a/pistachiodeal/leader/fleet_views.py
+++ b/pistachiodeal/leader/fleet_views.py
@@ -9,10 +9,10 @@
 from pistachiodeal.scheduling.suspicion import FRESH_S, is_suspect
 from pistachiodeal.scheduling.views import WorkerView
 
-Views = dict[str, list[WorkerView]]
+ViewsByService = dict[str, list[WorkerView]]
 """Views by service."""
 
-Stamp = tuple[str, int, int]
+ViewVersion = tuple[str, int, int]
 """Place, and the stamps of its worker and of its runs."""
 
 
@@ -26,7 +26,7 @@
     def __init__(self, registry: JobRegistry, fleet: Fleet) -> None:
         self._registry = registry
         self._fleet = fleet
-        self._views: dict[str, tuple[Stamp, WorkerView]] = {}
+        self._views: dict[str, tuple[ViewVersion, WorkerView]] = {}
         self._round = 0
 
     @property
@@ -34,49 +34,51 @@
         """Return the number of the newest round; see ``WorkerView.built_in``."""
         return self._round
 
-    def refresh(self, now: float) -> Views:
+    def refresh(self, now: float) -> ViewsByService:
         """Begin a round; return the workers that take tasks, by service.
 
         :param now: seconds of the boot clock.
         """
         self._round += 1
-        views: Views = {}
-        kept: dict[str, tuple[Stamp, WorkerView]] = {}
+        views: ViewsByService = {}
+        kept: dict[str, tuple[ViewVersion, WorkerView]] = {}
         for worker in self._fleet.workers.values():
             if not worker.schedulable:
                 continue
-            entry = self._find(worker, now)
+            entry = self._get_or_build(worker, now)
             kept[worker.node] = entry
             views.setdefault(worker.service, []).append(entry[1])
         self._views = kept
-        for those in views.values():
-            _open_if_most_are_closed(those)
+        for service_views in views.values():
+            _reopen_if_most_closed(service_views)
         return views
 
-    def keep(self, view: WorkerView) -> None:
+    def retain(self, view: WorkerView) -> None:
         """Note that a view already shows a run that was placed on its worker.
 
         Built anew it would count as changed, and each step that found nothing would be
         weighed against it again, which makes a burst on a large fleet much slower.
         """
         worker = self._fleet.get(view.node)
-        self._views[view.node] = (self._build_stamp(worker), view)
+        self._views[view.node] = (self._build_version(worker), view)
 
-    def _build_stamp(self, worker: WorkerState) -> Stamp:
+    def _build_version(self, worker: WorkerState) -> ViewVersion:
         place = worker.place
-        return place, worker.generation, self._registry.get_stamp(place)
+        return place, worker.generation, self._registry.get_generation(place)
 
-    def _find(self, worker: WorkerState, now: float) -> tuple[Stamp, WorkerView]:
-        generation = self._build_stamp(worker)
+    def _get_or_build(
+        self, worker: WorkerState, now: float
+    ) -> tuple[ViewVersion, WorkerView]:
+        version = self._build_version(worker)
         known = self._views.get(worker.node)
         # How long a worker stays closed is a matter of time alone.
-        timed = worker.health.suspect or worker.health.suspect_until > 0
-        if known is None or known[0] != generation or timed or known[1].probation:
-            return generation, _build(self._registry, worker, now, self._round)
+        time_dependent = worker.health.suspect or worker.health.suspect_until > 0
+        if known is None or known[0] != version or time_dependent or known[1].probation:
+            return version, _build(self._registry, worker, now, self._round)
         return known
 
 
-def _open_if_most_are_closed(views: list[WorkerView]) -> None:
+def _reopen_if_most_closed(views: list[WorkerView]) -> None:
     # Jobs that can never be done fail everywhere. Closing the workers for it would
     # leave sound jobs without any.
     if sum(view.closed for view in views) <= MOST_SUSPECTS * len(views):
@@ -94,16 +96,16 @@
         worker.rack,
         frozenset(worker.labels),
         worker.capacity,
-        alone=worker.alone,
+        alone=worker.baseline_slack,
         built_in=this_round,
     )
     runs = registry.get_runs(worker.place).values()
     for task in runs:
-        _take_room(view, task)
-    for text in worker.strays:
-        stray = registry.find_task(text)
-        if stray is not None:
-            _take_room(view, stray)
+        _reserve_room(view, task)
+    for text in worker.orphans:
+        orphan = registry.find_task(text)
+        if orphan is not None:
+            _reserve_room(view, orphan)
     at_work = sum(1 for task in runs if not task.step.lasts)
     view.closed = worker.health.is_closed(now, at_work=at_work)
     view.probing = worker.health.suspect
@@ -118,6 +120,6 @@
     return not task.running or task.seen_at - task.began_at < FRESH_S
 
 
-def _take_room(view: WorkerView, task: Task) -> None:
+def _reserve_room(view: WorkerView, task: Task) -> None:
     name = task.name
     view.take((name.job_id, name.occurrence, name.step), task.step)
--- a/pistachiodeal/leader/interference_monitor.py
+++ b/pistachiodeal/leader/interference_monitor.py
@@ -14,7 +14,7 @@
 from pistachiodeal.scheduling.pacing import FIRST_STRAIN
 
 
-class NeighbourWatch:
+class InterferenceMonitor:
     """Shows figures to the interference model, and tells agents what it knows."""
 
     def __init__(
@@ -24,7 +24,7 @@
         self._interference = interference
         self._events = events
 
-    def learn(self, worker: WorkerState, attachment: Attachment, now: float) -> None:
+    def update(self, worker: WorkerState, attachment: Attachment, now: float) -> None:
         """Take in a worker's newest figures, and tell its agent what they taught."""
         runs = [
             task
@@ -40,51 +40,57 @@
                 press=press,
                 place=worker.place,
             )
-        self._tell_presses(attachment, runs)
+        self._queue_presses(attachment, runs)
 
     def _observe(
-        self, worker: WorkerState, runs: list[Task], mix: dict[str, float], now: float
+        self,
+        worker: WorkerState,
+        runs: list[Task],
+        efforts: dict[str, float],
+        now: float,
     ) -> None:
         """Show the model each serving task's figure and its company."""
-        worker.alone = {}
+        worker.baseline_slack = {}
         for task in runs:
             if not task.running or not task.step.serves_ms:
                 continue
             if task.figure >= FIRST_STRAIN * task.step.serves_ms:
-                sample = _build_sample(task, mix, now)
+                sample = _build_sample(task, efforts, now)
                 self._interference.observe(sample)
-                alone = sample.slack + self._interference.weigh((sample.image,), mix)
-                known = worker.alone.get(sample.image, alone)
-                worker.alone[sample.image] = min(alone, known)
+                baseline = sample.slack + self._interference.weigh(
+                    (sample.image,), efforts
+                )
+                known = worker.baseline_slack.get(sample.image, baseline)
+                worker.baseline_slack[sample.image] = min(baseline, known)
 
-    def _tell_presses(self, attachment: Attachment, runs: list[Task]) -> None:
+    def _queue_presses(self, attachment: Attachment, runs: list[Task]) -> None:
         fillings = {task.step.image for task in runs if task.step.fills}
         servings = {task.step.image for task in runs if task.step.serves_ms}
         for filling in fillings:
             for serving in servings:
                 press = self._interference.get_press(filling, serving)
-                attachment.tell_press((filling, serving), press)
+                attachment.queue_press((filling, serving), press)
 
 
 def _sum_efforts(runs: list[Task]) -> dict[str, float]:
     """Return the effort of the filling tasks at work, by image."""
-    mix: dict[str, float] = {}
+    efforts: dict[str, float] = {}
     for task in runs:
         if task.running and task.step.fills:
             image = task.step.image
             asked_milli = task.step.size.cpu_milli
             effort = compute_effort(task.worked, task.figure, asked_milli)
-            mix[image] = mix.get(image, 0.0) + effort
-    return mix
+            efforts[image] = efforts.get(image, 0.0) + effort
+    return efforts
 
 
-def _build_sample(task: Task, mix: dict[str, float], now: float) -> ServingSample:
+def _build_sample(task: Task, efforts: dict[str, float], now: float) -> ServingSample:
     name = task.name
     return ServingSample(
         (name.job_id, name.occurrence, name.step),
         str(name),
         task.step.image,
         task.figure / task.step.serves_ms,
-        mix,
+        efforts,
         now,
     )
--- a/pistachiodeal/leader/planner.py
+++ b/pistachiodeal/leader/planner.py
@@ -13,12 +13,12 @@
 from pistachiodeal.jobs.record import JobRecord, StepRecord, Task
 from pistachiodeal.leader.advice import AdviceKeeper
 from pistachiodeal.leader.attempts import Attempts
-from pistachiodeal.leader.descheduler import Mover
-from pistachiodeal.leader.fleet_views import FleetViews, Views
-from pistachiodeal.leader.preemptor import FindQueue, Preemptor
+from pistachiodeal.leader.descheduler import Descheduler
+from pistachiodeal.leader.fleet_views import FleetViews, ViewsByService
+from pistachiodeal.leader.preemptor import Preemptor, QueueLookup
 from pistachiodeal.leader.reconcile import Reconciler
 from pistachiodeal.leader.registry import JobRegistry
-from pistachiodeal.leader.suspect_placer import Probation
+from pistachiodeal.leader.suspect_placer import SuspectPlacer
 from pistachiodeal.leader.workers import Fleet, split_place
 from pistachiodeal.scheduling.interference import InterferenceModel
 from pistachiodeal.scheduling.ordering import (
@@ -47,7 +47,7 @@
 SLICE_S = 0.03
 # What has to leave its worker is looked for this often. Agents list their runs each
 # 0.4 s, and the look goes over every run.
-MOVE_S = 0.1
+DESCHEDULE_INTERVAL_S = 0.1
 
 
 class Planner:
@@ -64,21 +64,21 @@
         fleet: Fleet,
         reconciler: Reconciler,
         interference: InterferenceModel,
-        find_queue: FindQueue,
+        find_queue: QueueLookup,
         *,
         limits: LimitSettings,
         events: EventLog,
         advice: AdviceKeeper | None = None,
     ) -> None:
         self._interference = interference
-        self._mover = Mover(registry, fleet, reconciler, limits)
+        self._descheduler = Descheduler(registry, fleet, reconciler, limits)
         self._views = FleetViews(registry, fleet)
         self._attempts = Attempts()
         self._preemptor = Preemptor(registry, fleet, reconciler, find_queue, limits)
-        self._probation = Probation(registry, reconciler, interference, events)
+        self._suspect_placer = SuspectPlacer(registry, reconciler, interference, events)
         # A task that takes twice as long elsewhere needs a whole worker's time more.
         self._remote_cost = limits.remote_factor - 1.0
-        self._moved_at = 0.0
+        self._descheduled_at = 0.0
         self._registry = registry
         self._fleet = fleet
         self._reconciler = reconciler
@@ -90,12 +90,12 @@
         """Do one round; tell whether all waiting steps had their turn."""
         now = read_boot_clock()
         self._open_due()
-        if now - self._moved_at > MOVE_S:
-            self._moved_at = now
-            self._mover.move(now)
+        if now - self._descheduled_at > DESCHEDULE_INTERVAL_S:
+            self._descheduled_at = now
+            self._descheduler.run(now)
         views = self._views.refresh(now)
         self._preemptor.begin_round()
-        self._probation.begin_round(now)
+        self._suspect_placer.begin_round(now)
         ready = self._order_ready()
         self._attempts.begin_round(step.key for *_, step in ready)
         until = read_boot_clock() + SLICE_S
@@ -131,7 +131,7 @@
         if job.repeats:
             due_s = job.first_run_s + step.occurrence * job.interval_s
         steps = record.occurrences[step.occurrence]
-        self._registry.estimator.expect(record, steps)
+        self._registry.estimator.estimate_steps(record, steps)
         return rank_step(
             Waiting(
                 queue.priority,
@@ -141,18 +141,18 @@
                 compute_objective_s(record.chain_s, queue.stretch, queue.aim_s),
                 sum(one.left_work for one in steps),
                 record.work,
-                self._registry.estimator.get_usual_work(queue.name),
+                self._registry.estimator.get_average_work(queue.name),
             )
         )
 
     def _place_step(
-        self, all_views: Views, record: JobRecord, step: StepRecord
+        self, all_views: ViewsByService, record: JobRecord, step: StepRecord
     ) -> None:
         queue = self._find_queue(record.job.queue)
         views = all_views.get(queue.service, [])
         now = read_boot_clock()
         waiting = [task for task in step.tasks if task.waits and task.held_until <= now]
-        if self._probation.give_up_hopeless(record, waiting):
+        if self._suspect_placer.fail_hopeless_job(record, waiting):
             return
         if step.step.gang:
             self._place_gang(views, record, step, waiting, queue)
@@ -168,19 +168,19 @@
         allowed = self._list_allowed(request, queue, views)
         suspects = [task for task in waiting if is_suspect(task)]
         if suspects and not allowed:
-            self._want_advice(request, queue, views)
+            self._request_advice(request, queue, views)
         self._place_suspects(request, allowed, suspects)
         waiting = [task for task in waiting if not is_suspect(task)]
-        whole = queue.advised or self._attempts.is_due(request, now)
-        if not whole:
+        full_scan = queue.advised or self._attempts.is_due(request, now)
+        if not full_scan:
             allowed = self._attempts.list_changed(request, allowed)
         candidates = Candidates(request, allowed, self._interference)
         for task in waiting:
             view = candidates.take(task.avoid)
             if view is None:
-                self._want_advice(request, queue, views)
+                self._request_advice(request, queue, views)
                 self._attempts.note_failure(request, self._views.round)
-                if whole:
+                if full_scan:
                     self._attempts.note_whole(request, now)
                     self._explain_wait(request, candidates.obstacles)
                 self._preemptor.make_room(task, queue, views)
@@ -197,7 +197,7 @@
         self, request: Request, views: list[WorkerView], suspects: list[Task]
     ) -> None:
         for task in suspects:
-            view = self._probation.find_worker(task, request, views)
+            view = self._suspect_placer.reserve_worker(task, request, views)
             if view is None:
                 return
             self._place(task, task.run + 1, request, view)
@@ -226,7 +226,7 @@
         for _ in waiting:
             view = choose_worker(request, trial, self._interference)
             if view is None:
-                self._want_advice(request, queue, views)
+                self._request_advice(request, queue, views)
                 return
             view.take(request.key, step.step)
             request = replace(request, racks=request.racks | {view.rack})
@@ -249,15 +249,17 @@
         key = request.key
         return [view for view in views if find(key, split_place(view.place)[1])]
 
-    def _want_advice(
+    def _request_advice(
         self, request: Request, queue: Queue, views: list[WorkerView]
     ) -> None:
         if not queue.advised or self._advice is None:
             return
         model = self._interference
-        able = [view for view in views if not find_obstacle(request, view, model)]
-        able.sort(key=lambda view: score(request, view, model))
-        self._advice.want(request.key, (split_place(view.place)[1] for view in able))
+        feasible = [view for view in views if not find_obstacle(request, view, model)]
+        feasible.sort(key=lambda view: score(request, view, model))
+        self._advice.want(
+            request.key, (split_place(view.place)[1] for view in feasible)
+        )
 
     def _explain_wait(
         self, request: Request, obstacles: Mapping[Obstacle, int]
@@ -292,7 +294,7 @@
         self._registry.place(
             task, run, place, lambda: self._reconciler.send_order(task, run, place)
         )
-        self._views.keep(view)
+        self._views.retain(view)
 
     def _list_racks(self, step: StepRecord, views: list[WorkerView]) -> frozenset[str]:
         if not step.step.same_rack:
--- a/pistachiodeal/leader/preemptor.py
+++ b/pistachiodeal/leader/preemptor.py
@@ -18,9 +18,9 @@
 from pistachiodeal.scheduling.views import WorkerView, reserve_size
 
 # A moved task costs its start again, and a preempted one its work since its last save.
-PREEMPTIONS_A_ROUND = 16
+MAX_PREEMPTIONS_PER_ROUND = 16
 
-FindQueue = Callable[[Queue], Queue]
+QueueLookup = Callable[[Queue], Queue]
 
 
 class Preemptor:
@@ -37,7 +37,7 @@
         registry: JobRegistry,
         fleet: Fleet,
         reconciler: Reconciler,
-        find_queue: FindQueue,
+        find_queue: QueueLookup,
         limits: LimitSettings,
     ) -> None:
         self._move_s = limits.move_s
@@ -45,31 +45,31 @@
         self._fleet = fleet
         self._reconciler = reconciler
         self._find_queue = find_queue
-        self._stopped = 0
+        self._preempted = 0
         # Services in which stopped runs will make room for urgent work, and sizes that
         # no stop makes room for.
-        self._room_comes: dict[str, bool] = {}
-        self._no_victims: dict[str, list[Resources]] = {}
+        self._room_pending: dict[str, bool] = {}
+        self._infeasible_sizes: dict[str, list[Resources]] = {}
 
     def begin_round(self) -> None:
         """Forget what the last round has worked out."""
-        self._stopped = 0
-        self._room_comes.clear()
-        self._no_victims.clear()
+        self._preempted = 0
+        self._room_pending.clear()
+        self._infeasible_sizes.clear()
 
     def make_room(self, task: Task, queue: Queue, views: list[WorkerView]) -> None:
         """Stop less urgent work for an urgent task that found no room."""
         if queue.priority != URGENT_PRIORITY:
             return
-        if self._stopped >= PREEMPTIONS_A_ROUND:
+        if self._preempted >= MAX_PREEMPTIONS_PER_ROUND:
             return
         service, need = queue.service, reserve_size(task.step)
-        if service not in self._room_comes:
-            self._room_comes[service] = self._is_room_coming(service)
-        if self._room_comes[service]:
+        if service not in self._room_pending:
+            self._room_pending[service] = self._is_room_pending(service)
+        if self._room_pending[service]:
             return
-        hopeless = self._no_victims.setdefault(service, [])
-        if any(size.fits(need) for size in hopeless):
+        infeasible = self._infeasible_sizes.setdefault(service, [])
+        if any(size.fits(need) for size in infeasible):
             return
         best: list[Victim] = []
         for view in views:
@@ -78,15 +78,15 @@
             if victims and (not best or _sum_loss(victims) < _sum_loss(best)):
                 best = victims
         if not best:
-            hopeless.append(need)
+            infeasible.append(need)
         for victim in best:
-            self._room_comes[service] = True
+            self._room_pending[service] = True
             run = self._registry.find_task(victim.task)
             if run is not None:
-                self._stopped += 1
+                self._preempted += 1
                 self._reconciler.stop(run, f"gives way to {task.name}")
 
-    def _is_room_coming(self, service: str) -> bool:
+    def _is_room_pending(self, service: str) -> bool:
         """Tell whether runs that are being stopped will make room for a task."""
         for worker in self._fleet.workers.values():
             if not worker.schedulable or worker.service != service:
--- a/pistachiodeal/leader/reconcile.py
+++ b/pistachiodeal/leader/reconcile.py
@@ -11,7 +11,7 @@
 from pistachiodeal.jobs.runtime import CallResult
 from pistachiodeal.leader.advice import AdviceKeeper
 from pistachiodeal.leader.crashes import CrashTracker
-from pistachiodeal.leader.interference_monitor import NeighbourWatch
+from pistachiodeal.leader.interference_monitor import InterferenceMonitor
 from pistachiodeal.leader.listed import ListedRuns, RunKey, index_report
 from pistachiodeal.leader.registry import JobRegistry
 from pistachiodeal.leader.workers import (
@@ -34,7 +34,7 @@
 # A filling task below this pace hardly moves.
 SLOW_PACE = 0.25
 # A runner that refuses a start for want of room lists what took it soon after.
-REFUSED_S = 0.3
+REFUSAL_BACKOFF_S = 0.3
 
 
 class Reconciler:
@@ -53,7 +53,7 @@
         self._registry = registry
         self._fleet = fleet
         self._crashes = CrashTracker(registry, fleet, events)
-        self._neighbours = NeighbourWatch(registry, interference, events)
+        self._interference_monitor = InterferenceMonitor(registry, interference, events)
         self._events = events
 
     @property
@@ -69,30 +69,30 @@
         worker.generation += 1
         listed = index_report(report)
         place = build_place(worker.node, report.worker) if report.worker else ""
-        others = self._list_others(worker, place)
+        earlier_places = self._list_earlier_places(worker, place)
         if place and report.listed:
-            self._move_runs(others, place, listed)
+            self._move_runs(earlier_places, place, listed)
         for loss in report.losses:
             if loss.worker != report.worker:
-                self._take_loss(worker, loss, now)
+                self._apply_loss(worker, loss, now)
                 why = f"its agent saw it end: {loss.cause}"
-                self._lose_all(others, why, listed.outcomes)
+                self._requeue_all_lost(earlier_places, why, listed.outcomes)
         if not report.worker:
             worker.listed = False
             return
-        was = worker.place if worker.worker else ""
-        worker.become(report)
-        if was != worker.place:
-            self._events.emit("worker.known", place=worker.place, was=was)
+        previous_place = worker.place if worker.worker else ""
+        worker.apply_report(report)
+        if previous_place != worker.place:
+            self._events.emit("worker.known", place=worker.place, was=previous_place)
         worker.leaving_at = now + report.leaving_ms / 1000 if report.draining else 0.0
         if not report.listed:
             return
         # The agent has spoken with the one worker that the node has now.
-        self._lose_all(others, "a new incarnation is at its address")
+        self._requeue_all_lost(earlier_places, "a new incarnation is at its address")
         self._apply_runs(worker, attachment, listed, now)
         self._apply_ends(worker, attachment, report)
-        self._stop_strays(worker, attachment, listed)
-        self._neighbours.learn(worker, attachment, now)
+        self._stop_orphans(worker, attachment, listed)
+        self._interference_monitor.update(worker, attachment, now)
 
     def stop(self, task: Task, why: str) -> None:
         """Ask for the stop of a task's newest run."""
@@ -102,7 +102,7 @@
         self._events.emit(
             "run.stop", task=str(task.name), run=task.run, place=task.place, why=why
         )
-        worker = self._fleet.find_place(task.place)
+        worker = self._fleet.find_by_place(task.place)
         attachment = worker.attachment if worker else None
         # A run whose order has not left yet is given up where the order is made.
         if attachment is not None and (
@@ -114,7 +114,7 @@
         """Order a run, now that its decision is durable."""
         if task.run != run or task.place != place:
             return
-        worker = self._fleet.find_place(place)
+        worker = self._fleet.find_by_place(place)
         attachment = worker.attachment if worker else None
         record = self._registry.records[task.name.job_id]
         # An agent that has not listed its worker on this link may not know it yet, and
@@ -167,15 +167,15 @@
             self._registry.requeue(task)
         self._registry.forget_place(place)
 
-    def _take_loss(self, worker: WorkerState, loss: WorkerLoss, now: float) -> None:
+    def _apply_loss(self, worker: WorkerState, loss: WorkerLoss, now: float) -> None:
         if worker.worker == loss.worker:
-            worker.renew("")
+            worker.reset_incarnation("")
         # A worker that had said it would leave, or that was only cut off, tells nothing
         # about its tasks.
         if loss.cause == LossCause.CRASHED:
-            self._crashes.note_crash(worker, loss, now)
+            self._crashes.record_crash(worker, loss, now)
 
-    def _list_others(self, worker: WorkerState, place: str) -> list[str]:
+    def _list_earlier_places(self, worker: WorkerState, place: str) -> list[str]:
         """Return the places of earlier incarnations on a worker's node."""
         prefix = worker.node + PLACE_SEPARATOR
         return [
@@ -184,18 +184,20 @@
             if other.startswith(prefix) and other != place
         ]
 
-    def _lose_all(
+    def _requeue_all_lost(
         self, places: list[str], why: str, kept: Container[RunKey] = ()
     ) -> None:
         for place in places:
             self.requeue_lost_runs(place, why, kept)
 
-    def _move_runs(self, others: list[str], place: str, listed: ListedRuns) -> None:
+    def _move_runs(
+        self, earlier_places: list[str], place: str, listed: ListedRuns
+    ) -> None:
         """Take in that orders for earlier incarnations were carried out by this one.
 
         Queued again, such a task would run twice, or again after its end.
         """
-        for other in others:
+        for other in earlier_places:
             for name, task in list(self._registry.get_runs(other).items()):
                 if listed.has((name, task.run)):
                     self._events.emit(
@@ -213,7 +215,7 @@
         for name, task in list(self._registry.get_runs(worker.place).items()):
             key = (name, task.run)
             if key in listed.running:
-                self._note_running(task, listed.running[key], now)
+                self._update_running(task, listed.running[key], now)
                 attachment.describe(build_order(task))
                 if task.stopping or self._is_over(task):
                     attachment.order_stop(name, task.run)
@@ -234,27 +236,27 @@
     def _is_over(self, task: Task) -> bool:
         return self._registry.records[task.name.job_id].state.final
 
-    def _note_running(self, task: Task, seen: RunningTask, now: float) -> None:
+    def _update_running(self, task: Task, seen: RunningTask, now: float) -> None:
         if not task.running:
             task.running, task.began_at, task.moved_at = True, now, now
-        self._note_work(task, seen.worked_milli / 1000, now)
+        self._add_work(task, seen.worked_milli / 1000, now)
         if seen.percent != task.percent:
             task.percent, task.moved_at = seen.percent, now
         task.figure = seen.figure
-        self._note_pace(task, seen.worked_milli / 1000, now)
+        self._update_pace(task, seen.worked_milli / 1000, now)
         if seen.checkpoint:
             task.checkpoint = seen.checkpoint
         if task.crashes:
-            self._crashes.note_at_work(task)
+            self._crashes.clear_if_stable(task)
 
-    def _note_work(self, task: Task, worked: float, now: float) -> None:
+    def _add_work(self, task: Task, worked: float, now: float) -> None:
         """Count the time at work since the task was last listed."""
         since = task.seen_at or task.placed_at
         speed = worked if task.step.fills else 1.0
         task.work_s += speed * (now - since)
         task.seen_at = now
 
-    def _note_pace(self, task: Task, worked: float, now: float) -> None:
+    def _update_pace(self, task: Task, worked: float, now: float) -> None:
         task.worked = worked
         if worked > SLOW_PACE or not task.slow_since:
             task.slow_since = now
@@ -279,21 +281,21 @@
         self._registry.requeue(task)
         if outcome.outcome == OrderState.REFUSED:
             # Placed again at once, it would be refused again as fast as orders travel.
-            task.held_until = now + REFUSED_S
+            task.held_until = now + REFUSAL_BACKOFF_S
 
     def _apply_ends(
         self, worker: WorkerState, attachment: Attachment, report: WorkerReport
     ) -> None:
         for end in report.ends:
-            if end.number in worker.ends_taken:
+            if end.number in worker.ends_applied:
                 continue
-            worker.ends_taken.add(end.number)
+            worker.ends_applied.add(end.number)
             task = self._registry.find_task(end.task)
             if task is None or task.run != end.run or task.place != worker.place:
-                worker.note_end(end.number)
+                worker.mark_end_durable(end.number)
                 continue
             self._apply_end(worker, task, end)
-        worker.advance_noted(report.ends)
+        worker.advance_ends_noted(report.ends)
 
     def _apply_end(self, worker: WorkerState, task: Task, end: EndedTask) -> None:
         kind = EndKind(end.how)
@@ -313,7 +315,7 @@
         if kind is EndKind.DONE:
             worker.health.note_success()
             if task.watched and not task.step.lasts:
-                self._note_work(task, task.worked if task.seen_at else 1.0, now)
+                self._add_work(task, task.worked if task.seen_at else 1.0, now)
                 record = self._registry.records[task.name.job_id]
                 self._registry.estimator.note_took(record, task, task.work_s)
         elif kind is EndKind.FAILED and not task.step.lasts:
@@ -323,17 +325,17 @@
             task.avoid |= {worker.node}
         incarnation = worker.worker
 
-        def note() -> None:
+        def acknowledge() -> None:
             if worker.worker == incarnation:
-                worker.note_end(end.number)
+                worker.mark_end_durable(end.number)
 
-        for other in self._registry.end_run(task, kind, end.checkpoint, note):
+        for other in self._registry.end_run(task, kind, end.checkpoint, acknowledge):
             self.stop(other, "the job has failed")
 
-    def _stop_strays(
+    def _stop_orphans(
         self, worker: WorkerState, attachment: Attachment, listed: ListedRuns
     ) -> None:
-        worker.strays = {}
+        worker.orphans = {}
         runs = self._registry.get_runs(worker.place)
         for name, run in listed.running:
             task = runs.get(name)
@@ -341,5 +343,5 @@
                 continue
             # The run was given up while it was out of sight; its room is taken until
             # its end is listed.
-            worker.strays[name] = run
+            worker.orphans[name] = run
             attachment.order_stop(name, run)
--- a/pistachiodeal/leader/registry.py
+++ b/pistachiodeal/leader/registry.py
@@ -15,7 +15,7 @@
 from pistachiodeal.jobs.model import EndKind, Job, JobState
 from pistachiodeal.jobs.names import parse_task_name
 from pistachiodeal.jobs.record import JobRecord, StepRecord, Task, build_record
-from pistachiodeal.leader.estimator import Expectations
+from pistachiodeal.leader.estimator import JobEstimator
 from pistachiodeal.scheduling.ordering import compute_objective_s
 
 Callback = Callable[[], None]
@@ -30,9 +30,9 @@
         self._open: dict[str, JobRecord] = {}
         self._unsaved: dict[str, list[Callback]] = {}
         self._writing: set[str] = set()
-        self._expectations = Expectations()
+        self._estimator = JobEstimator()
         self._runs: dict[str, dict[str, Task]] = {}
-        self._stamps: dict[str, int] = {}
+        self._generations: dict[str, int] = {}
 
     @property
     def records(self) -> dict[str, JobRecord]:
@@ -45,9 +45,9 @@
         return self._open
 
     @property
-    def estimator(self) -> Expectations:
+    def estimator(self) -> JobEstimator:
         """Return what is expected of jobs."""
-        return self._expectations
+        return self._estimator
 
     @property
     def has_unsaved(self) -> bool:
@@ -71,9 +71,9 @@
         """Return the tasks whose run is at a place, by name."""
         return self._runs.get(place, {})
 
-    def get_stamp(self, place: str) -> int:
+    def get_generation(self, place: str) -> int:
         """Return a number that rises with each change of the runs at a place."""
-        return self._stamps.get(place, 0)
+        return self._generations.get(place, 0)
 
     def list_places(self) -> list[str]:
         """Return all places with runs."""
@@ -105,8 +105,10 @@
         self.restore(record)
         self.open_due(record, time_of_day_s)
         if record.occurrences:
-            self._expectations.expect(record, next(iter(record.occurrences.values())))
-            self._expectations.note_work(record)
+            self._estimator.estimate_steps(
+                record, next(iter(record.occurrences.values()))
+            )
+            self._estimator.observe_work(record)
         self._events.emit("job.known", job=job.job_id, queue=job.queue.name)
 
     def get_expected_s(self, task: Task) -> float:
@@ -130,8 +132,8 @@
         self._events.emit("job.cancelled", job=job_id, state=record.state.value)
         return self._finish(record, JobState.CANCELLED)
 
-    def place(self, task: Task, run: int, place: str, ordered: Callback) -> None:
-        """Decide a run; ``ordered`` runs once the decision is durable."""
+    def place(self, task: Task, run: int, place: str, on_durable: Callback) -> None:
+        """Decide a run; ``on_durable`` runs once the decision is durable."""
         now = read_boot_clock()
         task.run, task.place = run, place
         task.running, task.percent, task.stopping = False, 0, ""
@@ -139,26 +141,26 @@
         task.seen_at = 0.0
         task.placed_at = task.moved_at = now
         self._runs.setdefault(place, {})[str(task.name)] = task
-        self._note_change(place)
+        self._bump_generation(place)
         record = self._records[task.name.job_id]
         record.begun = True
         if record.state is JobState.QUEUED:
             record.state = JobState.ACTIVE
-        self._save(record, ordered)
+        self._record_change(record, on_durable)
 
     def end_run(
-        self, task: Task, kind: EndKind, checkpoint: str, noted: Callback
+        self, task: Task, kind: EndKind, checkpoint: str, on_durable: Callback
     ) -> list[Task]:
         """Take in the end of a task's newest run.
 
-        :param noted: runs once the end is durable.
+        :param on_durable: runs once the end is durable.
         :return: tasks whose runs have to be stopped because the job is over.
         """
         record = self._records[task.name.job_id]
         self._release(task, checkpoint)
         stops: list[Task] = []
         if kind is EndKind.DONE and not task.step.lasts:
-            self._note_done(record, task)
+            self._mark_done(record, task)
         elif kind is EndKind.FAILED and not task.step.lasts:
             task.failures += 1
             if task.failures >= record.job.queue.attempts and not record.state.final:
@@ -173,10 +175,10 @@
             record.close_done()
             if record.state.final:
                 self._close(record)
-        self._save(record, noted)
+        self._record_change(record, on_durable)
         return stops
 
-    def give_up(self, record: JobRecord, task: Task) -> list[Task]:
+    def fail_job(self, record: JobRecord, task: Task) -> list[Task]:
         """Fail a job for a task that ends its workers.
 
         :return: tasks whose runs have to be stopped.
@@ -192,29 +194,29 @@
         )
         return self._finish(record, JobState.FAILED)
 
-    def touch(self, task: Task) -> None:
+    def mark_unsaved(self, task: Task) -> None:
         """Have a task's row written again."""
-        self._save(self._records[task.name.job_id], None)
+        self._record_change(self._records[task.name.job_id], None)
 
     def requeue(self, task: Task) -> None:
         """Give a run up that certainly isn't, and never will be, at work."""
         record = self._records[task.name.job_id]
         self._release(task, "")
-        self._save(record, None)
+        self._record_change(record, None)
 
     def move_run(self, task: Task, place: str) -> None:
         """Note that a task's newest run is, or may be, at another place."""
-        self._leave_place(task)
+        self._remove_from_place(task)
         task.place, task.running = place, False
         self._runs.setdefault(place, {})[str(task.name)] = task
-        self._note_change(place)
-        self.touch(task)
+        self._bump_generation(place)
+        self.mark_unsaved(task)
 
     def forget_place(self, place: str) -> None:
         """Forget a place that has no runs any more."""
         if not self.get_runs(place):
             self._runs.pop(place, None)
-            self._stamps.pop(place, None)
+            self._generations.pop(place, None)
 
     def begin_writes(self, most: int) -> list[tuple[JobRecord, list[Callback]]]:
         """Return jobs to write, oldest change first, with their effects."""
@@ -256,11 +258,11 @@
             for step in record.list_ready():
                 yield record, step
 
-    def _note_done(self, record: JobRecord, task: Task) -> None:
+    def _mark_done(self, record: JobRecord, task: Task) -> None:
         step = record.find_step(task.name)
         step.mark_done(task)
         if step.done:
-            self._open_turns(record, task.name.occurrence, step.number)
+            self._reset_ready_times(record, task.name.occurrence, step.number)
         if not task.step.gang:
             return
         # One end stands for all members of a gang, which end together; the listed
@@ -270,7 +272,7 @@
                 self._release(member, "")
                 step.mark_done(member)
 
-    def _open_turns(self, record: JobRecord, occurrence: int, done: int) -> None:
+    def _reset_ready_times(self, record: JobRecord, occurrence: int, done: int) -> None:
         """Let the steps that come after one that is done wait from now on.
 
         Counted from the job's acceptance, each later step of a filling job was starved
@@ -285,21 +287,21 @@
     def _finish(self, record: JobRecord, state: JobState) -> list[Task]:
         record.state = state
         self._close(record)
-        self._save(record, None)
+        self._record_change(record, None)
         return [task for task in record.iterate_tasks() if task.place]
 
     def _close(self, record: JobRecord) -> None:
         record.finished_at = read_boot_clock()
         self._open.pop(record.job_id, None)
 
-    def _leave_place(self, task: Task) -> None:
+    def _remove_from_place(self, task: Task) -> None:
         runs = self._runs.get(task.place)
         if runs is not None:
             runs.pop(str(task.name), None)
-            self._note_change(task.place)
+            self._bump_generation(task.place)
 
     def _release(self, task: Task, checkpoint: str) -> None:
-        self._leave_place(task)
+        self._remove_from_place(task)
         task.place, task.running, task.stopping = "", False, ""
         task.ready_at = read_boot_clock()
         if checkpoint:
@@ -307,18 +309,18 @@
         if not task.checkpoint:
             task.work_s = 0.0
 
-    def _note_change(self, place: str) -> None:
-        self._stamps[place] = self._stamps.get(place, 0) + 1
+    def _bump_generation(self, place: str) -> None:
+        self._generations[place] = self._generations.get(place, 0) + 1
 
-    def _save(self, record: JobRecord, callback: Callback | None) -> None:
+    def _record_change(self, record: JobRecord, callback: Callback | None) -> None:
         callbacks = self._unsaved.setdefault(record.job_id, [])
         if callback is not None:
             callbacks.append(callback)
         state = record.state
         if state is not record.shown:
-            callbacks.append(lambda: self._show(record, state))
+            callbacks.append(lambda: self._publish_state(record, state))
 
-    def _show(self, record: JobRecord, state: JobState) -> None:
+    def _publish_state(self, record: JobRecord, state: JobState) -> None:
         if record.shown is not state and not record.shown.final:
             record.shown = state
             queue = record.job.queue
--- a/pistachiodeal/leader/suspect_placer.py
+++ b/pistachiodeal/leader/suspect_placer.py
@@ -21,15 +21,15 @@
 from pistachiodeal.scheduling.views import StepKey, WorkerView
 
 # To weigh all workers for each of many suspects would take a whole round.
-SUSPECTS_A_ROUND = 8
+MAX_SUSPECTS_PER_ROUND = 8
 # On a fleet that starts tasks all the time no worker may be quiet. A suspect goes
 # beside what has just begun after this long: it has all the blame then.
-PATIENCE_S = 2.0
+MAX_QUIET_WAIT_S = 2.0
 # Why a suspect waits is logged this often for each step.
-TOLD_S = 2.0
+WAIT_LOG_INTERVAL_S = 2.0
 
 
-class Probation:
+class SuspectPlacer:
     """Decides about suspects in rounds, as the planner goes through the steps."""
 
     def __init__(
@@ -43,9 +43,9 @@
         self._reconciler = reconciler
         self._interference = interference
         self._events = events
-        self._left = 0
+        self._remaining = 0
         self._now = 0.0
-        self._told_at: dict[StepKey, float] = {}
+        self._logged_at: dict[StepKey, float] = {}
 
     @property
     def _crashes(self) -> CrashTracker:
@@ -53,32 +53,36 @@
 
     def begin_round(self, now: float) -> None:
         """Settle the crashes whose time has come."""
-        self._crashes.settle(now)
+        self._crashes.revert_rack_failures(now)
         self._now = now
-        self._told_at = {
-            key: at for key, at in self._told_at.items() if now - at < TOLD_S
+        self._logged_at = {
+            key: at
+            for key, at in self._logged_at.items()
+            if now - at < WAIT_LOG_INTERVAL_S
         }
-        self._left = SUSPECTS_A_ROUND
+        self._remaining = MAX_SUSPECTS_PER_ROUND
 
-    def give_up_hopeless(self, record: JobRecord, tasks: Iterable[Task]) -> bool:
+    def fail_hopeless_job(self, record: JobRecord, tasks: Iterable[Task]) -> bool:
         """Give the job up if one of its waiting tasks has ended too many workers."""
         for task in tasks:
             if is_hopeless(task):
-                for other in self._registry.give_up(record, task):
+                for other in self._registry.fail_job(record, task):
                     self._reconciler.stop(other, "the job has failed")
                 return True
         return False
 
-    def find_worker(
+    def reserve_worker(
         self, task: Task, request: Request, views: list[WorkerView]
     ) -> WorkerView | None:
         """Reserve a worker for a suspect, None while it has to wait."""
-        exposed = sum(view.probation for view in views) + self._crashes.count_away()
+        exposed = (
+            sum(view.probation for view in views) + self._crashes.count_unrecovered()
+        )
         limit = limit_exposed(len(views))
         view = None
-        if self._left > 0 and exposed < limit:
-            self._left -= 1
-            quiet = self._now - task.ready_at < PATIENCE_S
+        if self._remaining > 0 and exposed < limit:
+            self._remaining -= 1
+            quiet = self._now - task.ready_at < MAX_QUIET_WAIT_S
             alone = replace(request, alone=True, quiet=quiet, avoid=task.avoid)
             others = [one for one in views if one.node not in task.avoid]
             # Its end on the same worker once more would tell nothing of the task.
@@ -93,9 +97,9 @@
 
     def _explain_wait(self, task: Task, key: StepKey, exposed: int, limit: int) -> None:
         """Log why a suspect waits, once in a while for each step."""
-        if key in self._told_at:
+        if key in self._logged_at:
             return
-        self._told_at[key] = self._now
+        self._logged_at[key] = self._now
         self._events.emit(
             "task.waits_alone",
             task=str(task.name),
--- a/pistachiodeal/leader/workers.py
+++ b/pistachiodeal/leader/workers.py
@@ -69,7 +69,7 @@
     ordered: set[tuple[str, int]] = field(default_factory=set)
     stopped: set[tuple[str, int]] = field(default_factory=set)
     described: set[tuple[str, int]] = field(default_factory=set)
-    told_presses: dict[Pair, float] = field(default_factory=dict)
+    sent_presses: dict[Pair, float] = field(default_factory=dict)
 
     def order_stop(self, task: str, run: int) -> None:
         """Tell the agent once to stop a run, or to make sure it never starts."""
@@ -96,11 +96,11 @@
             self.described.add((order.task, order.run))
             self.outbox.known.append(order)
 
-    def tell_press(self, pair: Pair, press: float) -> None:
+    def queue_press(self, pair: Pair, press: float) -> None:
         """Tell the agent what one image takes from another, if that is news."""
-        told = self.told_presses.get(pair)
-        if told is None or abs(press - told) > TOLD_CHANGE:
-            self.told_presses[pair] = press
+        sent = self.sent_presses.get(pair)
+        if sent is None or abs(press - sent) > TOLD_CHANGE:
+            self.sent_presses[pair] = press
             self.outbox.presses.append(PairPress(*pair, int(press * 1000)))
 
     def build_directive(
@@ -134,11 +134,11 @@
     :param granted_until: until when its leases may run, boot clock.
     :param ends_noted: ends up to this number are durable.
     :param closed: whether its data centre is closed: nothing is started there.
-    :param shrunk: whether it may have too little memory for its runs: it has less
+    :param maybe_overcommitted: whether it may have too little memory for its runs: it has less
         than before, or this leader has not looked yet.
     :param generation: rises with each report and link, so that whoever keeps something
         worked out from this knows that it is old.
-    :param alone: slack that its serving tasks would have without filling work, the
+    :param baseline_slack: slack that its serving tasks would have without filling work, the
         least by image.
     """
 
@@ -155,12 +155,12 @@
     granted_until: float = 0.0
     ends_noted: int = 0
     ends_durable: set[int] = field(default_factory=set)
-    ends_taken: set[int] = field(default_factory=set)
-    strays: dict[str, int] = field(default_factory=dict)
-    alone: dict[str, float] = field(default_factory=dict)
+    ends_applied: set[int] = field(default_factory=set)
+    orphans: dict[str, int] = field(default_factory=dict)
+    baseline_slack: dict[str, float] = field(default_factory=dict)
     health: WorkerHealth = field(default_factory=WorkerHealth)
     closed: bool = False
-    shrunk: bool = True
+    maybe_overcommitted: bool = True
     generation: int = 0
 
     @property
@@ -189,31 +189,31 @@
         self.listed = False
         self.generation += 1
 
-    def become(self, report: WorkerReport) -> None:
+    def apply_report(self, report: WorkerReport) -> None:
         """Take in what a report says of the worker itself."""
         if report.worker != self.worker:
-            self.renew(report.worker)
+            self.reset_incarnation(report.worker)
         self.service = report.service
         capacity = Resources(report.cpu_milli, report.memory_mib, report.accelerators)
-        self.shrunk |= not self.capacity.fits(capacity)
+        self.maybe_overcommitted |= not self.capacity.fits(capacity)
         self.capacity = capacity
         self.labels = tuple(label.text for label in report.labels)
         self.listed = report.listed
         self.draining = report.draining
 
-    def renew(self, worker: str) -> None:
+    def reset_incarnation(self, worker: str) -> None:
         """Take in a new incarnation, or that there is none; it starts afresh."""
         self.worker = worker
         self.ends_noted = 0
         self.ends_durable.clear()
-        self.ends_taken.clear()
+        self.ends_applied.clear()
         self.health = WorkerHealth()
 
-    def note_end(self, number: int) -> None:
+    def mark_end_durable(self, number: int) -> None:
         """Note that an end is durable, or of no run that counts."""
         self.ends_durable.add(number)
 
-    def advance_noted(self, ends: tuple[EndedTask, ...]) -> None:
+    def advance_ends_noted(self, ends: tuple[EndedTask, ...]) -> None:
         """Move ``ends_noted`` over all listed ends that are durable."""
         for end in sorted(ends, key=lambda one: one.number):
             if end.number <= self.ends_noted:
@@ -257,7 +257,7 @@
             self._workers[node] = WorkerState(node)
         return self._workers[node]
 
-    def find_place(self, place: str) -> WorkerState | None:
+    def find_by_place(self, place: str) -> WorkerState | None:
         """Return the worker whose newest incarnation is a place."""
         worker = self._workers.get(split_place(place)[0])
         return worker if worker is not None and worker.place == place else None
--- a/tests/unit/test_deployment_settings.py
+++ b/tests/unit/test_deployment_settings.py
@@ -18,7 +18,7 @@
 from pistachiodeal.jobagent.authority import LEASE_S
 from pistachiodeal.jobagent.ledger import AgentLedger
 from pistachiodeal.jobs.model import Step
-from pistachiodeal.leader.descheduler import Mover
+from pistachiodeal.leader.descheduler import Descheduler
 from pistachiodeal.model.resources import Resources
 from pistachiodeal.scheduling.interference import InterferenceModel
 from pistachiodeal.scheduling.pacing import FillingLoad, Pacer
@@ -85,15 +85,15 @@
 @pytest.mark.parametrize(("stop_ms", "expected"), [(200, False), (2_000, True)])
 def test_a_task_leaves_in_time_for_its_stop(stop_ms: int, expected: bool):
     """Guards against a stop that ends after its worker, so that progress is lost."""
-    stage = LeaderHarness()
-    stage.report(running=[RunningTask(TASK, 1, "", 0, 0)])
-    worker = stage.fleet.get("node")
+    harness = LeaderHarness()
+    harness.report(running=[RunningTask(TASK, 1, "", 0, 0)])
+    worker = harness.fleet.get("node")
     now = read_boot_clock()
-    work_s = stage.registry.get_expected_s(stage.task)
+    work_s = harness.registry.get_expected_s(harness.task)
     worker.draining, worker.leaving_at = True, now + work_s + 1.0
     limits = LimitSettings(stop_ms=stop_ms)
-    Mover(stage.registry, stage.fleet, stage.reconciler, limits).move(now)
-    assert bool(stage.task.stopping) is expected
+    Descheduler(harness.registry, harness.fleet, harness.reconciler, limits).run(now)
+    assert bool(harness.task.stopping) is expected
 
 
 def test_what_saves_its_progress_costs_the_time_of_its_move():
--- a/tests/unit/test_leader_crashes.py
+++ b/tests/unit/test_leader_crashes.py
@@ -11,11 +11,11 @@
 from pistachiodeal.config.deployment import LimitSettings
 from pistachiodeal.jobs.model import Job, JobState, LossCause, Queue, Step
 from pistachiodeal.jobs.record import apply_progress, build_record, encode_progress
-from pistachiodeal.leader.crashes import VERDICT_S
+from pistachiodeal.leader.crashes import RACK_CHECK_DELAY_S
 from pistachiodeal.leader.planner import Planner
 from pistachiodeal.leader.reconcile import Reconciler
 from pistachiodeal.leader.registry import JobRegistry
-from pistachiodeal.leader.suspect_placer import PATIENCE_S
+from pistachiodeal.leader.suspect_placer import MAX_QUIET_WAIT_S
 from pistachiodeal.leader.workers import Attachment, Fleet
 from pistachiodeal.model.resources import Resources
 from pistachiodeal.scheduling.interference import InterferenceModel
@@ -130,196 +130,196 @@
 
 
 @pytest.fixture
-def stage(monkeypatch) -> LeaderHarness:
+def harness(monkeypatch) -> LeaderHarness:
     return LeaderHarness(monkeypatch, ["r1", "r1", "r2", "r2", "r3", "r3"])
 
 
-def place(stage: LeaderHarness, seconds: float = VERDICT_S + 0.01) -> None:
+def place(harness: LeaderHarness, seconds: float = RACK_CHECK_DELAY_S + 0.01) -> None:
     """Let a moment pass, and decide."""
-    stage.wait(seconds)
-    stage.planner.plan()
+    harness.wait(seconds)
+    harness.planner.plan()
 
 
-def test_the_second_worker_that_ends_under_a_lone_start_settles_it(stage):
+def test_the_second_worker_that_ends_under_a_lone_start_settles_it(harness):
     """A task was started 88 times. Two workers that end right after its start, the
     second with nothing else that had just begun, are enough.
     """
-    job = stage.add(1, Step(1, SIZE, 2.0))
-    task = stage.find(job)
+    job = harness.add(1, Step(1, SIZE, 2.0))
+    task = harness.find(job)
     for _ in range(2):
-        place(stage)
-        stage.crash_under(task)
-    assert stage.registry.records[job.job_id].state is JobState.ACTIVE
-    place(stage)
-    assert stage.registry.records[job.job_id].state is JobState.FAILED
+        place(harness)
+        harness.crash_under(task)
+    assert harness.registry.records[job.job_id].state is JobState.ACTIVE
+    place(harness)
+    assert harness.registry.records[job.job_id].state is JobState.FAILED
     assert task.run == 2
 
 
-def test_a_neighbour_is_not_given_up(stage):
+def test_a_neighbour_is_not_given_up(harness):
     """A task that had begun together with one that ends its workers was given up with
     it. After the first crash each begins on a worker of its own, and the neighbour is
     cleared once it has worked for a moment.
     """
-    job = stage.add(1, Step(2, SIZE, 2.0))
-    guilty, neighbour = stage.find(job, 0), stage.find(job, 1)
-    place(stage)
-    stage.registry.requeue(neighbour)
-    stage.registry.place(neighbour, 1, guilty.place, lambda: None)
+    job = harness.add(1, Step(2, SIZE, 2.0))
+    guilty, neighbour = harness.find(job, 0), harness.find(job, 1)
+    place(harness)
+    harness.registry.requeue(neighbour)
+    harness.registry.place(neighbour, 1, guilty.place, lambda: None)
     ages_ms = {str(guilty.name): 8, str(neighbour.name): 7}
-    stage.lose(stage.find_node(guilty), ages_ms)
+    harness.lose(harness.find_node(guilty), ages_ms)
     assert is_suspect(guilty)
     assert is_suspect(neighbour)
-    place(stage)
+    place(harness)
     waits = [task for task in (guilty, neighbour) if task.waits]
     assert len(waits) == 1, "one worker of six at a time"
-    stage.report(stage.find_node(guilty if waits[0] is neighbour else neighbour))
-    stage.wait(FRESH_S)
-    stage.report(stage.find_node(guilty if waits[0] is neighbour else neighbour))
-    place(stage)
+    harness.report(harness.find_node(guilty if waits[0] is neighbour else neighbour))
+    harness.wait(FRESH_S)
+    harness.report(harness.find_node(guilty if waits[0] is neighbour else neighbour))
+    place(harness)
     assert guilty.place != neighbour.place
 
 
-def test_long_work_beside_it_is_not_blamed(stage):
+def test_long_work_beside_it_is_not_blamed(harness):
     """Work of minutes on the same worker began long before and has ended nobody."""
-    old = stage.find(stage.add(1, Step(1, SIZE, 90.0)))
-    place(stage)
-    guilty = stage.find(stage.add(2, Step(1, SIZE, 2.0)))
-    stage.registry.place(guilty, 1, old.place, lambda: None)
+    old = harness.find(harness.add(1, Step(1, SIZE, 90.0)))
+    place(harness)
+    guilty = harness.find(harness.add(2, Step(1, SIZE, 2.0)))
+    harness.registry.place(guilty, 1, old.place, lambda: None)
     ages_ms = {str(guilty.name): 8, str(old.name): 5_000}
-    stage.lose(stage.find_node(old), ages_ms)
+    harness.lose(harness.find_node(old), ages_ms)
     assert (guilty.blames, guilty.crashes) == (BLAME_AT_ONCE, 1)
     assert (old.blames, old.crashes) == (0, 0)
 
 
-def test_a_rack_that_loses_power_blames_nobody(stage):
+def test_a_rack_that_loses_power_blames_nobody(harness):
     """All workers of a rack end within milliseconds; their agents may live on. A task
     that had just begun there would be half given up for it.
     """
-    job = stage.add(1, Step(6, SIZE, 2.0))
-    place(stage)
-    tasks = [stage.find(job, index) for index in range(6)]
-    hit = [task for task in tasks if stage.find_node(task) in (2, 3)]
+    job = harness.add(1, Step(6, SIZE, 2.0))
+    place(harness)
+    tasks = [harness.find(job, index) for index in range(6)]
+    hit = [task for task in tasks if harness.find_node(task) in (2, 3)]
     assert hit
     for number in (2, 3):
-        stage.lose(number, {str(task.name): 8 for task in hit})
+        harness.lose(number, {str(task.name): 8 for task in hit})
     assert any(task.blames for task in hit)
-    place(stage)
+    place(harness)
     assert [(task.crashes, task.blames) for task in hit] == [(0, 0)] * len(hit)
 
 
-def test_nobody_is_given_up_before_the_rack_was_heard(stage):
+def test_nobody_is_given_up_before_the_rack_was_heard(harness):
     """A suspect was given up for the power of a rack: the first worker of the rack was
     heard of 50 ms before the second, on which nothing was at work.
     """
-    job = stage.add(1, Step(1, SIZE, 2.0))
-    task = stage.find(job)
-    place(stage)
-    stage.crash_under(task)
-    place(stage)
-    first = stage.find_node(task)
+    job = harness.add(1, Step(1, SIZE, 2.0))
+    task = harness.find(job)
+    place(harness)
+    harness.crash_under(task)
+    place(harness)
+    first = harness.find_node(task)
     mate = first + 1 - 2 * (first % 2)
-    stage.crash_under(task)
-    place(stage, 0.05)
-    stage.lose(mate, {})
-    place(stage)
-    assert stage.registry.records[job.job_id].state is JobState.ACTIVE
+    harness.crash_under(task)
+    place(harness, 0.05)
+    harness.lose(mate, {})
+    place(harness)
+    assert harness.registry.records[job.job_id].state is JobState.ACTIVE
     assert (task.crashes, task.blames) == (1, BLAME_AT_ONCE)
 
 
-def test_a_job_that_was_given_up_starts_nothing_more(stage):
+def test_a_job_that_was_given_up_starts_nothing_more(harness):
     """The round of decisions that gave a job up went on to place its other steps."""
     steps = (Step(1, SIZE, 2.0), Step(4, SIZE, 2.0))
     job = Job(f"{1:016x}", QUEUE, "text", steps, time.time())
-    stage.registry.add(job, time.time())
-    stage.find(job).crashes = CRASHES_TO_GIVE_UP
-    place(stage)
-    record = stage.registry.records[job.job_id]
+    harness.registry.add(job, time.time())
+    harness.find(job).crashes = CRASHES_TO_GIVE_UP
+    place(harness)
+    record = harness.registry.records[job.job_id]
     assert record.state is JobState.FAILED
     assert not any(task.place for task in record.iterate_tasks())
 
 
-def test_one_worker_of_a_rack_is_no_rack(stage):
+def test_one_worker_of_a_rack_is_no_rack(harness):
     """The others of the rack go on: nothing is taken back."""
-    task = stage.find(stage.add(1, Step(1, SIZE, 2.0)))
-    place(stage)
-    stage.crash_under(task)
-    place(stage)
+    task = harness.find(harness.add(1, Step(1, SIZE, 2.0)))
+    place(harness)
+    harness.crash_under(task)
+    place(harness)
     assert (task.crashes, task.blames) == (1, BLAME_AT_ONCE)
 
 
 @pytest.mark.parametrize("cause", [LossCause.LEFT, LossCause.SILENT])
-def test_a_planned_leave_or_a_cut_counts_for_nothing(stage, cause):
+def test_a_planned_leave_or_a_cut_counts_for_nothing(harness, cause):
     """A worker that had said that it would leave, or whose leases ran out behind a cut,
     says nothing about what had just begun there.
     """
-    task = stage.find(stage.add(1, Step(1, SIZE, 2.0)))
-    place(stage)
-    stage.lose(stage.find_node(task), {str(task.name): 8}, cause)
+    task = harness.find(harness.add(1, Step(1, SIZE, 2.0)))
+    place(harness)
+    harness.lose(harness.find_node(task), {str(task.name): 8}, cause)
     assert (task.crashes, task.blames) == (0, 0)
     assert task.waits
 
 
-def test_the_same_loss_told_twice_counts_once(stage):
+def test_the_same_loss_told_twice_counts_once(harness):
     """An agent tells of a loss in each report for a while, to each new leader."""
-    task = stage.find(stage.add(1, Step(1, SIZE, 2.0)))
-    place(stage)
+    task = harness.find(harness.add(1, Step(1, SIZE, 2.0)))
+    place(harness)
     loss = WorkerLoss(
-        stage.fleet.get(f"n{stage.find_node(task)}").worker,
+        harness.fleet.get(f"n{harness.find_node(task)}").worker,
         "crashed",
         0,
         (LostRun(str(task.name), 1, 8),),
     )
-    number = stage.find_node(task)
-    stage.lives[number] += 1
+    number = harness.find_node(task)
+    harness.lives[number] += 1
     for _ in range(3):
-        stage.report(number, (loss,))
+        harness.report(number, (loss,))
     assert task.crashes == 1
 
 
-def test_a_worker_that_is_there_is_not_lost(stage):
+def test_a_worker_that_is_there_is_not_lost(harness):
     """A report told of a worker's silence, and that it is back: its runs go on."""
-    task = stage.find(stage.add(1, Step(1, SIZE, 2.0)))
-    place(stage)
-    number = stage.find_node(task)
+    task = harness.find(harness.add(1, Step(1, SIZE, 2.0)))
+    place(harness)
+    number = harness.find_node(task)
     loss = WorkerLoss(f"w{number}-1", "silent", 0, (LostRun(str(task.name), 1, 8),))
-    stage.report(number, (loss,))
+    harness.report(number, (loss,))
     assert task.place
 
 
-def test_a_loss_of_an_earlier_run_counts_for_nothing(stage):
+def test_a_loss_of_an_earlier_run_counts_for_nothing(harness):
     """A run was stopped, and the next one of the task is on the same worker."""
-    task = stage.find(stage.add(1, Step(1, SIZE, 2.0)))
-    place(stage)
-    number = stage.find_node(task)
-    stage.registry.place(task, 2, task.place, lambda: None)
+    task = harness.find(harness.add(1, Step(1, SIZE, 2.0)))
+    place(harness)
+    number = harness.find_node(task)
+    harness.registry.place(task, 2, task.place, lambda: None)
     loss = WorkerLoss(f"w{number}-1", "crashed", 0, (LostRun(str(task.name), 1, 8),))
-    stage.lives[number] += 1
-    stage.report(number, (loss,))
+    harness.lives[number] += 1
+    harness.report(number, (loss,))
     assert task.waits
     assert task.crashes == 0
 
 
-def test_an_order_that_never_left_counts_for_nothing(stage):
+def test_an_order_that_never_left_counts_for_nothing(harness):
     """A run that the agent never began can't have ended the worker."""
-    task = stage.find(stage.add(1, Step(1, SIZE, 2.0)))
-    place(stage)
-    number = stage.find_node(task)
-    loss = WorkerLoss(stage.fleet.get(f"n{number}").worker, "crashed", 0, ())
-    stage.lives[number] += 1
-    stage.report(number, (loss,))
+    task = harness.find(harness.add(1, Step(1, SIZE, 2.0)))
+    place(harness)
+    number = harness.find_node(task)
+    loss = WorkerLoss(harness.fleet.get(f"n{number}").worker, "crashed", 0, ())
+    harness.lives[number] += 1
+    harness.report(number, (loss,))
     assert task.waits
     assert task.crashes == 0
 
 
-def test_a_successor_goes_on_with_the_counts(stage):
+def test_a_successor_goes_on_with_the_counts(harness):
     """The count began anew under each leader. It is in the job's row now, and a row
     that was written without counts is read as before.
     """
-    job = stage.add(1, Step(1, SIZE, 2.0))
-    task = stage.find(job)
-    place(stage)
-    stage.crash_under(task)
-    value = encode_progress(stage.registry.records[job.job_id])
+    job = harness.add(1, Step(1, SIZE, 2.0))
+    task = harness.find(job)
+    place(harness)
+    harness.crash_under(task)
+    value = encode_progress(harness.registry.records[job.job_id])
     successor = build_record(job)
     apply_progress(successor, value, 7)
     restored = next(successor.iterate_tasks())
@@ -331,45 +331,45 @@
     assert next(older.iterate_tasks()).crashes == 0
 
 
-def test_suspects_spare_serving_tasks(stage):
+def test_suspects_spare_serving_tasks(harness):
     """Serving tasks were away again and again, each time a suspect came to them, since
     their worker was the emptiest.
     """
     serving = Step(1, SIZE, 60.0, lasts=True, image="web", serves_ms=100)
-    host = stage.find(stage.add(10, serving))
-    place(stage, 3.0)
-    task = stage.find(stage.add(1, Step(1, SIZE, 2.0)))
-    elsewhere = stage.fleet.get("n5").place
+    host = harness.find(harness.add(10, serving))
+    place(harness, 3.0)
+    task = harness.find(harness.add(1, Step(1, SIZE, 2.0)))
+    elsewhere = harness.fleet.get("n5").place
     assert host.place != elsewhere
-    stage.registry.place(task, 1, elsewhere, lambda: None)
-    stage.crash_under(task)
-    for number in set(range(6)) - {stage.find_node(host)}:
-        filler = stage.find(stage.add(20 + number, Step(1, Resources(8_000), 60.0)))
-        stage.registry.place(
-            filler, 1, stage.fleet.get(f"n{number}").place, lambda: None
+    harness.registry.place(task, 1, elsewhere, lambda: None)
+    harness.crash_under(task)
+    for number in set(range(6)) - {harness.find_node(host)}:
+        filler = harness.find(harness.add(20 + number, Step(1, Resources(8_000), 60.0)))
+        harness.registry.place(
+            filler, 1, harness.fleet.get(f"n{number}").place, lambda: None
         )
     for number in range(6):
-        stage.report(number)
-    place(stage)
+        harness.report(number)
+    place(harness)
     assert task.place
     assert task.place != host.place
 
 
-def test_nothing_begins_beside_a_suspect_on_probation(stage):
+def test_nothing_begins_beside_a_suspect_on_probation(harness):
     """A task that began beside a suspect just before the crash would be blamed too, and
     a serving task would go down with it.
     """
-    suspect = stage.find(stage.add(1, Step(1, SIZE, 2.0)))
-    place(stage)
-    stage.crash_under(suspect)
-    place(stage)
-    job = stage.add(2, Step(30, SIZE, 2.0))
-    stage.planner.plan()
-    places = {stage.find(job, index).place for index in range(30)}
+    suspect = harness.find(harness.add(1, Step(1, SIZE, 2.0)))
+    place(harness)
+    harness.crash_under(suspect)
+    place(harness)
+    job = harness.add(2, Step(30, SIZE, 2.0))
+    harness.planner.plan()
+    places = {harness.find(job, index).place for index in range(30)}
     assert suspect.place not in places
-    stage.report(stage.find_node(suspect))
-    stage.wait(FRESH_S)
-    stage.report(stage.find_node(suspect))
+    harness.report(harness.find_node(suspect))
+    harness.wait(FRESH_S)
+    harness.report(harness.find_node(suspect))
     assert not is_suspect(suspect)
 
 
@@ -377,15 +377,15 @@
     """A task that was ordered a moment before a suspect for the same worker began with
     it, and shared the blame.
     """
-    stage = LeaderHarness(monkeypatch, ["r1"])
-    stage.find(stage.add(1, Step(1, SIZE, 2.0)))
-    place(stage)
-    suspect = stage.find(stage.add(2, Step(1, SIZE, 2.0)))
+    harness = LeaderHarness(monkeypatch, ["r1"])
+    harness.find(harness.add(1, Step(1, SIZE, 2.0)))
+    place(harness)
+    suspect = harness.find(harness.add(2, Step(1, SIZE, 2.0)))
     suspect.crashes = suspect.blames = 1
-    place(stage, 0.01)
+    place(harness, 0.01)
     assert suspect.waits
-    stage.report(0)
-    place(stage, 0.01)
+    harness.report(0)
+    place(harness, 0.01)
     assert suspect.place
 
 
@@ -393,154 +393,154 @@
     """A fleet that starts a task every few milliseconds has a start on its way to each
     worker all the time.
     """
-    stage = LeaderHarness(monkeypatch, ["r1"])
-    suspect = stage.find(stage.add(1, Step(1, SIZE, 2.0)))
+    harness = LeaderHarness(monkeypatch, ["r1"])
+    suspect = harness.find(harness.add(1, Step(1, SIZE, 2.0)))
     suspect.crashes = suspect.blames = 1
     for number in range(2, 9):
-        other = stage.find(stage.add(number, Step(1, SIZE, 2.0)))
-        stage.report(0)
-        stage.registry.place(other, 1, stage.fleet.get("n0").place, lambda: None)
-        place(stage, 0.2)
+        other = harness.find(harness.add(number, Step(1, SIZE, 2.0)))
+        harness.report(0)
+        harness.registry.place(other, 1, harness.fleet.get("n0").place, lambda: None)
+        place(harness, 0.2)
     assert suspect.waits
-    place(stage, PATIENCE_S)
+    place(harness, MAX_QUIET_WAIT_S)
     assert suspect.place
 
 
-def test_a_worker_that_ends_whatever_begins_there_costs_no_job(stage):
+def test_a_worker_that_ends_whatever_begins_there_costs_no_job(harness):
     """A worker went down and up by turns. Empty whenever it was back, it was the first
     choice for the suspect that it had made, whose job was given up for it.
     """
-    job = stage.add(1, Step(1, SIZE, 2.0))
-    task = stage.find(job)
-    place(stage)
-    first = stage.find_node(task)
-    stage.crash_under(task)
-    others = [stage.add(number, Step(1, SIZE, 9.0)) for number in range(2, 12)]
-    place(stage, 0.1)
+    job = harness.add(1, Step(1, SIZE, 2.0))
+    task = harness.find(job)
+    place(harness)
+    first = harness.find_node(task)
+    harness.crash_under(task)
+    others = [harness.add(number, Step(1, SIZE, 9.0)) for number in range(2, 12)]
+    place(harness, 0.1)
     for number in range(6):
-        stage.report(number)
+        harness.report(number)
     for other in others:
-        if stage.find_node(stage.find(other)) == first:
-            stage.registry.requeue(stage.find(other))
-    place(stage)
+        if harness.find_node(harness.find(other)) == first:
+            harness.registry.requeue(harness.find(other))
+    place(harness)
     assert task.place
-    assert stage.find_node(task) != first
+    assert harness.find_node(task) != first
 
 
-def test_suspects_are_on_a_few_workers_only(stage):
+def test_suspects_are_on_a_few_workers_only(harness):
     """Twenty suspects at once on all workers would take the whole fleet down."""
-    job = stage.add(1, Step(20, SIZE, 2.0))
-    for task in (stage.find(job, index) for index in range(20)):
+    job = harness.add(1, Step(20, SIZE, 2.0))
+    for task in (harness.find(job, index) for index in range(20)):
         task.crashes = task.blames = 1
-    place(stage)
-    placed = {stage.find(job, index).place for index in range(20)} - {""}
+    place(harness)
+    placed = {harness.find(job, index).place for index in range(20)} - {""}
     assert len(placed) == limit_exposed(6) == 1
-    task = next(one for one in map(stage.find, [job] * 20, range(20)) if one.place)
-    number = stage.find_node(task)
+    task = next(one for one in map(harness.find, [job] * 20, range(20)) if one.place)
+    number = harness.find_node(task)
     loss = WorkerLoss(
         f"w{number}-1", "crashed", 0, (LostRun(str(task.name), task.run, 8),)
     )
-    stage.reconciler.apply(
-        stage.attachments[number],
+    harness.reconciler.apply(
+        harness.attachments[number],
         WorkerReport(
             1, 1, "", (loss,), "", False, False, 0, 0, 0, 0, (), (), (), ()
         ),
     )  # fmt: skip
-    place(stage, 0.1)
-    assert not {stage.find(job, index).place for index in range(20)} - {""}, (
+    place(harness, 0.1)
+    assert not {harness.find(job, index).place for index in range(20)} - {""}, (
         "a worker that a suspect has ended counts until it is back"
     )
 
 
-def test_a_task_that_is_hit_twice_a_moment_after_its_start_goes_on(stage):
+def test_a_task_that_is_hit_twice_a_moment_after_its_start_goes_on(harness):
     """Workers that go down and up by turns hit a task that moves between them."""
-    job = stage.add(1, Step(1, SIZE, 2.0))
-    task = stage.find(job)
+    job = harness.add(1, Step(1, SIZE, 2.0))
+    task = harness.find(job)
     for _ in range(2):
-        place(stage)
-        stage.crash_under(task, age_ms=300)
-    place(stage)
+        place(harness)
+        harness.crash_under(task, age_ms=300)
+    place(harness)
     assert task.place
-    stage.report(stage.find_node(task))
-    stage.wait(FRESH_S)
-    stage.report(stage.find_node(task))
+    harness.report(harness.find_node(task))
+    harness.wait(FRESH_S)
+    harness.report(harness.find_node(task))
     assert not task.blames
 
 
-def test_a_task_that_ends_workers_late_is_given_up_as_well(stage):
+def test_a_task_that_ends_workers_late_is_given_up_as_well(harness):
     """Nothing had just begun, so nobody is blamed. Five workers in a row, each before
     the task had worked for long, are enough.
     """
-    job = stage.add(1, Step(1, SIZE, 9.0))
-    task = stage.find(job)
+    job = harness.add(1, Step(1, SIZE, 9.0))
+    task = harness.find(job)
     for _ in range(CRASHES_TO_GIVE_UP):
-        assert stage.registry.records[job.job_id].state is not JobState.FAILED
-        place(stage)
-        stage.crash_under(task, age_ms=4_000)
-    place(stage)
-    assert stage.registry.records[job.job_id].state is JobState.FAILED
+        assert harness.registry.records[job.job_id].state is not JobState.FAILED
+        place(harness)
+        harness.crash_under(task, age_ms=4_000)
+    place(harness)
+    assert harness.registry.records[job.job_id].state is JobState.FAILED
 
 
-def test_where_workers_crash_by_themselves_two_crashes_settle_nothing(stage):
+def test_where_workers_crash_by_themselves_two_crashes_settle_nothing(harness):
     """Three workers went down by turns, 0.9 s after each other. A task that moved
     between them was 347, 33 and 159 ms old, and its job was given up for it. Workers
     that end with nothing that had just begun, or with nothing at all, show that workers
     end by themselves now.
     """
-    job = stage.add(1, Step(1, SIZE, 2.0))
-    task = stage.find(job)
+    job = harness.add(1, Step(1, SIZE, 2.0))
+    task = harness.find(job)
     for age_ms in (347, 33, 159):
-        place(stage)
-        stage.crash_under(task, age_ms=age_ms)
-    place(stage)
-    assert stage.registry.records[job.job_id].state is JobState.ACTIVE
+        place(harness)
+        harness.crash_under(task, age_ms=age_ms)
+    place(harness)
+    assert harness.registry.records[job.job_id].state is JobState.ACTIVE
     assert task.blames == BLAME_FRESH + (BLAME_AT_ONCE - 1) + (BLAME_FRESH - 1)
 
 
-def test_where_workers_crash_by_themselves_three_at_once_are_enough(stage):
+def test_where_workers_crash_by_themselves_three_at_once_are_enough(harness):
     """A task that ends each worker is found there as well, one worker later."""
-    job = stage.add(1, Step(1, SIZE, 2.0))
-    task = stage.find(job)
-    place(stage)
-    idle = next(one for one in range(6) if one != stage.find_node(task))
-    stage.lose(idle, {})
+    job = harness.add(1, Step(1, SIZE, 2.0))
+    task = harness.find(job)
+    place(harness)
+    idle = next(one for one in range(6) if one != harness.find_node(task))
+    harness.lose(idle, {})
     for _ in range(3):
-        assert stage.registry.records[job.job_id].state is not JobState.FAILED
-        place(stage)
-        stage.crash_under(task)
-    place(stage)
-    assert stage.registry.records[job.job_id].state is JobState.FAILED
+        assert harness.registry.records[job.job_id].state is not JobState.FAILED
+        place(harness)
+        harness.crash_under(task)
+    place(harness)
+    assert harness.registry.records[job.job_id].state is JobState.FAILED
 
 
-def test_bystanders_of_crashes_do_not_wait_in_line(stage):
+def test_bystanders_of_crashes_do_not_wait_in_line(harness):
     """Workers crashed by themselves, one after the other. Tasks that had been on two of
     them would each have waited for a worker of their own, serving tasks among them.
     """
-    job = stage.add(1, Step(12, SIZE, 9.0, lasts=True))
-    tasks = [stage.find(job, index) for index in range(12)]
+    job = harness.add(1, Step(12, SIZE, 9.0, lasts=True))
+    tasks = [harness.find(job, index) for index in range(12)]
     for _ in range(2):
-        place(stage, 3.0)
+        place(harness, 3.0)
         for number in range(6):
-            stage.report(number)
+            harness.report(number)
         for number in range(6):
-            stage.lose(number, {str(task.name): 4_000 for task in tasks})
-            stage.wait(1.0)
+            harness.lose(number, {str(task.name): 4_000 for task in tasks})
+            harness.wait(1.0)
     assert {task.crashes for task in tasks} == {2}
-    place(stage, 3.0)
+    place(harness, 3.0)
     assert all(task.place for task in tasks)
 
 
-def test_work_that_goes_well_wipes_the_count(stage):
+def test_work_that_goes_well_wipes_the_count(harness):
     """A task that lasts for days sees many crashes of its workers."""
-    task = stage.find(stage.add(1, Step(1, SIZE, 9.0, lasts=True)))
+    task = harness.find(harness.add(1, Step(1, SIZE, 9.0, lasts=True)))
     for _ in range(2 * CRASHES_TO_GIVE_UP):
-        place(stage)
-        number = stage.find_node(task)
-        stage.report(number)
-        stage.wait(SOUND_S)
-        stage.report(number)
-        stage.lose(number, {str(task.name): int(SOUND_S * 1_000)})
-    assert stage.registry.records[task.name.job_id].state is JobState.ACTIVE
+        place(harness)
+        number = harness.find_node(task)
+        harness.report(number)
+        harness.wait(SOUND_S)
+        harness.report(number)
+        harness.lose(number, {str(task.name): int(SOUND_S * 1_000)})
+    assert harness.registry.records[task.name.job_id].state is JobState.ACTIVE
 
 
 def test_who_began_last_is_blamed():
@@ -558,15 +558,15 @@
 
 def test_one_worker_that_ends_again_and_again_costs_no_job(monkeypatch):
     """A sound job is given up for a runner that starts and ends by itself in a loop."""
-    stage = LeaderHarness(monkeypatch, ["r1"])
-    job = stage.add(1, Step(1, SIZE, 2.0))
-    task = stage.find(job)
+    harness = LeaderHarness(monkeypatch, ["r1"])
+    job = harness.add(1, Step(1, SIZE, 2.0))
+    task = harness.find(job)
     for _ in range(CRASHES_TO_GIVE_UP - 1):
-        place(stage)
-        stage.crash_under(task)
-        assert stage.registry.records[job.job_id].state is JobState.ACTIVE
+        place(harness)
+        harness.crash_under(task)
+        assert harness.registry.records[job.job_id].state is JobState.ACTIVE
     assert task.blames == BLAME_AT_ONCE
-    place(stage)
-    stage.crash_under(task)
-    place(stage)
-    assert stage.registry.records[job.job_id].state is JobState.FAILED
+    place(harness)
+    harness.crash_under(task)
+    place(harness)
+    assert harness.registry.records[job.job_id].state is JobState.FAILED
--- a/tests/unit/test_leader_reconcile.py
+++ b/tests/unit/test_leader_reconcile.py
@@ -8,7 +8,7 @@
 from pistachiodeal.config.deployment import LimitSettings
 from pistachiodeal.jobagent.authority import LEASE_S, SLOWEST_CLOCK, Lease
 from pistachiodeal.jobs.model import EndKind
-from pistachiodeal.leader.descheduler import HELD_BACK_S, STALL_S, Mover
+from pistachiodeal.leader.descheduler import HELD_BACK_S, STALL_S, Descheduler
 from pistachiodeal.leader.reconcile import Reconciler
 from pistachiodeal.leader.registry import JobRegistry
 from pistachiodeal.leader.workers import Attachment, Fleet
@@ -66,24 +66,24 @@
     is still on its way when the successor sees the worker without it. Cause: the run
     was taken for one that will never begin.
     """
-    stage = LeaderHarness()
-    stage.report()
-    assert stage.task.place == "node/w1"
-    assert [ref.task for ref in stage.attachment.outbox.stops] == [TASK]
-    stage.report(outcomes=[OrderOutcome(TASK, 1, "void", "")])
-    assert stage.task.waits
+    harness = LeaderHarness()
+    harness.report()
+    assert harness.task.place == "node/w1"
+    assert [ref.task for ref in harness.attachment.outbox.stops] == [TASK]
+    harness.report(outcomes=[OrderOutcome(TASK, 1, "void", "")])
+    assert harness.task.waits
 
 
 def test_an_end_is_acknowledged_only_once_it_is_durable():
     """Symptom: a task whose end was acknowledged runs again. Sequence: the end is
     acknowledged, the leader dies before its write. Cause: the order of the two.
     """
-    stage = LeaderHarness()
-    stage.report(ends=[EndedTask(1, TASK, 1, "done", "")])
-    worker = stage.fleet.get("node")
+    harness = LeaderHarness()
+    harness.report(ends=[EndedTask(1, TASK, 1, "done", "")])
+    worker = harness.fleet.get("node")
     assert worker.ends_noted == 0
-    stage.write()
-    stage.report(ends=[EndedTask(1, TASK, 1, "done", "")])
+    harness.write()
+    harness.report(ends=[EndedTask(1, TASK, 1, "done", "")])
     assert worker.ends_noted == 1
 
 
@@ -91,20 +91,20 @@
     """Symptom: tasks wait for leases of a runner that is gone. Sequence: it crashes and
     comes back under another incarnation. Cause: only the address was compared.
     """
-    stage = LeaderHarness()
-    stage.report(worker="w2")
-    assert stage.task.waits
-    assert stage.task.run == 1
+    harness = LeaderHarness()
+    harness.report(worker="w2")
+    assert harness.task.waits
+    assert harness.task.run == 1
 
 
 def test_a_run_that_was_given_up_is_stopped_where_it_shows_up():
     """Symptom: a task runs in two places. Sequence: a worker is given up, its task is
     placed anew, the worker comes back with the old run. Cause: unknown runs were left.
     """
-    stage = LeaderHarness()
-    stage.registry.requeue(stage.task)
-    stage.report(running=[RunningTask(TASK, 1, "", 10, 0)])
-    assert [ref.run for ref in stage.attachment.outbox.stops] == [1]
+    harness = LeaderHarness()
+    harness.registry.requeue(harness.task)
+    harness.report(running=[RunningTask(TASK, 1, "", 10, 0)])
+    assert [ref.run for ref in harness.attachment.outbox.stops] == [1]
 
 
 def test_no_lease_outlives_the_leaders_grant():
@@ -128,9 +128,9 @@
     attaches anew; the leader places by what the agent before it listed. Cause: the
     listing outlived its link.
     """
-    stage = LeaderHarness()
-    stage.report()
-    worker = stage.fleet.get("node")
+    harness = LeaderHarness()
+    harness.report()
+    worker = harness.fleet.get("node")
     assert worker.schedulable
     worker.attach(Attachment("node", 2))
     assert not worker.schedulable
@@ -140,10 +140,10 @@
     """Symptom: sound workers got nothing. Sequence: jobs that can never be done fail on
     one worker after another. Cause: each of these failures counted as the worker's.
     """
-    stage = LeaderHarness()
-    stage.task.failures = 1
-    stage.report(ends=[EndedTask(1, TASK, 1, "failed", "")])
-    assert stage.fleet.get("node").health.failures == 0
+    harness = LeaderHarness()
+    harness.task.failures = 1
+    harness.report(ends=[EndedTask(1, TASK, 1, "failed", "")])
+    assert harness.fleet.get("node").health.failures == 0
 
 
 def test_a_filling_task_without_a_pace_is_moved():
@@ -151,31 +151,35 @@
     Sequence: its agent paces it to nothing; other workers have room. Cause: only tasks
     that don't fill were watched for progress.
     """
-    stage = LeaderHarness()
-    step = replace(stage.task.step, fills=True, checkpoints=True, image="f")
-    stage.task.step = step
-    mover = Mover(stage.registry, stage.fleet, stage.reconciler, LimitSettings())
+    harness = LeaderHarness()
+    step = replace(harness.task.step, fills=True, checkpoints=True, image="f")
+    harness.task.step = step
+    descheduler = Descheduler(
+        harness.registry, harness.fleet, harness.reconciler, LimitSettings()
+    )
     now = read_boot_clock()
-    stage.report(running=[RunningTask(TASK, 1, "", 10, 0, 900)])
-    stage.task.slow_since = now
-    mover.move(now + HELD_BACK_S / 2)
-    assert not stage.task.stopping
-    mover.move(now + HELD_BACK_S * 2)
-    assert stage.task.stopping
-    assert "node" in stage.task.avoid
+    harness.report(running=[RunningTask(TASK, 1, "", 10, 0, 900)])
+    harness.task.slow_since = now
+    descheduler.run(now + HELD_BACK_S / 2)
+    assert not harness.task.stopping
+    descheduler.run(now + HELD_BACK_S * 2)
+    assert harness.task.stopping
+    assert "node" in harness.task.avoid
 
 
 def play_listings(*, fills: bool, pace_milli: int, listed_s: float) -> str:
     """Return why a task is stopped that shows no progress while it is listed."""
-    stage = LeaderHarness()
-    stage.task.step = replace(stage.task.step, fills=fills, image="f")
-    mover = Mover(stage.registry, stage.fleet, stage.reconciler, LimitSettings())
-    stage.report(running=[RunningTask(TASK, 1, "", 10, 0, pace_milli)])
-    stage.task.moved_at -= listed_s
+    harness = LeaderHarness()
+    harness.task.step = replace(harness.task.step, fills=fills, image="f")
+    descheduler = Descheduler(
+        harness.registry, harness.fleet, harness.reconciler, LimitSettings()
+    )
+    harness.report(running=[RunningTask(TASK, 1, "", 10, 0, pace_milli)])
+    harness.task.moved_at -= listed_s
     # Held back by its pace is another reason, which has a test of its own.
-    stage.task.slow_since = read_boot_clock()
-    mover.move(read_boot_clock())
-    return stage.task.stopping
+    harness.task.slow_since = read_boot_clock()
+    descheduler.run(read_boot_clock())
+    return harness.task.stopping
 
 
 def test_a_filling_task_on_a_worker_that_hangs_is_moved():
@@ -195,11 +199,13 @@
     Sequence: an agent is frozen for three seconds and its runner works on. Cause to
     guard against: the time without a listing counted as time without progress.
     """
-    stage = LeaderHarness()
-    mover = Mover(stage.registry, stage.fleet, stage.reconciler, LimitSettings())
-    stage.report(running=[RunningTask(TASK, 1, "", 10, 0, 1000)])
-    mover.move(read_boot_clock() + STALL_S + 3.0)
-    assert not stage.task.stopping
+    harness = LeaderHarness()
+    descheduler = Descheduler(
+        harness.registry, harness.fleet, harness.reconciler, LimitSettings()
+    )
+    harness.report(running=[RunningTask(TASK, 1, "", 10, 0, 1000)])
+    descheduler.run(read_boot_clock() + STALL_S + 3.0)
+    assert not harness.task.stopping
 
 
 def test_no_order_goes_to_an_agent_that_has_not_listed_its_worker():
@@ -207,16 +213,16 @@
     restarted before the decision is durable; the order meets an agent that has heard
     no heartbeat yet. Cause: the agent drops it, and the leader takes it for ordered.
     """
-    stage = LeaderHarness()
-    stage.report()
-    stage.registry.requeue(stage.task)
-    stage.registry.place(stage.task, 2, "node/w1", lambda: None)
-    worker = stage.fleet.get("node")
+    harness = LeaderHarness()
+    harness.report()
+    harness.registry.requeue(harness.task)
+    harness.registry.place(harness.task, 2, "node/w1", lambda: None)
+    worker = harness.fleet.get("node")
     attachment = Attachment("node", 2)
     worker.attach(attachment)
-    stage.reconciler.send_order(stage.task, 2, "node/w1")
+    harness.reconciler.send_order(harness.task, 2, "node/w1")
     assert attachment.outbox.starts == []
-    assert stage.task.waits
+    assert harness.task.waits
 
 
 def test_a_refused_task_is_held_for_a_moment():
@@ -224,10 +230,10 @@
     runner refuses what the leader thinks fits; the task waits again and is placed at
     once. Cause: nothing held it.
     """
-    stage = LeaderHarness()
-    stage.report(outcomes=[OrderOutcome(TASK, 1, "refused", "no_room")])
-    assert stage.task.waits
-    assert stage.task.held_until > read_boot_clock()
+    harness = LeaderHarness()
+    harness.report(outcomes=[OrderOutcome(TASK, 1, "refused", "no_room")])
+    assert harness.task.waits
+    assert harness.task.held_until > read_boot_clock()
 
 
 def test_a_later_step_waits_from_its_turn():
@@ -252,13 +258,13 @@
     Sequence: a run is stopped and the task placed again on the same worker; the end of
     the first run is listed after that. Cause: only the task's name was compared.
     """
-    stage = LeaderHarness()
-    stage.registry.requeue(stage.task)
-    stage.registry.place(stage.task, 2, "node/w1", lambda: None)
-    stage.write()
-    stage.report(ends=[EndedTask(1, TASK, 1, "done", "")])
-    assert not stage.task.done
-    assert stage.task.place == "node/w1"
+    harness = LeaderHarness()
+    harness.registry.requeue(harness.task)
+    harness.registry.place(harness.task, 2, "node/w1", lambda: None)
+    harness.write()
+    harness.report(ends=[EndedTask(1, TASK, 1, "done", "")])
+    assert not harness.task.done
+    assert harness.task.place == "node/w1"
 
 
 def test_an_end_on_a_worker_that_the_run_has_left_is_not_its_end():
@@ -266,12 +272,12 @@
     number was given on another worker under an earlier leader. Cause: the place was
     not compared.
     """
-    stage = LeaderHarness()
-    stage.registry.requeue(stage.task)
-    stage.registry.place(stage.task, 1, "other/w9", lambda: None)
-    stage.write()
-    stage.report(ends=[EndedTask(1, TASK, 1, "stopped", "")])
-    assert stage.task.place == "other/w9"
+    harness = LeaderHarness()
+    harness.registry.requeue(harness.task)
+    harness.registry.place(harness.task, 1, "other/w9", lambda: None)
+    harness.write()
+    harness.report(ends=[EndedTask(1, TASK, 1, "stopped", "")])
+    assert harness.task.place == "other/w9"
 
 
 def test_a_decision_that_is_not_durable_is_not_stopped():
@@ -280,12 +286,12 @@
     Sequence: a run is decided; before its row is written the agent reports, without
     it. Cause: it was taken for one whose order had been lost.
     """
-    stage = LeaderHarness()
-    stage.registry.requeue(stage.task)
-    stage.write()
-    stage.registry.place(stage.task, 2, "node/w1", lambda: None)
-    stage.report()
-    assert stage.attachment.outbox.stops == []
+    harness = LeaderHarness()
+    harness.registry.requeue(harness.task)
+    harness.write()
+    harness.registry.place(harness.task, 2, "node/w1", lambda: None)
+    harness.report()
+    assert harness.attachment.outbox.stops == []
 
 
 def test_an_order_whose_task_was_placed_elsewhere_meanwhile_is_not_sent():
@@ -293,12 +299,12 @@
     is lost and the task placed again; the first row is answered. Cause: the order went
     out for a run that had been given up.
     """
-    stage = LeaderHarness()
-    stage.report(running=[RunningTask(TASK, 1, "", 5, 0)])
-    stage.registry.requeue(stage.task)
-    stage.registry.place(stage.task, 2, "other/w9", lambda: None)
-    stage.reconciler.send_order(stage.task, 1, "node/w1")
-    assert stage.attachment.outbox.starts == []
+    harness = LeaderHarness()
+    harness.report(running=[RunningTask(TASK, 1, "", 5, 0)])
+    harness.registry.requeue(harness.task)
+    harness.registry.place(harness.task, 2, "other/w9", lambda: None)
+    harness.reconciler.send_order(harness.task, 1, "node/w1")
+    assert harness.attachment.outbox.starts == []
 
 
 def test_an_end_of_a_worker_that_was_reborn_is_not_noted_for_the_new_one():
@@ -308,12 +314,12 @@
     Sequence: an end waits for its row; the worker is reborn; the row is written.
     Cause: the number was noted for whatever incarnation was there by then.
     """
-    stage = LeaderHarness()
-    stage.report(ends=[EndedTask(1, TASK, 1, "done", "")])
-    stage.report(worker="w2")
-    stage.write()
-    worker = stage.fleet.get("node")
-    worker.advance_noted((EndedTask(1, "0000000000000002.0.0.0", 1, "done", ""),))
+    harness = LeaderHarness()
+    harness.report(ends=[EndedTask(1, TASK, 1, "done", "")])
+    harness.report(worker="w2")
+    harness.write()
+    worker = harness.fleet.get("node")
+    worker.advance_ends_noted((EndedTask(1, "0000000000000002.0.0.0", 1, "done", ""),))
     assert worker.ends_noted == 0
 
 
@@ -322,13 +328,13 @@
     yet acknowledged is listed again, after its task was placed again here with the
     same run number by a leader that did not know of the first. Cause: it counted again.
     """
-    stage = LeaderHarness()
+    harness = LeaderHarness()
     end = EndedTask(1, TASK, 1, "failed", "")
-    stage.report(ends=[end])
-    assert stage.task.failures == 1
-    stage.registry.place(stage.task, 1, "node/w1", lambda: None)
-    stage.report(ends=[end])
-    assert stage.task.failures == 1
+    harness.report(ends=[end])
+    assert harness.task.failures == 1
+    harness.registry.place(harness.task, 1, "node/w1", lambda: None)
+    harness.report(ends=[end])
+    assert harness.task.failures == 1
 
 
 LOSS = WorkerLoss("w1", "crashed", 100, ())
@@ -336,35 +342,35 @@
 
 def test_a_run_that_the_next_start_has_begun_goes_on_there():
     """A task is queued again although its order was carried out by the next start."""
-    stage = LeaderHarness()
-    stage.report(worker="w2", running=[RunningTask(TASK, 1, "", 5, 0)], losses=[LOSS])
-    assert (stage.task.place, stage.task.running) == ("node/w2", True)
-    assert stage.attachment.outbox.stops == []
+    harness = LeaderHarness()
+    harness.report(worker="w2", running=[RunningTask(TASK, 1, "", 5, 0)], losses=[LOSS])
+    assert (harness.task.place, harness.task.running) == ("node/w2", True)
+    assert harness.attachment.outbox.stops == []
 
 
 def test_an_end_at_the_next_start_counts():
     """A task that was done at the next start runs again."""
-    stage = LeaderHarness()
-    stage.report(worker="w2", ends=[EndedTask(1, TASK, 1, "done", "")])
-    assert stage.task.done
+    harness = LeaderHarness()
+    harness.report(worker="w2", ends=[EndedTask(1, TASK, 1, "done", "")])
+    assert harness.task.done
 
 
 def test_a_run_that_may_begin_yet_is_not_given_up():
     """A task runs twice: its unanswered order begins at the next start."""
-    stage = LeaderHarness()
+    harness = LeaderHarness()
     pending = OrderOutcome(TASK, 1, "pending", "")
-    stage.report(worker="", outcomes=[pending], losses=[LOSS])
-    assert stage.task.place == "node/w1"
-    stage.report(worker="w2", outcomes=[pending])
-    assert stage.task.place == "node/w2"
-    stage.report(worker="w2", outcomes=[OrderOutcome(TASK, 1, "void", "")])
-    assert stage.task.waits
+    harness.report(worker="", outcomes=[pending], losses=[LOSS])
+    assert harness.task.place == "node/w1"
+    harness.report(worker="w2", outcomes=[pending])
+    assert harness.task.place == "node/w2"
+    harness.report(worker="w2", outcomes=[OrderOutcome(TASK, 1, "void", "")])
+    assert harness.task.waits
 
 
 def test_a_run_that_nobody_waits_for_any_more_is_given_up():
     """A task waits for ever for a runner that stays away."""
-    stage = LeaderHarness()
+    harness = LeaderHarness()
     pending = OrderOutcome(TASK, 1, "pending", "")
-    stage.report(worker="", outcomes=[pending], losses=[LOSS])
-    stage.report(worker="", losses=[LOSS])
-    assert stage.task.waits
+    harness.report(worker="", outcomes=[pending], losses=[LOSS])
+    harness.report(worker="", losses=[LOSS])
+    assert harness.task.waits
