--- a/pistachiodeal/leader/estimator.py
+++ b/pistachiodeal/leader/estimator.py
@@ -1,16 +1,16 @@
-"""What the leader expects of jobs: how long their tasks take, and how much work."""
+"""Estimates how long tasks take and how much work the jobs of a queue are."""
 
 from __future__ import annotations
 
 from pistachiodeal.jobs.record import JobRecord, StepRecord, Task
 from pistachiodeal.scheduling.durations import DurationModel
 
-# A queue's usual job is that of about its last ten.
+# Weight of the newest job in a queue's moving average: about its last ten jobs count.
 WORK_AVERAGE_WEIGHT = 0.1
 
 
 class JobEstimator:
-    """Learns from what was done, by queue."""
+    """Learns estimates by queue from completed tasks and accepted jobs."""
 
     def __init__(self) -> None:
         self._durations = DurationModel()
@@ -18,22 +18,22 @@
 
     @property
     def durations(self) -> DurationModel:
-        """Return what is known of how long tasks take."""
+        """Return the model of task durations."""
         return self._durations
 
     def estimate_steps(self, record: JobRecord, steps: list[StepRecord]) -> None:
-        """Work out how long the steps of an occurrence will take."""
+        """Set the expected task times of an occurrence's steps."""
         queue = record.job.queue.name
-        for one in steps:
-            if one.timed:
-                one.expected_s = one.took_s / one.timed
+        for step in steps:
+            if step.timed:
+                step.expected_s = step.took_s / step.timed
             else:
-                declared_s = one.step.estimate_s
-                one.expected_s = self._durations.expect_s(queue, declared_s)
+                declared_s = step.step.estimate_s
+                step.expected_s = self._durations.expect_s(queue, declared_s)
         record.take_expectations(steps)
 
-    def note_took(self, record: JobRecord, task: Task, took_s: float) -> None:
-        """Learn from a task that was done how long its like take."""
+    def observe_duration(self, record: JobRecord, task: Task, took_s: float) -> None:
+        """Learn from a completed task how long similar tasks take."""
         step = record.find_step(task.name)
         step.note_took(took_s)
         self._durations.observe(
@@ -41,7 +41,7 @@
         )
 
     def observe_work(self, record: JobRecord) -> None:
-        """Learn from an accepted job how much work its queue's jobs are."""
+        """Add an accepted job to the average work of its queue's jobs."""
         queue = record.job.queue.name
         average = self._average_work.get(queue, record.work)
         self._average_work[queue] = average + WORK_AVERAGE_WEIGHT * (
@@ -49,5 +49,5 @@
         )
 
     def get_average_work(self, queue: str) -> float:
-        """Return the core-seconds of a usual job of a queue."""
+        """Return the average work of a queue's jobs, in core-seconds."""
         return self._average_work.get(queue, 0.0)
--- a/pistachiodeal/leader/reconcile.py
+++ b/pistachiodeal/leader/reconcile.py
@@ -1,4 +1,4 @@
-"""Sets what an agent reports against what the leader has decided."""
+"""Reconciles the reports of agents with the decisions of the leader."""
 
 from __future__ import annotations
 
@@ -31,14 +31,15 @@
     WorkerReport,
 )
 
-# A filling task below this pace hardly moves.
+# A filling task below this pace hardly progresses.
 SLOW_PACE = 0.25
-# A runner that refuses a start for want of room lists what took it soon after.
+# A refused task is not placed again for this long. A runner that refuses a start for
+# lack of room lists the run that took the room soon after.
 REFUSAL_BACKOFF_S = 0.3
 
 
 class Reconciler:
-    """Applies reports to the book."""
+    """Applies the reports of agents to the job registry and the fleet."""
 
     def __init__(
         self,
@@ -58,11 +59,11 @@
 
     @property
     def crashes(self) -> CrashTracker:
-        """Return what is known of workers that crashed."""
+        """Return the tracker of worker crashes."""
         return self._crashes
 
     def apply(self, attachment: Attachment, report: WorkerReport) -> None:
-        """Take in one report."""
+        """Apply one report."""
         now = read_boot_clock()
         worker = self._fleet.get(attachment.node)
         attachment.beat, attachment.last_report_at = report.beat, now
@@ -87,7 +88,8 @@
         worker.leaving_at = now + report.leaving_ms / 1000 if report.draining else 0.0
         if not report.listed:
             return
-        # The agent has spoken with the one worker that the node has now.
+        # The agent has reached the current worker of the node, so all earlier
+        # incarnations are gone.
         self._requeue_all_lost(earlier_places, "a new incarnation is at its address")
         self._apply_runs(worker, attachment, listed, now)
         self._apply_ends(worker, attachment, report)
@@ -95,7 +97,7 @@
         self._interference_monitor.update(worker, attachment, now)
 
     def stop(self, task: Task, why: str) -> None:
-        """Ask for the stop of a task's newest run."""
+        """Request the stop of a task's newest run."""
         if task.stopping or not task.place:
             return
         task.stopping = why
@@ -104,28 +106,28 @@
         )
         worker = self._fleet.find_by_place(task.place)
         attachment = worker.attachment if worker else None
-        # A run whose order has not left yet is given up where the order is made.
+        # A run whose order is not sent yet is requeued in ``send_order``.
         if attachment is not None and (
             task.running or (str(task.name), task.run) in attachment.ordered
         ):
             attachment.order_stop(str(task.name), task.run)
 
     def send_order(self, task: Task, run: int, place: str) -> None:
-        """Order a run, now that its decision is durable."""
+        """Queue the start order of a run whose placement is durable."""
         if task.run != run or task.place != place:
             return
         worker = self._fleet.find_by_place(place)
         attachment = worker.attachment if worker else None
         record = self._registry.records[task.name.job_id]
-        # An agent that has not listed its worker on this link may not know it yet, and
-        # would drop the order in silence: its task would wait for ever.
+        # An agent that has not listed its worker on this link may not know the worker
+        # yet and would silently drop the order, and the task would wait forever.
         if (
             task.stopping
             or worker is None
             or attachment is None
             or not worker.schedulable
         ):
-            # Nobody was ever told of this run, so it cannot come to life later.
+            # The order was never sent, so the run cannot start later.
             self._events.emit("run.unsent", task=str(task.name), run=run, place=place)
             self._registry.requeue(task)
             return
@@ -141,9 +143,9 @@
     def requeue_lost_runs(
         self, place: str, why: str, kept: Container[RunKey] = ()
     ) -> None:
-        """Give up the runs of a worker that is certainly gone.
+        """Requeue the runs of a worker incarnation that is certainly gone.
 
-        :param kept: runs that may begin yet, at the worker's next incarnation.
+        :param kept: runs to keep, since the worker's next incarnation may start them.
         """
         runs = [
             task
@@ -170,8 +172,8 @@
     def _apply_loss(self, worker: WorkerState, loss: WorkerLoss, now: float) -> None:
         if worker.worker == loss.worker:
             worker.reset_incarnation("")
-        # A worker that had said it would leave, or that was only cut off, tells nothing
-        # about its tasks.
+        # The loss of a worker that announced its leave, or that was only unreachable,
+        # says nothing about its tasks.
         if loss.cause == LossCause.CRASHED:
             self._crashes.record_crash(worker, loss, now)
 
@@ -193,9 +195,9 @@
     def _move_runs(
         self, earlier_places: list[str], place: str, listed: ListedRuns
     ) -> None:
-        """Take in that orders for earlier incarnations were carried out by this one.
+        """Move runs that were ordered for earlier incarnations and started on this one.
 
-        Queued again, such a task would run twice, or again after its end.
+        If such a task were requeued, it would run twice, or again after its end.
         """
         for other in earlier_places:
             for name, task in list(self._registry.get_runs(other).items()):
@@ -224,9 +226,9 @@
             elif key in listed.outcomes:
                 self._apply_outcome(worker, task, listed.outcomes[key], now)
             elif key not in attachment.ordered and self._is_durable(task):
-                # An earlier leader, or this one on an earlier link, ordered it. What
-                # became of that order is unknown: it may even arrive now. A stop that
-                # the runner answers settles it.
+                # The run was ordered by an earlier leader or on an earlier link. Its
+                # order may still be in flight. The runner's answer to a stop makes the
+                # outcome certain.
                 attachment.order_stop(name, task.run)
 
     def _is_durable(self, task: Task) -> bool:
@@ -250,7 +252,7 @@
             self._crashes.clear_if_stable(task)
 
     def _add_work(self, task: Task, worked: float, now: float) -> None:
-        """Count the time at work since the task was last listed."""
+        """Add the time that the task has run since it was last listed."""
         since = task.seen_at or task.placed_at
         speed = worked if task.step.fills else 1.0
         task.work_s += speed * (now - since)
@@ -280,7 +282,8 @@
             self._advice.forget_ticket(key, worker.worker)
         self._registry.requeue(task)
         if outcome.outcome == OrderState.REFUSED:
-            # Placed again at once, it would be refused again as fast as orders travel.
+            # Without a delay the task would be placed and refused again as fast as
+            # orders travel.
             task.held_until = now + REFUSAL_BACKOFF_S
 
     def _apply_ends(
@@ -317,9 +320,10 @@
             if task.watched and not task.step.lasts:
                 self._add_work(task, task.worked if task.seen_at else 1.0, now)
                 record = self._registry.records[task.name.job_id]
-                self._registry.estimator.note_took(record, task, task.work_s)
+                self._registry.estimator.observe_duration(record, task, task.work_s)
         elif kind is EndKind.FAILED and not task.step.lasts:
-            # A task that fails everywhere says nothing of the worker.
+            # Only a task's first failure counts against its worker, since a task that
+            # fails everywhere says nothing about the worker.
             if not task.failures:
                 worker.health.note_failure(now)
             task.avoid |= {worker.node}
@@ -341,7 +345,7 @@
             task = runs.get(name)
             if task is not None and task.run == run:
                 continue
-            # The run was given up while it was out of sight; its room is taken until
-            # its end is listed.
+            # The run was requeued while its worker was unreachable. It occupies its
+            # room until its end is listed.
             worker.orphans[name] = run
             attachment.order_stop(name, run)
--- a/pistachiodeal/leader/registry.py
+++ b/pistachiodeal/leader/registry.py
@@ -1,8 +1,8 @@
-"""All jobs that the leader knows, and every change to them.
+"""Holds the leader's in-memory state of all jobs and applies every change to it.
 
-A change marks its job as not yet durable. Effects of a change (an order, an
-acknowledgement, a state that callers are told) are kept with it and run only once the
-job's row is written.
+A change marks its job as unsaved. Actions that depend on the change, such as sending
+an order, acknowledging an end or showing a new state to callers, are queued with it as
+callbacks and run only once the job's row is written.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class JobRegistry:
-    """The leader's memory of jobs."""
+    """Holds the records of all jobs, the runs at each place and the unsaved changes."""
 
     def __init__(self, events: EventLog) -> None:
         self._events = events
@@ -46,25 +46,25 @@
 
     @property
     def estimator(self) -> JobEstimator:
-        """Return what is expected of jobs."""
+        """Return the estimates of task times and of the work of jobs."""
         return self._estimator
 
     @property
     def has_unsaved(self) -> bool:
-        """Tell whether any change has to be written."""
+        """Tell whether any job has changes whose write has not begun."""
         return bool(self._unsaved)
 
     @property
     def has_writable(self) -> bool:
         """Tell whether any change can be written now.
 
-        A job whose last change is on its way waits for the answer: two writes of one
-        row at a time could come in the wrong order.
+        A job whose previous write is in flight waits for its answer, because two
+        concurrent writes of one row could arrive in the wrong order.
         """
         return any(job_id not in self._writing for job_id in self._unsaved)
 
     def is_unsaved(self, job_id: str) -> bool:
-        """Tell whether a change of a job has not reached its row."""
+        """Tell whether a change of a job is not yet durable in its row."""
         return job_id in self._unsaved or job_id in self._writing
 
     def get_runs(self, place: str) -> dict[str, Task]:
@@ -72,7 +72,7 @@
         return self._runs.get(place, {})
 
     def get_generation(self, place: str) -> int:
-        """Return a number that rises with each change of the runs at a place."""
+        """Return a number that increases with each change of the runs at a place."""
         return self._generations.get(place, 0)
 
     def list_places(self) -> list[str]:
@@ -86,19 +86,19 @@
         return record.find(name) if record and name else None
 
     def restore(self, record: JobRecord) -> None:
-        """Take in a record as its rows say it is."""
+        """Add a record that was read from its rows."""
         self._records[record.job_id] = record
         if not record.state.final:
             self._open[record.job_id] = record
         now = read_boot_clock()
         for task in record.iterate_tasks():
-            # How long a task has waited under an earlier leader isn't known.
+            # The time that a task waited under an earlier leader is unknown.
             task.ready_at = now
             if task.place:
                 self._runs.setdefault(task.place, {})[str(task.name)] = task
 
     def add(self, job: Job, time_of_day_s: float) -> None:
-        """Take in an accepted job; one that is known stays as it is."""
+        """Add an accepted job; a job that is already present stays unchanged."""
         if job.job_id in self._records:
             return
         record = build_record(job)
@@ -112,12 +112,12 @@
         self._events.emit("job.known", job=job.job_id, queue=job.queue.name)
 
     def get_expected_s(self, task: Task) -> float:
-        """Return the time that a task is expected to take at full speed."""
+        """Return the expected duration of a task at full speed, in seconds."""
         record = self._records[task.name.job_id]
         return record.find_step(task.name).expected_s
 
     def open_due(self, record: JobRecord, time_of_day_s: float) -> None:
-        """Open a job's occurrences that are due."""
+        """Open the occurrences of a job that are due."""
         if not record.open_due(time_of_day_s):
             return
         now = read_boot_clock()
@@ -133,7 +133,7 @@
         return self._finish(record, JobState.CANCELLED)
 
     def place(self, task: Task, run: int, place: str, on_durable: Callback) -> None:
-        """Decide a run; ``on_durable`` runs once the decision is durable."""
+        """Place a run; ``on_durable`` is called once the decision is durable."""
         now = read_boot_clock()
         task.run, task.place = run, place
         task.running, task.percent, task.stopping = False, 0, ""
@@ -151,9 +151,9 @@
     def end_run(
         self, task: Task, kind: EndKind, checkpoint: str, on_durable: Callback
     ) -> list[Task]:
-        """Take in the end of a task's newest run.
+        """Apply the end of a task's newest run.
 
-        :param on_durable: runs once the end is durable.
+        :param on_durable: called once the end is durable.
         :return: tasks whose runs have to be stopped because the job is over.
         """
         record = self._records[task.name.job_id]
@@ -179,7 +179,7 @@
         return stops
 
     def fail_job(self, record: JobRecord, task: Task) -> list[Task]:
-        """Fail a job for a task that ends its workers.
+        """Fail a job because one of its tasks crashes its workers.
 
         :return: tasks whose runs have to be stopped.
         """
@@ -195,17 +195,17 @@
         return self._finish(record, JobState.FAILED)
 
     def mark_unsaved(self, task: Task) -> None:
-        """Have a task's row written again."""
+        """Mark a task's job as unsaved, so that its row is written again."""
         self._record_change(self._records[task.name.job_id], None)
 
     def requeue(self, task: Task) -> None:
-        """Give a run up that certainly isn't, and never will be, at work."""
+        """Queue a task again whose run certainly is not running and never will be."""
         record = self._records[task.name.job_id]
         self._release(task, "")
         self._record_change(record, None)
 
     def move_run(self, task: Task, place: str) -> None:
-        """Note that a task's newest run is, or may be, at another place."""
+        """Record that a task's newest run is, or may be, at another place."""
         self._remove_from_place(task)
         task.place, task.running = place, False
         self._runs.setdefault(place, {})[str(task.name)] = task
@@ -213,13 +213,13 @@
         self.mark_unsaved(task)
 
     def forget_place(self, place: str) -> None:
-        """Forget a place that has no runs any more."""
+        """Drop the state of a place that has no runs any more."""
         if not self.get_runs(place):
             self._runs.pop(place, None)
             self._generations.pop(place, None)
 
     def begin_writes(self, most: int) -> list[tuple[JobRecord, list[Callback]]]:
-        """Return jobs to write, oldest change first, with their effects."""
+        """Return up to ``most`` jobs to write, oldest change first, with callbacks."""
         writable = [one for one in self._unsaved if one not in self._writing][:most]
         self._writing.update(writable)
         return [
@@ -227,11 +227,11 @@
         ]
 
     def finish_write(self, job_id: str) -> None:
-        """Note that a job's row is written; its effects run next."""
+        """Record that a job's row is written; the caller then runs its callbacks."""
         self._writing.discard(job_id)
 
     def count_pending(self, queue: str) -> int:
-        """Return how many jobs of a queue have not begun."""
+        """Return how many open jobs of a queue have not begun."""
         return sum(
             1
             for record in self._open.values()
@@ -239,7 +239,7 @@
         )
 
     def list_expired(self, now: float, kept_s: float) -> list[JobRecord]:
-        """Return final jobs whose state nobody may ask for any more."""
+        """Return final jobs whose retention time has passed."""
         return [
             record
             for record in self._records.values()
@@ -249,11 +249,11 @@
         ]
 
     def remove(self, record: JobRecord) -> None:
-        """Forget a job whose rows are gone."""
+        """Remove a job whose rows are deleted."""
         self._records.pop(record.job_id, None)
 
     def iterate_ready(self) -> Iterator[tuple[JobRecord, StepRecord]]:
-        """Return all steps with waiting tasks whose turn has come."""
+        """Yield the steps with waiting tasks whose preceding steps are done."""
         for record in self._open.values():
             for step in record.list_ready():
                 yield record, step
@@ -265,18 +265,19 @@
             self._reset_ready_times(record, task.name.occurrence, step.number)
         if not task.step.gang:
             return
-        # One end stands for all members of a gang, which end together; the listed
-        # ends of the others are then of no run that is known.
+        # The members of a gang end together, so one end completes all of them. The
+        # ends that are listed later for the other members match no known run.
         for member in step.tasks:
             if not member.done:
                 self._release(member, "")
                 step.mark_done(member)
 
     def _reset_ready_times(self, record: JobRecord, occurrence: int, done: int) -> None:
-        """Let the steps that come after one that is done wait from now on.
+        """Start the waiting time of the steps that depend on a completed step.
 
-        Counted from the job's acceptance, each later step of a filling job was starved
-        as soon as its turn came, and went beside whomever it disturbed.
+        If the time counted from the job's acceptance, each later step of a filling job
+        would be starved as soon as it became ready, and would be placed beside serving
+        tasks that it disturbs.
         """
         now = read_boot_clock()
         for step in record.occurrences[occurrence]:
