--- a/pistachiodeal/leader/crashes.py
+++ b/pistachiodeal/leader/crashes.py
@@ -1,7 +1,7 @@
-"""Counts the workers that crashed under each task, and takes back what a rack explains.
+"""Counts worker crashes against tasks, and reverts those due to a rack failure.
 
-The counts are written with the job's row, in the same write that sets its tasks free:
-a successor goes on with them.
+The counts are written with the job's row, in the same write that queues its tasks
+again, so that a succeeding leader continues with them.
 """
 
 from __future__ import annotations
@@ -22,24 +22,26 @@
 )
 from pistachiodeal.wire.job_messages import WorkerLoss
 
-# Suspects wait this long after a crash: by then the agents of a rack that lost its
-# power have told of it, and nobody is given up for that.
+# A suspect is not placed again for this long after a crash. By then all agents of a
+# rack that lost power have reported it, so no job fails because of a rack failure.
 RACK_CHECK_DELAY_S = 0.6
-# A worker that crashed is expected back within this time, and remembered for it.
+# A crashed worker is expected to restart within this time; its crash is kept that long.
 RECOVERY_WINDOW_S = 10.0
-# Longer than any agent tells of a crash.
+# Reported crashes are remembered for this long to recognise repeats. This is longer
+# than any agent keeps reporting a crash.
 DEDUP_WINDOW_S = 60.0
 
 
 @dataclass(slots=True)
 class _Crash:
-    """A worker that crashed.
-
-    :param at: seconds of the boot clock.
-    :param suspected: whether a suspect was at work on it.
-    :param explained: whether a task that had just begun is the likely cause.
-    :param counted_tasks: tasks that it was counted against.
-    :param blames: how much was counted against those that were blamed.
+    """The crash of one worker.
+
+    :param at: time of the crash, seconds of the boot clock.
+    :param suspected: whether a suspect was running on the worker.
+    :param explained: whether a task that had just started is the likely cause.
+    :param counted_tasks: tasks whose crash count it increased.
+    :param blames: blame that it added, by task.
+    :param checked: whether a rack failure has been checked for.
     """
 
     at: float
@@ -53,7 +55,7 @@
 
 
 class CrashTracker:
-    """The leader's view of crashes.
+    """Attributes worker crashes to the tasks that may have caused them.
 
     Times are seconds of the boot clock.
     """
@@ -63,13 +65,14 @@
         self._fleet = fleet
         self._events = events
         self._recent: list[_Crash] = []
-        # Agents tell of a crash until they are answered, and again on a new link.
+        # Agents report a crash until it is answered, and again on each new link.
         self._reported_at: dict[str, float] = {}
 
     def record_crash(self, worker: WorkerState, loss: WorkerLoss, now: float) -> None:
-        """Count a crash against the tasks that were at work, before they are freed.
+        """Count a crash against the tasks that were running, before they are requeued.
 
-        One of an idle worker counts against nobody, and still shows that a rack fails.
+        The crash of an idle worker counts against no task, but still helps to detect a
+        rack failure.
         """
         place = build_place(worker.node, loss.worker)
         if place in self._reported_at:
@@ -87,8 +90,9 @@
         ]
         restless = any(not one.explained for one in self._recent)
         attribution = judge(active_runs, restless=restless)
-        # A runner that starts and ends in a loop hits a task more than once; only its
-        # end under another task, or of another worker under this one, tells them apart.
+        # A runner in a crash loop hits the same task repeatedly. Only a crash of that
+        # worker under another task, or of another worker under this task, shows which
+        # of the two is the cause, so repeats on the same node add no blame.
         blames = {
             name: weight
             for name, weight in attribution.blames.items()
@@ -102,23 +106,23 @@
             explained=attribution.explained,
             blames=blames,
         )
-        for one in active_runs:
-            if one.task not in attribution.involved:
+        for run in active_runs:
+            if run.task not in attribution.involved:
                 continue
-            task = runs[one.task]
+            task = runs[run.task]
             crash.counted_tasks.append(task)
             task.crashes += 1
-            task.blames += blames.get(one.task, 0)
+            task.blames += blames.get(run.task, 0)
             if is_suspect(task):
-                # It may be the worker that ends whatever begins there; emptied by its
-                # end it would be the first choice again.
+                # The worker itself may be faulty and crash under every task. The crash
+                # leaves it empty, which would make it the first choice again.
                 task.avoid |= {worker.node}
                 task.held_until = max(task.held_until, crash.at + RACK_CHECK_DELAY_S)
-            self._log_suspect(task, one.age_s)
+            self._log_suspect(task, run.age_s)
         self._recent.append(crash)
 
     def clear_if_stable(self, task: Task) -> None:
-        """Clear a task that has been at work without a crash."""
+        """Reset the counts of a task that has run long enough without a crash."""
         worked_s = task.seen_at - task.began_at
         if task.blames and worked_s >= FRESH_S:
             task.blames = 0
@@ -129,7 +133,7 @@
             task.crashes = 0
 
     def revert_rack_failures(self, now: float) -> None:
-        """Take back what was counted for crashes that their rack explains."""
+        """Revert the counts of crashes due to a rack failure; drop old crashes."""
         for crash in self._recent:
             if crash.checked or now - crash.at < RACK_CHECK_DELAY_S:
                 continue
@@ -144,7 +148,7 @@
         }
 
     def count_unrecovered(self) -> int:
-        """Return how many workers crashed under a suspect and are not back."""
+        """Return how many workers crashed under a suspect and have not restarted."""
         return len(
             {one.worker.node for one in self._recent if self._is_unrecovered(one)}
         )
@@ -155,7 +159,7 @@
         return crash.suspected and not back
 
     def _did_rack_fail(self, crash: _Crash) -> bool:
-        """Tell whether all other workers of the rack crashed at the same moment."""
+        """Tell whether all other workers of the rack crashed at the same time."""
         crashed_together = {
             one.worker.node
             for one in self._recent
--- a/pistachiodeal/leader/fleet_views.py
+++ b/pistachiodeal/leader/fleet_views.py
@@ -1,4 +1,4 @@
-"""The workers as a round of decisions sees them."""
+"""Provides the planner with up-to-date views of the workers."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from pistachiodeal.scheduling.views import WorkerView
 
 ViewsByService = dict[str, list[WorkerView]]
-"""Views by service."""
+"""Worker views by service."""
 
 ViewVersion = tuple[str, int, int]
-"""Place, and the stamps of its worker and of its runs."""
+"""A place, and the generations of its worker and of its runs."""
 
 
 class FleetViews:
-    """Keeps a view of each worker that takes tasks, and builds anew what has changed.
+    """Caches a view of each schedulable worker and rebuilds those that have changed.
 
-    Between two rounds a few of hundreds of workers report; to build all views for each
-    round would take much of the leader's time.
+    Between two planning rounds only a few of hundreds of workers report. Rebuilding all
+    views in each round would take much of the leader's time.
     """
 
     def __init__(self, registry: JobRegistry, fleet: Fleet) -> None:
@@ -31,11 +31,11 @@
 
     @property
     def round(self) -> int:
-        """Return the number of the newest round; see ``WorkerView.built_in``."""
+        """Return the number of the current round; see ``WorkerView.built_in``."""
         return self._round
 
     def refresh(self, now: float) -> ViewsByService:
-        """Begin a round; return the workers that take tasks, by service.
+        """Begin a round; return the views of schedulable workers, by service.
 
         :param now: seconds of the boot clock.
         """
@@ -54,10 +54,11 @@
         return views
 
     def retain(self, view: WorkerView) -> None:
-        """Note that a view already shows a run that was placed on its worker.
+        """Keep a view that already includes a run that was just placed on its worker.
 
-        Built anew it would count as changed, and each step that found nothing would be
-        weighed against it again, which makes a burst on a large fleet much slower.
+        A rebuilt view would count as changed, so that each step that found no worker
+        would be evaluated against it again, which makes placing a burst on a large
+        fleet much slower.
         """
         worker = self._fleet.get(view.node)
         self._views[view.node] = (self._build_version(worker), view)
@@ -71,7 +72,7 @@
     ) -> tuple[ViewVersion, WorkerView]:
         version = self._build_version(worker)
         known = self._views.get(worker.node)
-        # How long a worker stays closed is a matter of time alone.
+        # A worker's suspicion ends by time alone, without a change of generation.
         time_dependent = worker.health.suspect or worker.health.suspect_until > 0
         if known is None or known[0] != version or time_dependent or known[1].probation:
             return version, _build(self._registry, worker, now, self._round)
@@ -79,8 +80,8 @@
 
 
 def _reopen_if_most_closed(views: list[WorkerView]) -> None:
-    # Jobs that can never be done fail everywhere. Closing the workers for it would
-    # leave sound jobs without any.
+    # Jobs that can never succeed fail on every worker. Closing all those workers would
+    # leave none for valid jobs.
     if sum(view.closed for view in views) <= MOST_SUSPECTS * len(views):
         return
     for view in views:
--- a/pistachiodeal/leader/interference_monitor.py
+++ b/pistachiodeal/leader/interference_monitor.py
@@ -1,4 +1,4 @@
-"""Learns from what an agent lists which of its worker's tasks disturb each other."""
+"""Feeds reported figures of co-located tasks into the interference model."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class InterferenceMonitor:
-    """Shows figures to the interference model, and tells agents what it knows."""
+    """Updates the interference model and sends its changes to the agents."""
 
     def __init__(
         self, registry: JobRegistry, interference: InterferenceModel, events: EventLog
@@ -25,7 +25,7 @@
         self._events = events
 
     def update(self, worker: WorkerState, attachment: Attachment, now: float) -> None:
-        """Take in a worker's newest figures, and tell its agent what they taught."""
+        """Apply a worker's newest figures; queue changed estimates for its agent."""
         runs = [
             task
             for task in self._registry.get_runs(worker.place).values()
@@ -49,7 +49,7 @@
         efforts: dict[str, float],
         now: float,
     ) -> None:
-        """Show the model each serving task's figure and its company."""
+        """Pass each serving task's figure and the load beside it to the model."""
         worker.baseline_slack = {}
         for task in runs:
             if not task.running or not task.step.serves_ms:
@@ -73,7 +73,7 @@
 
 
 def _sum_efforts(runs: list[Task]) -> dict[str, float]:
-    """Return the effort of the filling tasks at work, by image."""
+    """Return the summed effort of the running filling tasks, by image."""
     efforts: dict[str, float] = {}
     for task in runs:
         if task.running and task.step.fills:
--- a/pistachiodeal/leader/suspect_placer.py
+++ b/pistachiodeal/leader/suspect_placer.py
@@ -1,8 +1,9 @@
-"""Places tasks that may end their worker: one alone, on few workers, and gives them up.
+"""Places tasks suspected of crashing their worker in isolation, on a few workers only.
 
-"Alone" means that nothing else begins on the worker until it has worked for a moment,
-and that what was ordered before is seen at work, where such a worker is to be had. What
-has been at work there for longer stays.
+Isolation means that no other task starts on the worker until the suspect has run for a
+moment and, where such a worker is available, that all runs ordered there earlier have
+been listed as running. Tasks that have been running there for longer stay. A job whose
+task has crashed too many workers fails.
 """
 
 from __future__ import annotations
@@ -20,17 +21,17 @@
 from pistachiodeal.scheduling.suspicion import is_hopeless, limit_exposed
 from pistachiodeal.scheduling.views import StepKey, WorkerView
 
-# To weigh all workers for each of many suspects would take a whole round.
+# Evaluating all workers for each of many suspects would take a whole round.
 MAX_SUSPECTS_PER_ROUND = 8
-# On a fleet that starts tasks all the time no worker may be quiet. A suspect goes
-# beside what has just begun after this long: it has all the blame then.
+# On a fleet that starts tasks all the time no worker may be quiet. After this long a
+# suspect is placed beside tasks that have just started; it then takes all the blame.
 MAX_QUIET_WAIT_S = 2.0
-# Why a suspect waits is logged this often for each step.
+# The reason why a suspect waits is logged at most this often per step.
 WAIT_LOG_INTERVAL_S = 2.0
 
 
 class SuspectPlacer:
-    """Decides about suspects in rounds, as the planner goes through the steps."""
+    """Chooses workers for suspects, called by the planner within a planning round."""
 
     def __init__(
         self,
@@ -52,7 +53,7 @@
         return self._reconciler.crashes
 
     def begin_round(self, now: float) -> None:
-        """Settle the crashes whose time has come."""
+        """Revert counts due to rack failures and reset the limits of the round."""
         self._crashes.revert_rack_failures(now)
         self._now = now
         self._logged_at = {
@@ -63,7 +64,7 @@
         self._remaining = MAX_SUSPECTS_PER_ROUND
 
     def fail_hopeless_job(self, record: JobRecord, tasks: Iterable[Task]) -> bool:
-        """Give the job up if one of its waiting tasks has ended too many workers."""
+        """Fail the job if one of its waiting tasks has crashed too many workers."""
         for task in tasks:
             if is_hopeless(task):
                 for other in self._registry.fail_job(record, task):
@@ -74,7 +75,7 @@
     def reserve_worker(
         self, task: Task, request: Request, views: list[WorkerView]
     ) -> WorkerView | None:
-        """Reserve a worker for a suspect, None while it has to wait."""
+        """Reserve a worker for a suspect; return None while it has to wait."""
         exposed = (
             sum(view.probation for view in views) + self._crashes.count_unrecovered()
         )
@@ -85,7 +86,8 @@
             quiet = self._now - task.ready_at < MAX_QUIET_WAIT_S
             alone = replace(request, alone=True, quiet=quiet, avoid=task.avoid)
             others = [one for one in views if one.node not in task.avoid]
-            # Its end on the same worker once more would tell nothing of the task.
+            # Another crash on a worker that already crashed under the task would not
+            # show which of the two is the cause.
             choice = others if quiet and others else views
             view = choose_worker(alone, choice, self._interference)
         if view is None:
@@ -96,7 +98,7 @@
         return view
 
     def _explain_wait(self, task: Task, key: StepKey, exposed: int, limit: int) -> None:
-        """Log why a suspect waits, once in a while for each step."""
+        """Log why a suspect waits, at most once per interval and step."""
         if key in self._logged_at:
             return
         self._logged_at[key] = self._now
