--- a/pistachiodeal/leader/descheduler.py
+++ b/pistachiodeal/leader/descheduler.py
@@ -1,7 +1,7 @@
-"""Which runs leave their worker.
+"""Stops runs that have to continue on another worker.
 
-Those that are stalled or held back, and those on a worker that is leaving or has less
-memory than it had.
+These are runs that are stalled or held back by pacing, and runs on a worker that is
+draining or has less memory than before.
 """
 
 from __future__ import annotations
@@ -16,30 +16,33 @@
 from pistachiodeal.scheduling.preemption import choose_to_fit
 from pistachiodeal.scheduling.views import reserve_size
 
-# A run that is listed without progress for this long is given to another worker.
-# Progress is listed in hundredths twice a second, so a task of half a minute still
-# moves. Time in which nothing is listed doesn't count: an agent that stands still says
-# nothing of its runner.
+# A run that is listed without progress for this long moves to another worker. Progress
+# is listed in percent twice a second, so even a task of half a minute advances within
+# this time. Time without a listing doesn't count, because a hung agent says nothing
+# about its runner.
 STALL_S = 1.5
-# Of a longer task a hundredth takes longer: this part of its expected time.
+# For longer tasks one percent takes longer, so the limit is at least this share of the
+# expected time.
 STALL_SHARE = 1 / 20
-# A filling task that works at less than this pace may well show no progress.
+# A filling task below this pace may show no progress without being stalled.
 STALL_PACE = 0.5
-# A task that can't end before its worker leaves is moved. Beside the time of the stop
-# this is kept for the order's way.
+# A task that can't finish before its worker leaves is moved. Beside the time of the
+# stop itself, this much is reserved for delivering the order.
 LEAVE_MARGIN_S = 0.2
-# A worker that has too little memory for its runs may have it back soon; after this
-# long the runs that cost least go. The machine would else end one of its own choice.
+# A worker that lacks memory for its runs may get it back soon. After this long the
+# cheapest runs are stopped; otherwise the machine would end one of its own choice.
 SHORTAGE_GRACE_S = 1.0
-# The pace comes back with the swing of the serving tasks' own load within a few
-# seconds; a task that saves its progress is better off elsewhere before that.
+# A filling task that is held back for this long is moved. Its pace would recover within
+# a few seconds, when the load of the serving tasks changes, but a task with checkpoints
+# is better off elsewhere before that.
 HELD_BACK_S = 1.0
-# What saves nothing and is this far on is paced to its end where it is.
+# A task without checkpoints that has reached this percentage finishes where it is, even
+# at a low pace.
 MAX_RESTART_PERCENT = 40
 
 
 class Descheduler:
-    """Stops runs that have to go on elsewhere."""
+    """Stops runs so that the planner places them on other workers."""
 
     def __init__(
         self,
@@ -56,7 +59,7 @@
         self._short_since: dict[str, float] = {}
 
     def run(self, now: float) -> None:
-        """Stop what has to go on elsewhere.
+        """Stop all runs that have to move.
 
         :param now: seconds of the boot clock.
         """
@@ -99,7 +102,7 @@
                     self._reconciler.stop(task, "its worker is leaving")
 
     def _stop_held_back(self, now: float) -> None:
-        """Stop filling tasks that hardly move beside their neighbours."""
+        """Stop filling tasks that hardly progress beside their serving neighbours."""
         for worker in self._fleet.workers.values():
             if not worker.listed or worker.attachment is None:
                 continue
@@ -110,14 +113,14 @@
                 self._reconciler.stop(task, "its neighbours leave it no pace")
 
     def _relieve_memory_shortage(self, now: float) -> None:
-        """Stop what costs least on workers with too little memory for their runs.
+        """Stop the cheapest runs on workers with too little memory for their runs.
 
-        Processors are shared by all, so nobody goes for them.
+        Processor time is shared by all runs, so a lack of it stops none.
         """
         short: dict[str, float] = {}
         for worker in self._fleet.workers.values():
-            # To add up the runs of hundreds of workers each time would slow down all
-            # decisions, so only those that have shrunk are looked at.
+            # Summing up the runs of hundreds of workers each time would slow down all
+            # decisions, so only workers whose capacity has shrunk are checked.
             if (
                 not worker.maybe_overcommitted
                 or not worker.listed
@@ -164,9 +167,9 @@
 
 
 def _measure_missing(worker: WorkerState, runs: list[Task]) -> Resources:
-    """Return what a worker's runs reserve beyond what it has, without processors.
+    """Return the memory and accelerators reserved beyond a worker's capacity.
 
-    Runs that are being stopped have made their room already.
+    Runs that are being stopped count as already gone.
     """
     used = Resources()
     for task in runs:
--- a/pistachiodeal/leader/planner.py
+++ b/pistachiodeal/leader/planner.py
@@ -1,4 +1,4 @@
-"""One round of decisions: what gets a place, and what gives way to it."""
+"""Plans in rounds: places waiting tasks and preempts or moves running ones."""
 
 from __future__ import annotations
 
@@ -39,23 +39,23 @@
 from pistachiodeal.scheduling.suspicion import is_suspect
 from pistachiodeal.scheduling.views import WorkerView
 
-# Filling work that waits this long, with nothing of its job at work, goes beside
-# serving tasks even though it disturbs them: paced work is more than none.
+# A filling step that waits this long while nothing of its job runs is placed beside
+# serving tasks even if it disturbs them: paced progress is better than none.
 STARVED_S = 2.0
-# A round looks at what agents have reported after this long, whatever is still to be
-# decided: while it places a burst the leader would else hear nobody.
+# A round ends after this long even if steps remain, so that the leader can process the
+# reports of agents while it places a burst.
 SLICE_S = 0.03
-# What has to leave its worker is looked for this often. Agents list their runs each
-# 0.4 s, and the look goes over every run.
+# Interval between checks for runs that have to move. Agents list their runs every
+# 0.4 s, and each check goes over every run.
 DESCHEDULE_INTERVAL_S = 0.1
 
 
 class Planner:
     """Places waiting tasks.
 
-    :param find_queue: returns a queue as the newest configuration has it.
-    :param limits: times that the deployment promises.
-    :param advice: answers of the outside service, where there is one.
+    :param find_queue: returns the queue as defined by the newest configuration.
+    :param limits: time limits of the deployment.
+    :param advice: answers of the external advice service, None without one.
     """
 
     def __init__(
@@ -76,7 +76,8 @@
         self._attempts = Attempts()
         self._preemptor = Preemptor(registry, fleet, reconciler, find_queue, limits)
         self._suspect_placer = SuspectPlacer(registry, reconciler, interference, events)
-        # A task that takes twice as long elsewhere needs a whole worker's time more.
+        # Extra cost of running away from the data: a task that takes twice as long
+        # there occupies a whole worker for the same time again.
         self._remote_cost = limits.remote_factor - 1.0
         self._descheduled_at = 0.0
         self._registry = registry
@@ -87,7 +88,7 @@
         self._advice = advice
 
     def plan(self) -> bool:
-        """Do one round; tell whether all waiting steps had their turn."""
+        """Run one planning round; tell whether all waiting steps were considered."""
         now = read_boot_clock()
         self._open_due()
         if now - self._descheduled_at > DESCHEDULE_INTERVAL_S:
@@ -102,7 +103,7 @@
         for _, _, record, step in ready:
             if read_boot_clock() > until:
                 return False
-            # An earlier step of the round may have given the job up.
+            # An earlier step of this round may have failed the job.
             if not record.state.final:
                 self._place_step(views, record, step)
         return True
@@ -186,8 +187,8 @@
                 self._preemptor.make_room(task, queue, views)
                 return
             self._place(task, task.run + 1, request, view)
-            # What the next task depends on beside its worker: racks that are taken,
-            # and that only the first one is bold.
+            # The candidates also depend on the racks already used and on ``bold``,
+            # which applies to the first task only.
             racks = request.racks | {view.rack} if step.step.same_rack else frozenset()
             if racks != request.racks or request.bold:
                 request = replace(request, racks=racks, bold=False)
@@ -210,8 +211,8 @@
         waiting: list[Task],
         queue: Queue,
     ) -> None:
-        # A part of a gang would hold its room without working: all or none. Members
-        # still at work from an earlier run end first.
+        # A partly placed gang would reserve room without working, so all members are
+        # placed or none. Members that still run from an earlier attempt end first.
         if len(waiting) < len(step.tasks):
             return
         request = Request(
@@ -242,7 +243,7 @@
     def _list_allowed(
         self, request: Request, queue: Queue, views: list[WorkerView]
     ) -> list[WorkerView]:
-        """Return the workers that the outside service allows, if it is asked at all."""
+        """Return the workers that the advice service allows; all if it isn't used."""
         if not queue.advised or self._advice is None:
             return views
         find = self._advice.find_ticket
@@ -264,7 +265,7 @@
     def _explain_wait(
         self, request: Request, obstacles: Mapping[Obstacle, int]
     ) -> None:
-        """Log why a step waits."""
+        """Log the obstacles that keep a step waiting."""
         counts = {obstacle.value: count for obstacle, count in obstacles.items()}
         job_id, occurrence, step = request.key
         self._events.emit(
@@ -272,7 +273,7 @@
         )
 
     def _is_starved(self, record: JobRecord, step: StepRecord) -> bool:
-        """Tell whether a filling step has waited long and nothing of its job runs."""
+        """Tell whether a filling step has waited long while nothing of its job runs."""
         if not step.step.fills:
             return False
         if any(task.place for task in record.iterate_tasks()):
@@ -304,6 +305,6 @@
 
 
 def _measure_wait_s(step: StepRecord) -> float:
-    """Return for how long the first of a step's waiting tasks has waited."""
+    """Return the longest waiting time of a step's waiting tasks, in seconds."""
     ready_at = min(task.ready_at for task in step.tasks if task.waits)
     return read_boot_clock() - ready_at
--- a/pistachiodeal/leader/preemptor.py
+++ b/pistachiodeal/leader/preemptor.py
@@ -1,4 +1,4 @@
-"""Makes room for urgent work that found none, by stopping less urgent work."""
+"""Preempts less urgent runs to make room for urgent tasks that found none."""
 
 from __future__ import annotations
 
@@ -17,19 +17,21 @@
 from pistachiodeal.scheduling.preemption import Victim, choose_victims
 from pistachiodeal.scheduling.views import WorkerView, reserve_size
 
-# A moved task costs its start again, and a preempted one its work since its last save.
+# Limits the cost per round: a moved task has to start again, and a preempted task loses
+# its work since the last checkpoint.
 MAX_PREEMPTIONS_PER_ROUND = 16
 
 QueueLookup = Callable[[Queue], Queue]
 
 
 class Preemptor:
-    """Stops runs for urgent tasks, a bounded number in a round of decisions.
+    """Stops runs for urgent tasks, a bounded number per planning round.
 
-    What no stop makes room for is looked for once a round: to list the victims on 296
-    workers for each of a hundred steps took half of the round.
+    A size for which no preemption makes room is searched for only once per round:
+    listing the victims on 296 workers for each of a hundred steps took half of the
+    round.
 
-    :param find_queue: returns a queue as the newest configuration has it.
+    :param find_queue: returns the queue as defined by the newest configuration.
     """
 
     def __init__(
@@ -46,19 +48,19 @@
         self._reconciler = reconciler
         self._find_queue = find_queue
         self._preempted = 0
-        # Services in which stopped runs will make room for urgent work, and sizes that
-        # no stop makes room for.
+        # By service: whether runs that are being stopped will make room for urgent
+        # tasks, and sizes for which no preemption makes room.
         self._room_pending: dict[str, bool] = {}
         self._infeasible_sizes: dict[str, list[Resources]] = {}
 
     def begin_round(self) -> None:
-        """Forget what the last round has worked out."""
+        """Clear the results of the previous round."""
         self._preempted = 0
         self._room_pending.clear()
         self._infeasible_sizes.clear()
 
     def make_room(self, task: Task, queue: Queue, views: list[WorkerView]) -> None:
-        """Stop less urgent work for an urgent task that found no room."""
+        """Stop less urgent runs for an urgent task that found no room."""
         if queue.priority != URGENT_PRIORITY:
             return
         if self._preempted >= MAX_PREEMPTIONS_PER_ROUND:
@@ -87,7 +89,7 @@
                 self._reconciler.stop(run, f"gives way to {task.name}")
 
     def _is_room_pending(self, service: str) -> bool:
-        """Tell whether runs that are being stopped will make room for a task."""
+        """Tell whether a service has runs that are being stopped for an urgent task."""
         for worker in self._fleet.workers.values():
             if not worker.schedulable or worker.service != service:
                 continue
--- a/pistachiodeal/leader/victims.py
+++ b/pistachiodeal/leader/victims.py
@@ -1,4 +1,4 @@
-"""A run as one that could be stopped."""
+"""Builds preemption candidates from running tasks."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 def build_victim(task: Task, priority: int, now: float, move_s: float) -> Victim:
-    """Return what stopping a task's run would cost, and set free.
+    """Return a candidate with the cost and the freed room of stopping a task's run.
 
-    :param priority: of its queue.
+    :param priority: priority of the task's queue.
     :param now: seconds of the boot clock.
-    :param move_s: for how long a task is not at work when it is moved.
+    :param move_s: for how long a moved task is not running, in seconds.
     """
     return Victim(
         str(task.name),
--- a/pistachiodeal/leader/workers.py
+++ b/pistachiodeal/leader/workers.py
@@ -1,4 +1,4 @@
-"""Workers as the leader knows them, and what it has to tell their agents."""
+"""Holds the leader's in-memory state of workers and the orders for their agents."""
 
 from __future__ import annotations
 
@@ -22,19 +22,19 @@
 
 
 def build_place(node: str, worker: str) -> str:
-    """Return the name of one incarnation of the worker on a node."""
+    """Return the place name of one incarnation of the worker on a node."""
     return f"{node}{PLACE_SEPARATOR}{worker}"
 
 
 def split_place(place: str) -> tuple[str, str]:
-    """Return node and incarnation of a place."""
+    """Return the node and the incarnation of a place."""
     node, _, worker = place.partition(PLACE_SEPARATOR)
     return node, worker
 
 
 @dataclass(slots=True)
 class Outbox:
-    """Orders for one agent that are not yet sent."""
+    """Messages for one agent that are not sent yet."""
 
     texts: dict[str, str] = field(default_factory=dict)
     starts: list[RunOrder] = field(default_factory=list)
@@ -44,20 +44,21 @@
 
     @property
     def empty(self) -> bool:
-        """Tell whether there is nothing to send by itself; presses can wait."""
+        """Tell whether nothing has to be sent now; presses can wait."""
         return not (self.starts or self.stops or self.known)
 
 
 @dataclass(slots=True, eq=False)
 class Attachment:
-    """One link of one agent: what was sent and received on it.
+    """The state of one link to an agent: what was sent and received on it.
 
-    Runs whose order was sent on an earlier link, or by an earlier leader, have to be
-    settled again: ``ordered`` and ``stopped`` begin empty with each link.
+    The outcome of orders that were sent on an earlier link or by an earlier leader has
+    to be determined again, so ``ordered`` and ``stopped`` are empty on each new link.
 
-    :param token: the lowest of the agent's fencing tokens, higher than any earlier
-        one's.
-    :param beat: the newest report's number, received at ``last_report_at`` (boot clock).
+    :param token: the lowest fencing token of the agent, higher than that of any earlier
+        agent.
+    :param beat: number of the newest report.
+    :param last_report_at: when that report arrived, seconds of the boot clock.
     """
 
     node: str
@@ -72,32 +73,32 @@
     sent_presses: dict[Pair, float] = field(default_factory=dict)
 
     def order_stop(self, task: str, run: int) -> None:
-        """Tell the agent once to stop a run, or to make sure it never starts."""
+        """Order the agent once to stop a run, or to make sure it never starts."""
         if (task, run) in self.stopped:
             return
         self.stopped.add((task, run))
         self.outbox.stops.append(RunRef(task, run))
 
     def order_start(self, order: RunOrder, job_id: str, text: str) -> None:
-        """Tell the agent to start a run."""
+        """Order the agent to start a run."""
         self.ordered.add((order.task, order.run))
         self.outbox.texts[job_id] = text
         self.outbox.starts.append(order)
 
     def withdraw_starts(self) -> None:
-        """Take back the starts that were not sent; a stop settles each of them."""
+        """Replace the starts that are not sent yet by stops, which end these runs."""
         starts, self.outbox.starts = self.outbox.starts, []
         for order in starts:
             self.order_stop(order.task, order.run)
 
     def describe(self, order: RunOrder) -> None:
-        """Tell a new agent once what it has to know of a run at work."""
+        """Queue the description of a running run once, for an agent that lacks it."""
         if (order.task, order.run) not in self.described | self.ordered:
             self.described.add((order.task, order.run))
             self.outbox.known.append(order)
 
     def queue_press(self, pair: Pair, press: float) -> None:
-        """Tell the agent what one image takes from another, if that is news."""
+        """Queue how much one image disturbs another, if that has changed enough."""
         sent = self.sent_presses.get(pair)
         if sent is None or abs(press - sent) > TOLD_CHANGE:
             self.sent_presses[pair] = press
@@ -106,7 +107,7 @@
     def build_directive(
         self, epoch: int, worker: str, ends_noted: int, grant_ms: int, starts_ms: int
     ) -> Directive:
-        """Return everything that the agent has to be told, and clear it."""
+        """Return a directive with all queued messages, and clear the outbox."""
         outbox, self.outbox = self.outbox, Outbox()
         self.answered = self.beat
         return Directive(
@@ -127,19 +128,19 @@
 
 @dataclass(slots=True, eq=False)
 class WorkerState:
-    """The worker on one node.
+    """The state of the worker on one node.
 
     :param worker: its newest incarnation, empty before the first report.
     :param attachment: the link to its agent, None while there is none.
-    :param granted_until: until when its leases may run, boot clock.
-    :param ends_noted: ends up to this number are durable.
-    :param closed: whether its data centre is closed: nothing is started there.
-    :param maybe_overcommitted: whether it may have too little memory for its runs: it has less
-        than before, or this leader has not looked yet.
-    :param generation: rises with each report and link, so that whoever keeps something
-        worked out from this knows that it is old.
-    :param baseline_slack: slack that its serving tasks would have without filling work, the
-        least by image.
+    :param granted_until: until when its leases may run, seconds of the boot clock.
+    :param ends_noted: all ends up to this number are durable.
+    :param closed: whether its data centre is closed, so that nothing is started there.
+    :param maybe_overcommitted: whether it may have too little memory for its runs: its
+        capacity has shrunk, or this leader has not checked yet.
+    :param generation: increases with each report and link, which invalidates values
+        cached from this state.
+    :param baseline_slack: by image, the least slack that its serving tasks would have
+        without filling tasks.
     """
 
     node: str
@@ -175,14 +176,14 @@
 
     @property
     def schedulable(self) -> bool:
-        """Tell whether the worker takes new tasks."""
+        """Tell whether new tasks may be placed on the worker."""
         present = bool(self.worker and self.listed and self.attachment)
         return present and not self.draining and not self.closed
 
     def attach(self, attachment: Attachment) -> None:
-        """Take in a new link to the agent; nothing is placed before its first listing.
+        """Set a new link to the agent; nothing is placed before its first listing.
 
-        A restarted agent knows neither its runner's clock nor what runs there, so it
+        A restarted agent knows neither its runner's clock nor the runs on it, so it
         would have to refuse every order.
         """
         self.attachment = attachment
@@ -190,7 +191,7 @@
         self.generation += 1
 
     def apply_report(self, report: WorkerReport) -> None:
-        """Take in what a report says of the worker itself."""
+        """Apply what a report says about the worker itself."""
         if report.worker != self.worker:
             self.reset_incarnation(report.worker)
         self.service = report.service
@@ -202,7 +203,7 @@
         self.draining = report.draining
 
     def reset_incarnation(self, worker: str) -> None:
-        """Take in a new incarnation, or that there is none; it starts afresh."""
+        """Set the incarnation, empty for none, and reset the state bound to it."""
         self.worker = worker
         self.ends_noted = 0
         self.ends_durable.clear()
@@ -210,11 +211,11 @@
         self.health = WorkerHealth()
 
     def mark_end_durable(self, number: int) -> None:
-        """Note that an end is durable, or of no run that counts."""
+        """Record that an end is durable or belongs to no current run."""
         self.ends_durable.add(number)
 
     def advance_ends_noted(self, ends: tuple[EndedTask, ...]) -> None:
-        """Move ``ends_noted`` over all listed ends that are durable."""
+        """Advance ``ends_noted`` over the listed ends, up to the first not durable."""
         for end in sorted(ends, key=lambda one: one.number):
             if end.number <= self.ends_noted:
                 continue
@@ -224,7 +225,7 @@
 
 
 class Fleet:
-    """All workers by node."""
+    """The workers of all nodes."""
 
     def __init__(self) -> None:
         self._workers: dict[str, WorkerState] = {}
@@ -241,24 +242,24 @@
         return self._closed
 
     def close(self, data_centres: frozenset[str]) -> None:
-        """Close these data centres, and open all others."""
+        """Close exactly these data centres; all others are open."""
         self._closed = data_centres
         for worker in self._workers.values():
             self._apply_closing(worker)
 
     def set_data_centre(self, worker: WorkerState, data_centre: str) -> None:
-        """Note in which data centre a worker is."""
+        """Set the data centre of a worker."""
         worker.data_centre = data_centre
         self._apply_closing(worker)
 
     def get(self, node: str) -> WorkerState:
-        """Return a node's worker; makes one for a new node."""
+        """Return the worker of a node, created if the node is new."""
         if node not in self._workers:
             self._workers[node] = WorkerState(node)
         return self._workers[node]
 
     def find_by_place(self, place: str) -> WorkerState | None:
-        """Return the worker whose newest incarnation is a place."""
+        """Return the worker whose newest incarnation is at a place, if any."""
         worker = self._workers.get(split_place(place)[0])
         return worker if worker is not None and worker.place == place else None
 
