--- a/pistachiodeal/leader/registry.py
+++ b/pistachiodeal/leader/registry.py
@@ -218,9 +218,9 @@
             self._runs.pop(place, None)
             self._generations.pop(place, None)
 
-    def begin_writes(self, most: int) -> list[tuple[JobRecord, list[Callback]]]:
-        """Return up to ``most`` jobs to write, oldest change first, with callbacks."""
-        writable = [one for one in self._unsaved if one not in self._writing][:most]
+    def begin_writes(self, limit: int) -> list[tuple[JobRecord, list[Callback]]]:
+        """Return up to ``limit`` jobs to write, oldest change first, with callbacks."""
+        writable = [one for one in self._unsaved if one not in self._writing][:limit]
         self._writing.update(writable)
         return [
             (self._records[job_id], self._unsaved.pop(job_id)) for job_id in writable
--- a/tests/unit/test_deployment_settings.py
+++ b/tests/unit/test_deployment_settings.py
@@ -1,4 +1,4 @@
-"""Settings of the programs on the users' platform, and what decides by them."""
+"""Tests the deployment settings and the decisions that depend on them."""
 
 from __future__ import annotations
 
@@ -51,8 +51,8 @@
     return load_deployment(str(path))
 
 
-def test_all_faults_are_told_at_once(tmp_path: Path):
-    """Guards against a file that is refused once for each of its faults."""
+def test_all_faults_are_reported_at_once(tmp_path: Path):
+    """Guards against a file whose faults are reported only one at a time."""
     limits = {"stop_ms": -1, "longest_lease_ms": "6000", "remote_factor": 0.5}
     with pytest.raises(SettingsError) as raised:
         load(tmp_path, limits=limits, link_mbps="fast")
@@ -63,16 +63,16 @@
     assert "link_mbps: is not of type float" in text
 
 
-def test_a_limit_that_the_platform_does_not_give_has_its_default(tmp_path: Path):
-    """Guards against a platform without a limit on which no process starts."""
+def test_a_limit_that_the_platform_omits_has_its_default(tmp_path: Path):
+    """Guards against processes that fail to start where the platform sets no limit."""
     assert load(tmp_path, limits={"closing_ms": None}).limits.closing_ms == 5_000
 
 
 @pytest.mark.parametrize(("longest_s", "expected_s"), [(6.0, 6.0), (10.0, LEASE_S)])
-def test_a_lease_is_no_longer_than_the_runner_keeps_it(
+def test_a_lease_is_no_longer_than_the_runner_allows(
     longest_s: float, expected_s: float
 ):
-    """Guards against tasks of a silent runner that wait for a lease that has ended."""
+    """Guards against tasks of a silent runner that wait for an expired lease."""
     ledger = AgentLedger(create_quiet_log(), longest_s)
     ledger.adopt(build_beat("w"))
     for _ in range(2):
@@ -83,8 +83,10 @@
 
 
 @pytest.mark.parametrize(("stop_ms", "expected"), [(200, False), (2_000, True)])
-def test_a_task_leaves_in_time_for_its_stop(stop_ms: int, expected: bool):
-    """Guards against a stop that ends after its worker, so that progress is lost."""
+def test_a_task_is_stopped_in_time_before_its_worker_leaves(
+    stop_ms: int, expected: bool
+):
+    """Guards against a stop that outlasts its worker, so that progress is lost."""
     harness = LeaderHarness()
     harness.report(running=[RunningTask(TASK, 1, "", 0, 0)])
     worker = harness.fleet.get("node")
@@ -96,8 +98,8 @@
     assert bool(harness.task.stopping) is expected
 
 
-def test_what_saves_its_progress_costs_the_time_of_its_move():
-    """Guards against stops of what has done much where a move is dear."""
+def test_a_task_with_checkpoints_costs_the_time_of_its_move():
+    """Guards against stopping a task with much progress where a move is expensive."""
     room = Resources(1_000, 0, 0)
     for move_s, cheapest in ((0.5, "saved"), (4.0, "young")):
         victims = [
@@ -109,11 +111,11 @@
 
 
 @pytest.mark.parametrize(("remote_factor", "expected"), [(1.5, "far"), (3.0, "near")])
-def test_a_task_goes_far_from_its_data_where_that_costs_little(
+def test_a_task_runs_far_from_its_data_where_that_costs_little(
     remote_factor: float, expected: str
 ):
-    """Guards against tasks that go far from their data where that takes three times as
-    long, and that wait beside it where it takes hardly longer.
+    """Guards against tasks that run far from their data where that takes three times
+    as long, and against tasks that wait near it where it takes hardly longer.
     """
     near = WorkerView("near", "near", "r1", frozenset(), ROOM)
     far = WorkerView("far", "far", "r2", frozenset(), ROOM)
@@ -128,14 +130,14 @@
 @pytest.mark.parametrize(
     ("interference_s", "expected_s"), [(3.0, 0.8), (4.0, 1.2), (10.0, GUARD_S)]
 )
-def test_neighbours_stand_in_time(interference_s: float, expected_s: float):
-    """Guards against harm to a serving task for longer than its deployment allows."""
+def test_filling_tasks_are_paused_in_time(interference_s: float, expected_s: float):
+    """Guards against disturbing a serving task longer than its deployment allows."""
     assert compute_guard_s(interference_s) == pytest.approx(expected_s)
     tail = ServingTail("t", "s", 120, 120, 100)
     pacer = Pacer(TailGuard(compute_guard_s(interference_s)))
 
     def decide(now: float) -> int:
-        # Too little at work to be suspected sooner.
+        # Too little load to be suspected earlier.
         fills = {"f": FillingLoad(1, 0.15)}
         return pacer.decide([tail], fills, lambda filling, serving: 0.0, now)["f"]
 
--- a/tests/unit/test_leader_crashes.py
+++ b/tests/unit/test_leader_crashes.py
@@ -1,4 +1,4 @@
-"""What the leader makes of a worker that ended, and of the tasks that were on it."""
+"""Tests how worker crashes are attributed to tasks, and how suspects are placed."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 class LeaderHarness:
-    """A leader and workers that are told of by hand; time is moved by hand as well."""
+    """A leader with workers whose reports, losses and clock the test controls."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, racks: list[str]) -> None:
         self._now = read_boot_clock()
@@ -76,21 +76,21 @@
             self.report(number)
 
     def wait(self, seconds: float) -> None:
-        """Let time go by."""
+        """Advance the clock."""
         self._now += seconds
 
     def add(self, number: int, step: Step) -> Job:
-        """Hand in a job of one step."""
+        """Add a job of one step."""
         job = Job(f"{number:016x}", QUEUE, "text", (step,), time.time())
         self.registry.add(job, time.time())
         return job
 
     def find(self, job: Job, index: int = 0):
-        """Return a task."""
+        """Return a task of a job's first step."""
         return self.registry.find_task(f"{job.job_id}.0.0.{index}")
 
     def report(self, number: int, losses=(), **fields) -> None:
-        """Apply a report in which the worker lists every run that it was given."""
+        """Apply a report in which the worker lists every run placed on it."""
         worker = f"w{number}-{self.lives[number]}"
         runs = self.registry.get_runs(f"n{number}/{worker}").values()
         self.percent = self.percent % 99 + 1
@@ -110,7 +110,7 @@
     def lose(
         self, number: int, ages_ms: dict[str, int], cause=LossCause.CRASHED
     ) -> None:
-        """Let a worker end and come back; ``ages_ms`` is by task."""
+        """Report the loss of a worker and its restart; ``ages_ms`` is by task."""
         runs = self.registry.get_runs(f"n{number}/w{number}-{self.lives[number]}")
         lost = tuple(
             LostRun(name, task.run, ages_ms.get(name, 60_000))
@@ -121,11 +121,11 @@
         self.report(number, (loss,))
 
     def find_node(self, task) -> int:
-        """Return the number of the node that a task was given."""
+        """Return the number of the node on which a task is placed."""
         return int(task.place.partition("/")[0].removeprefix("n"))
 
     def crash_under(self, task, age_ms: int = 8) -> None:
-        """Let the worker of a task end soon after the task's start."""
+        """Report a crash of a task's worker soon after the task's start."""
         self.lose(self.find_node(task), {str(task.name): age_ms})
 
 
@@ -135,14 +135,16 @@
 
 
 def place(harness: LeaderHarness, seconds: float = RACK_CHECK_DELAY_S + 0.01) -> None:
-    """Let a moment pass, and decide."""
+    """Advance the clock and run a planning round."""
     harness.wait(seconds)
     harness.planner.plan()
 
 
-def test_the_second_worker_that_ends_under_a_lone_start_settles_it(harness):
-    """A task was started 88 times. Two workers that end right after its start, the
-    second with nothing else that had just begun, are enough.
+def test_two_crashes_right_after_a_lone_start_fail_the_job(harness):
+    """Guards against a crashing task that is restarted without limit (88 times).
+
+    Two workers that crash right after its start, the second with no other task that
+    had just started, are enough to fail the job.
     """
     job = harness.add(1, Step(1, SIZE, 2.0))
     task = harness.find(job)
@@ -155,10 +157,11 @@
     assert task.run == 2
 
 
-def test_a_neighbour_is_not_given_up(harness):
-    """A task that had begun together with one that ends its workers was given up with
-    it. After the first crash each begins on a worker of its own, and the neighbour is
-    cleared once it has worked for a moment.
+def test_a_neighbour_of_a_crashing_task_is_not_failed(harness):
+    """Guards against failing a task that started together with a crashing one.
+
+    After the first crash each of them starts on a worker of its own, and the neighbour
+    is cleared once it has run for a moment.
     """
     job = harness.add(1, Step(2, SIZE, 2.0))
     guilty, neighbour = harness.find(job, 0), harness.find(job, 1)
@@ -179,8 +182,8 @@
     assert guilty.place != neighbour.place
 
 
-def test_long_work_beside_it_is_not_blamed(harness):
-    """Work of minutes on the same worker began long before and has ended nobody."""
+def test_long_running_neighbours_are_not_blamed(harness):
+    """A task that has run on the worker for long is not the cause of a crash."""
     old = harness.find(harness.add(1, Step(1, SIZE, 90.0)))
     place(harness)
     guilty = harness.find(harness.add(2, Step(1, SIZE, 2.0)))
@@ -191,9 +194,10 @@
     assert (old.blames, old.crashes) == (0, 0)
 
 
-def test_a_rack_that_loses_power_blames_nobody(harness):
-    """All workers of a rack end within milliseconds; their agents may live on. A task
-    that had just begun there would be half given up for it.
+def test_a_power_failure_of_a_rack_blames_no_task(harness):
+    """Guards against blaming a task that had just started in a rack that lost power.
+
+    All workers of the rack end within milliseconds, while their agents may survive.
     """
     job = harness.add(1, Step(6, SIZE, 2.0))
     place(harness)
@@ -207,9 +211,11 @@
     assert [(task.crashes, task.blames) for task in hit] == [(0, 0)] * len(hit)
 
 
-def test_nobody_is_given_up_before_the_rack_was_heard(harness):
-    """A suspect was given up for the power of a rack: the first worker of the rack was
-    heard of 50 ms before the second, on which nothing was at work.
+def test_no_job_fails_before_the_whole_rack_has_reported(harness):
+    """Guards against failing a suspect's job for a power failure of its rack.
+
+    The crash of the rack's first worker is reported 50 ms before that of the second, on
+    which nothing was running.
     """
     job = harness.add(1, Step(1, SIZE, 2.0))
     task = harness.find(job)
@@ -226,8 +232,8 @@
     assert (task.crashes, task.blames) == (1, BLAME_AT_ONCE)
 
 
-def test_a_job_that_was_given_up_starts_nothing_more(harness):
-    """The round of decisions that gave a job up went on to place its other steps."""
+def test_a_failed_job_starts_no_further_tasks(harness):
+    """Guards against a round that fails a job and then places its other steps."""
     steps = (Step(1, SIZE, 2.0), Step(4, SIZE, 2.0))
     job = Job(f"{1:016x}", QUEUE, "text", steps, time.time())
     harness.registry.add(job, time.time())
@@ -238,8 +244,8 @@
     assert not any(task.place for task in record.iterate_tasks())
 
 
-def test_one_worker_of_a_rack_is_no_rack(harness):
-    """The others of the rack go on: nothing is taken back."""
+def test_a_crash_of_one_worker_is_no_rack_failure(harness):
+    """The other workers of the rack keep running, so no count is reverted."""
     task = harness.find(harness.add(1, Step(1, SIZE, 2.0)))
     place(harness)
     harness.crash_under(task)
@@ -249,8 +255,8 @@
 
 @pytest.mark.parametrize("cause", [LossCause.LEFT, LossCause.SILENT])
 def test_a_planned_leave_or_a_cut_counts_for_nothing(harness, cause):
-    """A worker that had said that it would leave, or whose leases ran out behind a cut,
-    says nothing about what had just begun there.
+    """A worker that announced its leave, or whose leases expired while it was
+    unreachable, says nothing about the tasks that had just started there.
     """
     task = harness.find(harness.add(1, Step(1, SIZE, 2.0)))
     place(harness)
@@ -259,8 +265,8 @@
     assert task.waits
 
 
-def test_the_same_loss_told_twice_counts_once(harness):
-    """An agent tells of a loss in each report for a while, to each new leader."""
+def test_a_repeated_report_of_a_loss_counts_once(harness):
+    """An agent repeats a loss in its reports for a while, and to each new leader."""
     task = harness.find(harness.add(1, Step(1, SIZE, 2.0)))
     place(harness)
     loss = WorkerLoss(
@@ -276,8 +282,8 @@
     assert task.crashes == 1
 
 
-def test_a_worker_that_is_there_is_not_lost(harness):
-    """A report told of a worker's silence, and that it is back: its runs go on."""
+def test_a_worker_that_is_back_is_not_lost(harness):
+    """A report lists a worker as silent and as back again: its runs continue."""
     task = harness.find(harness.add(1, Step(1, SIZE, 2.0)))
     place(harness)
     number = harness.find_node(task)
@@ -287,7 +293,7 @@
 
 
 def test_a_loss_of_an_earlier_run_counts_for_nothing(harness):
-    """A run was stopped, and the next one of the task is on the same worker."""
+    """A run was stopped, and the task's next run is on the same worker."""
     task = harness.find(harness.add(1, Step(1, SIZE, 2.0)))
     place(harness)
     number = harness.find_node(task)
@@ -299,8 +305,8 @@
     assert task.crashes == 0
 
 
-def test_an_order_that_never_left_counts_for_nothing(harness):
-    """A run that the agent never began can't have ended the worker."""
+def test_an_order_that_was_never_sent_counts_for_nothing(harness):
+    """A run that the agent never started can't have crashed the worker."""
     task = harness.find(harness.add(1, Step(1, SIZE, 2.0)))
     place(harness)
     number = harness.find_node(task)
@@ -311,9 +317,11 @@
     assert task.crashes == 0
 
 
-def test_a_successor_goes_on_with_the_counts(harness):
-    """The count began anew under each leader. It is in the job's row now, and a row
-    that was written without counts is read as before.
+def test_a_succeeding_leader_keeps_the_counts(harness):
+    """Guards against counts that restart under each leader.
+
+    They are stored in the job's row; a row that was written without counts stays
+    readable.
     """
     job = harness.add(1, Step(1, SIZE, 2.0))
     task = harness.find(job)
@@ -332,8 +340,9 @@
 
 
 def test_suspects_spare_serving_tasks(harness):
-    """Serving tasks were away again and again, each time a suspect came to them, since
-    their worker was the emptiest.
+    """Guards against suspects that are placed on the workers of serving tasks.
+
+    These workers are often the emptiest, so the serving tasks were lost repeatedly.
     """
     serving = Step(1, SIZE, 60.0, lasts=True, image="web", serves_ms=100)
     host = harness.find(harness.add(10, serving))
@@ -355,9 +364,9 @@
     assert task.place != host.place
 
 
-def test_nothing_begins_beside_a_suspect_on_probation(harness):
-    """A task that began beside a suspect just before the crash would be blamed too, and
-    a serving task would go down with it.
+def test_no_task_starts_beside_a_suspect_on_probation(harness):
+    """A task that starts beside a suspect just before the crash would be blamed too,
+    and a serving task would be lost with the worker.
     """
     suspect = harness.find(harness.add(1, Step(1, SIZE, 2.0)))
     place(harness)
@@ -373,9 +382,9 @@
     assert not is_suspect(suspect)
 
 
-def test_a_suspect_waits_until_what_was_ordered_before_is_seen(monkeypatch):
-    """A task that was ordered a moment before a suspect for the same worker began with
-    it, and shared the blame.
+def test_a_suspect_waits_until_earlier_orders_are_listed(monkeypatch):
+    """Guards against a task that shares the blame of a suspect, because it was ordered
+    for the same worker a moment before and starts together with it.
     """
     harness = LeaderHarness(monkeypatch, ["r1"])
     harness.find(harness.add(1, Step(1, SIZE, 2.0)))
@@ -389,9 +398,9 @@
     assert suspect.place
 
 
-def test_a_suspect_does_not_wait_for_ever_for_a_quiet_worker(monkeypatch):
-    """A fleet that starts a task every few milliseconds has a start on its way to each
-    worker all the time.
+def test_a_suspect_does_not_wait_forever_for_a_quiet_worker(monkeypatch):
+    """A fleet that starts a task every few milliseconds always has a pending start for
+    each worker.
     """
     harness = LeaderHarness(monkeypatch, ["r1"])
     suspect = harness.find(harness.add(1, Step(1, SIZE, 2.0)))
@@ -406,9 +415,11 @@
     assert suspect.place
 
 
-def test_a_worker_that_ends_whatever_begins_there_costs_no_job(harness):
-    """A worker went down and up by turns. Empty whenever it was back, it was the first
-    choice for the suspect that it had made, whose job was given up for it.
+def test_a_worker_that_crashes_under_every_task_fails_no_job(harness):
+    """Guards against failing a job for a worker that crashes repeatedly.
+
+    The worker is empty after each restart, so it is the first choice for the suspect
+    that its own crash has produced.
     """
     job = harness.add(1, Step(1, SIZE, 2.0))
     task = harness.find(job)
@@ -427,8 +438,8 @@
     assert harness.find_node(task) != first
 
 
-def test_suspects_are_on_a_few_workers_only(harness):
-    """Twenty suspects at once on all workers would take the whole fleet down."""
+def test_suspects_are_placed_on_a_few_workers_only(harness):
+    """Twenty suspects placed at once on all workers would crash the whole fleet."""
     job = harness.add(1, Step(20, SIZE, 2.0))
     for task in (harness.find(job, index) for index in range(20)):
         task.crashes = task.blames = 1
@@ -448,12 +459,12 @@
     )  # fmt: skip
     place(harness, 0.1)
     assert not {harness.find(job, index).place for index in range(20)} - {""}, (
-        "a worker that a suspect has ended counts until it is back"
+        "a worker that crashed under a suspect counts until it has restarted"
     )
 
 
-def test_a_task_that_is_hit_twice_a_moment_after_its_start_goes_on(harness):
-    """Workers that go down and up by turns hit a task that moves between them."""
+def test_two_crashes_a_moment_after_a_start_do_not_fail_the_job(harness):
+    """Workers that crash in turn can hit the same task as it moves between them."""
     job = harness.add(1, Step(1, SIZE, 2.0))
     task = harness.find(job)
     for _ in range(2):
@@ -467,9 +478,9 @@
     assert not task.blames
 
 
-def test_a_task_that_ends_workers_late_is_given_up_as_well(harness):
-    """Nothing had just begun, so nobody is blamed. Five workers in a row, each before
-    the task had worked for long, are enough.
+def test_a_task_that_crashes_workers_late_fails_its_job(harness):
+    """No task had just started, so none is blamed. Five crashes in a row, each before
+    the task has run for long, are enough.
     """
     job = harness.add(1, Step(1, SIZE, 9.0))
     task = harness.find(job)
@@ -481,11 +492,12 @@
     assert harness.registry.records[job.job_id].state is JobState.FAILED
 
 
-def test_where_workers_crash_by_themselves_two_crashes_settle_nothing(harness):
-    """Three workers went down by turns, 0.9 s after each other. A task that moved
-    between them was 347, 33 and 159 ms old, and its job was given up for it. Workers
-    that end with nothing that had just begun, or with nothing at all, show that workers
-    end by themselves now.
+def test_two_crashes_fail_no_job_while_workers_crash_by_themselves(harness):
+    """Guards against failing a job for workers that crash by themselves.
+
+    Three workers crash in turn, 0.9 s apart, while a task that moves between them is
+    347, 33 and 159 ms old. Crashes of workers without a task that had just started, or
+    of idle workers, show that workers crash by themselves.
     """
     job = harness.add(1, Step(1, SIZE, 2.0))
     task = harness.find(job)
@@ -497,8 +509,8 @@
     assert task.blames == BLAME_FRESH + (BLAME_AT_ONCE - 1) + (BLAME_FRESH - 1)
 
 
-def test_where_workers_crash_by_themselves_three_at_once_are_enough(harness):
-    """A task that ends each worker is found there as well, one worker later."""
+def test_three_crashes_fail_the_job_while_workers_crash_by_themselves(harness):
+    """A task that crashes each worker is still found, one worker later."""
     job = harness.add(1, Step(1, SIZE, 2.0))
     task = harness.find(job)
     place(harness)
@@ -512,9 +524,9 @@
     assert harness.registry.records[job.job_id].state is JobState.FAILED
 
 
-def test_bystanders_of_crashes_do_not_wait_in_line(harness):
-    """Workers crashed by themselves, one after the other. Tasks that had been on two of
-    them would each have waited for a worker of their own, serving tasks among them.
+def test_bystanders_of_crashes_do_not_wait_for_isolation(harness):
+    """Guards against isolating tasks, serving tasks among them, that were running on
+    two workers which crashed by themselves one after the other.
     """
     job = harness.add(1, Step(12, SIZE, 9.0, lasts=True))
     tasks = [harness.find(job, index) for index in range(12)]
@@ -530,8 +542,8 @@
     assert all(task.place for task in tasks)
 
 
-def test_work_that_goes_well_wipes_the_count(harness):
-    """A task that lasts for days sees many crashes of its workers."""
+def test_a_stable_run_resets_the_crash_count(harness):
+    """A task that runs for days sees many crashes of its workers."""
     task = harness.find(harness.add(1, Step(1, SIZE, 9.0, lasts=True)))
     for _ in range(2 * CRASHES_TO_GIVE_UP):
         place(harness)
@@ -543,8 +555,8 @@
     assert harness.registry.records[task.name.job_id].state is JobState.ACTIVE
 
 
-def test_who_began_last_is_blamed():
-    """Starts of the same moment share the blame; a suspect among them has all of it."""
+def test_the_task_that_started_last_is_blamed():
+    """Simultaneous starts share the blame; a suspect among them takes all of it."""
     young, close = Casualty("a", 0.01, False), Casualty("b", 0.05, False)
     later = Casualty("c", 0.4, False)
     unknown, old = Casualty("d", None, False), Casualty("e", 9.0, True)
@@ -556,8 +568,8 @@
     assert judge([unknown, old]).involved == {"d", "e"}
 
 
-def test_one_worker_that_ends_again_and_again_costs_no_job(monkeypatch):
-    """A sound job is given up for a runner that starts and ends by itself in a loop."""
+def test_one_worker_in_a_crash_loop_does_not_fail_a_job_at_once(monkeypatch):
+    """Guards against failing a valid job for a runner in a crash loop."""
     harness = LeaderHarness(monkeypatch, ["r1"])
     job = harness.add(1, Step(1, SIZE, 2.0))
     task = harness.find(job)
--- a/tests/unit/test_leader_fleet_views.py
+++ b/tests/unit/test_leader_fleet_views.py
@@ -1,4 +1,4 @@
-"""Which workers a round of decisions may use."""
+"""Tests which workers a planning round may use."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def build_fleet(workers: int, suspects: int) -> Fleet:
-    """Return workers of one service, some of which have failed two tasks."""
+    """Return workers of one service, of which ``suspects`` have failed two tasks."""
     fleet = Fleet()
     now = read_boot_clock()
     for number in range(workers):
@@ -23,16 +23,17 @@
     return fleet
 
 
-def test_suspects_are_closed():
-    """The load: one worker of six fails what it starts."""
+def test_suspect_workers_are_closed():
+    """One worker of six fails every task that it starts."""
     registry = JobRegistry(create_quiet_log())
     views = FleetViews(registry, build_fleet(6, 1)).refresh(read_boot_clock())["svc"]
     assert [view.closed for view in views] == [True] + [False] * 5
 
 
-def test_jobs_that_can_never_be_done_close_no_worker():
-    """Symptom: nothing is placed for seconds. Sequence: many jobs come that fail
-    everywhere, so most workers see failures in a row. Cause: all became suspects.
+def test_jobs_that_always_fail_close_no_worker():
+    """Guards against closing most workers, so that nothing is placed for seconds.
+
+    Many jobs that fail everywhere cause failures in a row on most workers.
     """
     registry = JobRegistry(create_quiet_log())
     views = FleetViews(registry, build_fleet(6, 3)).refresh(read_boot_clock())["svc"]
--- a/tests/unit/test_leader_planner.py
+++ b/tests/unit/test_leader_planner.py
@@ -1,4 +1,4 @@
-"""Rounds of decisions on a large fleet: what they weigh, and how long they take."""
+"""Tests planning rounds on a large fleet: evaluated workers and duration."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Cluster:
-    """A leader's decisions over workers that nobody answers for."""
+    """A planner with a fleet of workers that have no agents behind them."""
 
     def __init__(self, workers: int = WORKERS) -> None:
         events = create_quiet_log()
@@ -49,44 +49,43 @@
             worker.labels = ("a", f"r{number // 16}")
 
     def add(self, number: int, count: int, cpu_milli: int) -> Job:
-        """Hand in a job of one step."""
+        """Add a job of one step."""
         step = Step(count, Resources(cpu_milli, 1_000, 0), 2.0)
         job = Job(f"{number:016x}", QUEUE, "text", (step,), time.time())
         self.registry.add(job, time.time())
         return job
 
     def plan_all(self) -> None:
-        """Do rounds until all steps had their turn."""
+        """Run rounds until all steps have been considered."""
         while not self.planner.plan():
             pass
 
     def count_placed(self, job: Job) -> int:
-        """Return how many tasks of a job have a place."""
+        """Return how many tasks of a job are placed."""
         record = self.registry.records[job.job_id]
         return sum(1 for task in record.iterate_tasks() if task.place)
 
 
 @contextmanager
-def count_weighed(monkeypatch: pytest.MonkeyPatch) -> Iterator[list[str]]:
-    """Collect the workers that are weighed for some step."""
-    weighed: list[str] = []
+def record_evaluated(monkeypatch: pytest.MonkeyPatch) -> Iterator[list[str]]:
+    """Collect the nodes of the workers that are evaluated for any step."""
+    evaluated: list[str] = []
     find_obstacle = placement.find_obstacle
 
     def find(request, view, model):
-        weighed.append(view.node)
+        evaluated.append(view.node)
         return find_obstacle(request, view, model)
 
     with monkeypatch.context() as patch:
         patch.setattr(placement, "find_obstacle", find)
-        yield weighed
+        yield evaluated
 
 
-def test_steps_that_found_nothing_are_weighed_against_what_has_changed(monkeypatch):
-    """Symptom: a round in which nothing fits takes 90 ms at 160 workers and 800 ms at
-    592, and the leader hears nobody meanwhile.
+def test_waiting_steps_are_evaluated_against_changed_workers_only(monkeypatch):
+    """Guards against rounds that evaluate every worker for every waiting step.
 
-    Sequence: all workers are full and 50 steps wait; one worker reports. Cause: each
-    round weighed each worker for each step.
+    With all workers full and 50 steps waiting, such a round took 90 ms at 160 workers
+    and 800 ms at 592, during which the leader processed no reports.
     """
     cluster = Cluster()
     cluster.add(1, WORKERS, 16_000)
@@ -95,15 +94,16 @@
         cluster.add(2 + number, 5, 8_000)
     cluster.plan_all()
     cluster.fleet.get("n7").generation += 1
-    with count_weighed(monkeypatch) as weighed:
+    with record_evaluated(monkeypatch) as evaluated:
         cluster.plan_all()
-    assert set(weighed) == {"n7"}
-    assert len(weighed) == 50
+    assert set(evaluated) == {"n7"}
+    assert len(evaluated) == 50
 
 
-def test_a_worker_with_new_room_takes_a_step_that_found_nothing():
-    """Symptom: a step waits although a worker has room. Sequence: it found nothing in
-    one round; a run ends before the next. Cause: only a report would have counted.
+def test_a_waiting_step_is_placed_on_a_worker_with_new_room():
+    """Guards against a step that waits although a run ended and left room.
+
+    This happens if only a report counts as a change of a worker.
     """
     cluster = Cluster()
     first = cluster.add(1, WORKERS, 15_000)
@@ -117,9 +117,10 @@
     assert cluster.count_placed(second) == 1
 
 
-def test_a_new_worker_takes_a_step_that_found_nothing():
-    """Symptom: an added worker stays empty. Sequence: a step found nothing on all
-    others. Cause: a worker that was not there is none that has changed.
+def test_a_waiting_step_is_placed_on_a_new_worker():
+    """Guards against an added worker that stays empty while a step waits.
+
+    This happens if a worker that was absent before does not count as changed.
     """
     cluster = Cluster(workers=1)
     first, second = cluster.add(1, 1, 15_000), cluster.add(2, 1, 15_000)
@@ -133,11 +134,11 @@
     assert cluster.count_placed(first) + cluster.count_placed(second) == 2
 
 
-def test_a_round_ends_after_its_slice_and_the_next_goes_on():
-    """Symptom: 1.7 s without a placement, as one round took 0.4 s of the leader's core
-    and rested three times as long.
+def test_a_round_ends_after_its_time_slice_and_the_next_continues():
+    """Guards against a round that places a whole burst at once.
 
-    Sequence: 600 steps come at once to 160 workers. Cause: a round did all of them.
+    With 600 steps and 160 workers such a round took 0.4 s of the leader's core,
+    followed by a pause three times as long, so that nothing was placed for 1.7 s.
     """
     cluster = Cluster()
     jobs = [cluster.add(number, 4, 900) for number in range(600)]
@@ -149,5 +150,5 @@
         rounds.append(time.monotonic() - began_at)
     assert len(rounds) > 1
     assert all(cluster.count_placed(job) == 4 for job in jobs)
-    # The median, as a busy machine only makes some slower.
+    # The median, because a busy machine slows down only some of the rounds.
     assert sorted(rounds)[len(rounds) // 2] < 3 * SLICE_S
--- a/tests/unit/test_leader_reconcile.py
+++ b/tests/unit/test_leader_reconcile.py
@@ -1,4 +1,4 @@
-"""Reports of agents against what the leader decided."""
+"""Tests how the leader reconciles the reports of agents with its decisions."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class LeaderHarness:
-    """A leader with one task placed by an earlier leader on ``node/w1``."""
+    """A leader with one task that an earlier leader placed on ``node/w1``."""
 
     def __init__(self) -> None:
         events = create_quiet_log()
@@ -44,11 +44,11 @@
         self.fleet.get("node").attachment = self.attachment
 
     def write(self) -> None:
-        """Note that all changes are durable."""
-        for record, effects in self.registry.begin_writes(10):
+        """Make all changes durable and run their callbacks."""
+        for record, callbacks in self.registry.begin_writes(10):
             self.registry.finish_write(record.job_id)
-            for effect in effects:
-                effect()
+            for callback in callbacks:
+                callback()
 
     def report(self, worker="w1", running=(), ends=(), outcomes=(), losses=()) -> None:
         """Apply a report of the node's agent."""
@@ -61,10 +61,11 @@
         )  # fmt: skip
 
 
-def test_a_run_of_an_earlier_leader_that_is_not_listed_is_settled_by_a_stop():
-    """Symptom: a task runs twice. Sequence: a leader orders a run and dies; the order
-    is still on its way when the successor sees the worker without it. Cause: the run
-    was taken for one that will never begin.
+def test_an_unlisted_run_of_an_earlier_leader_is_stopped():
+    """Guards against a task that runs twice after a change of leader.
+
+    A leader orders a run and dies; the order is still in flight when the successor gets
+    a report without the run, and must not assume that it will never start.
     """
     harness = LeaderHarness()
     harness.report()
@@ -75,8 +76,9 @@
 
 
 def test_an_end_is_acknowledged_only_once_it_is_durable():
-    """Symptom: a task whose end was acknowledged runs again. Sequence: the end is
-    acknowledged, the leader dies before its write. Cause: the order of the two.
+    """Guards against a task that runs again after its end was acknowledged.
+
+    This happens if the leader acknowledges the end and dies before writing it.
     """
     harness = LeaderHarness()
     harness.report(ends=[EndedTask(1, TASK, 1, "done", "")])
@@ -87,9 +89,10 @@
     assert worker.ends_noted == 1
 
 
-def test_a_new_incarnation_frees_what_the_old_one_held():
-    """Symptom: tasks wait for leases of a runner that is gone. Sequence: it crashes and
-    comes back under another incarnation. Cause: only the address was compared.
+def test_a_new_incarnation_requeues_the_runs_of_the_old_one():
+    """Guards against tasks that wait for the leases of a runner that is gone.
+
+    The runner crashes and restarts as another incarnation at the same address.
     """
     harness = LeaderHarness()
     harness.report(worker="w2")
@@ -97,9 +100,11 @@
     assert harness.task.run == 1
 
 
-def test_a_run_that_was_given_up_is_stopped_where_it_shows_up():
-    """Symptom: a task runs in two places. Sequence: a worker is given up, its task is
-    placed anew, the worker comes back with the old run. Cause: unknown runs were left.
+def test_a_requeued_run_is_stopped_where_it_is_listed():
+    """Guards against a task that runs in two places.
+
+    A worker is considered lost and its task requeued; then the worker returns with the
+    old run, which must not be left running.
     """
     harness = LeaderHarness()
     harness.registry.requeue(harness.task)
@@ -108,10 +113,11 @@
 
 
 def test_no_lease_outlives_the_leaders_grant():
-    """Symptom: a task runs in two places after a cut. Sequence: an agent that can't
-    reach the leader renews its runner's lease past the grant; the leader gives the
-    tasks away when the grant ends. Cause: the lease was not bounded by the grant, or
-    not by the slowest clock allowed.
+    """Guards against a task that runs in two places after a network partition.
+
+    The leader requeues the tasks when the grant ends. An agent that can't reach the
+    leader must not renew its runner's lease past the grant, measured by the slowest
+    clock allowed.
     """
     now = read_boot_clock()
     lease = Lease()
@@ -124,9 +130,9 @@
 
 
 def test_nothing_is_placed_on_a_worker_whose_agent_has_not_listed_it():
-    """Symptom: orders are refused right after an agent's restart. Sequence: the agent
-    attaches anew; the leader places by what the agent before it listed. Cause: the
-    listing outlived its link.
+    """Guards against orders that are refused right after an agent's restart.
+
+    This happens if the leader places runs by the listing of an earlier link.
     """
     harness = LeaderHarness()
     harness.report()
@@ -137,8 +143,10 @@
 
 
 def test_a_task_that_fails_everywhere_does_not_count_against_a_worker():
-    """Symptom: sound workers got nothing. Sequence: jobs that can never be done fail on
-    one worker after another. Cause: each of these failures counted as the worker's.
+    """Guards against healthy workers that get no tasks.
+
+    Jobs that can never succeed fail on one worker after another, and these failures
+    must not count against the workers.
     """
     harness = LeaderHarness()
     harness.task.failures = 1
@@ -146,10 +154,11 @@
     assert harness.fleet.get("node").health.failures == 0
 
 
-def test_a_filling_task_without_a_pace_is_moved():
-    """Symptom: a filling task stands beside a busy neighbour until its job is late.
-    Sequence: its agent paces it to nothing; other workers have room. Cause: only tasks
-    that don't fill were watched for progress.
+def test_a_filling_task_that_is_held_back_is_moved():
+    """Guards against a filling task that stays beside a busy neighbour until its job is
+    late, although other workers have room.
+
+    Its agent paces it down to nothing, which stall detection does not cover.
     """
     harness = LeaderHarness()
     step = replace(harness.task.step, fills=True, checkpoints=True, image="f")
@@ -167,8 +176,8 @@
     assert "node" in harness.task.avoid
 
 
-def play_listings(*, fills: bool, pace_milli: int, listed_s: float) -> str:
-    """Return why a task is stopped that shows no progress while it is listed."""
+def find_stop_reason(*, fills: bool, pace_milli: int, listed_s: float) -> str:
+    """Return why a task is stopped that is listed without progress, if it is."""
     harness = LeaderHarness()
     harness.task.step = replace(harness.task.step, fills=fills, image="f")
     descheduler = Descheduler(
@@ -176,28 +185,28 @@
     )
     harness.report(running=[RunningTask(TASK, 1, "", 10, 0, pace_milli)])
     harness.task.moved_at -= listed_s
-    # Held back by its pace is another reason, which has a test of its own.
+    # Being held back by its pace is another reason, which has its own test.
     harness.task.slow_since = read_boot_clock()
     descheduler.run(read_boot_clock())
     return harness.task.stopping
 
 
-def test_a_filling_task_on_a_worker_that_hangs_is_moved():
-    """Symptom: a filling job waits for the end of its worker's trouble.
+def test_a_filling_task_on_a_hung_worker_is_moved():
+    """Guards against a filling job that waits until its hung worker recovers.
 
-    Sequence: all tasks on a worker stand still for five seconds. Cause: tasks that fill
-    were not watched for progress, since they may be paced to nothing.
+    All tasks on a worker make no progress for five seconds. Filling tasks need stall
+    detection too, except while they are paced down to nothing.
     """
-    assert play_listings(fills=True, pace_milli=1000, listed_s=STALL_S + 0.1)
-    assert not play_listings(fills=True, pace_milli=100, listed_s=STALL_S + 0.1)
-    assert not play_listings(fills=True, pace_milli=1000, listed_s=STALL_S - 0.5)
+    assert find_stop_reason(fills=True, pace_milli=1000, listed_s=STALL_S + 0.1)
+    assert not find_stop_reason(fills=True, pace_milli=100, listed_s=STALL_S + 0.1)
+    assert not find_stop_reason(fills=True, pace_milli=1000, listed_s=STALL_S - 0.5)
 
 
-def test_a_task_whose_agent_says_nothing_has_not_stalled():
-    """Symptom: tasks of a VM that stood still run twice their time.
+def test_a_task_of_a_silent_agent_has_not_stalled():
+    """Guards against moving the tasks of a frozen agent, which doubles their duration.
 
-    Sequence: an agent is frozen for three seconds and its runner works on. Cause to
-    guard against: the time without a listing counted as time without progress.
+    An agent is frozen for three seconds while its runner works on. Time without a
+    listing must not count as time without progress.
     """
     harness = LeaderHarness()
     descheduler = Descheduler(
@@ -209,9 +218,11 @@
 
 
 def test_no_order_goes_to_an_agent_that_has_not_listed_its_worker():
-    """Symptom: a job stays active for ever. Sequence: a run is decided; its agent is
-    restarted before the decision is durable; the order meets an agent that has heard
-    no heartbeat yet. Cause: the agent drops it, and the leader takes it for ordered.
+    """Guards against a job that stays active forever.
+
+    A run is placed, and its agent restarts before the placement is durable. The agent
+    has received no heartbeat of its runner yet and would drop the order, while the
+    leader would consider the run ordered.
     """
     harness = LeaderHarness()
     harness.report()
@@ -225,10 +236,11 @@
     assert harness.task.waits
 
 
-def test_a_refused_task_is_held_for_a_moment():
-    """Symptom: a task is ordered and refused hundreds of times a second. Sequence: a
-    runner refuses what the leader thinks fits; the task waits again and is placed at
-    once. Cause: nothing held it.
+def test_a_refused_task_is_held_back_for_a_moment():
+    """Guards against a task that is ordered and refused hundreds of times a second.
+
+    A runner refuses a run that fits by the leader's state, and the task would be placed
+    again at once.
     """
     harness = LeaderHarness()
     harness.report(outcomes=[OrderOutcome(TASK, 1, "refused", "no_room")])
@@ -236,11 +248,12 @@
     assert harness.task.held_until > read_boot_clock()
 
 
-def test_a_later_step_waits_from_its_turn():
-    """Symptom: each later step of a filling job goes beside tasks that it disturbs.
+def test_the_wait_of_a_later_step_starts_when_it_is_ready():
+    """Guards against later steps of a filling job that are placed beside tasks that
+    they disturb.
 
-    Sequence: the first step takes seconds; the second one's turn comes. Cause: its
-    tasks had waited since the job was accepted, and counted as starved at once.
+    The first step takes seconds. If the second step's wait counted from the acceptance
+    of the job, it would be starved as soon as it is ready.
     """
     registry = JobRegistry(create_quiet_log())
     registry.add(build_job(1, count=1, steps=2), 0.0)
@@ -253,10 +266,11 @@
 
 
 def test_an_end_of_an_earlier_run_is_not_that_of_the_newest():
-    """Symptom: a task counts as done though its run goes on, or fails twice for one.
+    """Guards against a task that counts as done while its run continues, or that counts
+    one failure twice.
 
-    Sequence: a run is stopped and the task placed again on the same worker; the end of
-    the first run is listed after that. Cause: only the task's name was compared.
+    A run is stopped and its task placed again on the same worker; the end of the first
+    run is listed after that. Ends have to match by run, not only by task.
     """
     harness = LeaderHarness()
     harness.registry.requeue(harness.task)
@@ -268,9 +282,10 @@
 
 
 def test_an_end_on_a_worker_that_the_run_has_left_is_not_its_end():
-    """Symptom: a task that is at work is placed once more. Sequence: the same run
-    number was given on another worker under an earlier leader. Cause: the place was
-    not compared.
+    """Guards against placing a running task again.
+
+    An earlier leader used the same run number on another worker, so ends have to match
+    by place as well.
     """
     harness = LeaderHarness()
     harness.registry.requeue(harness.task)
@@ -280,11 +295,11 @@
     assert harness.task.place == "other/w9"
 
 
-def test_a_decision_that_is_not_durable_is_not_stopped():
-    """Symptom: a run is stopped before its order has left.
+def test_a_run_whose_placement_is_not_durable_is_not_stopped():
+    """Guards against stopping a run before its order is sent.
 
-    Sequence: a run is decided; before its row is written the agent reports, without
-    it. Cause: it was taken for one whose order had been lost.
+    The agent reports, without the run, before the row of the placement is written; the
+    run must not be mistaken for one whose order was lost.
     """
     harness = LeaderHarness()
     harness.registry.requeue(harness.task)
@@ -294,10 +309,11 @@
     assert harness.attachment.outbox.stops == []
 
 
-def test_an_order_whose_task_was_placed_elsewhere_meanwhile_is_not_sent():
-    """Symptom: two runs of one task. Sequence: a decision waits for its row; its worker
-    is lost and the task placed again; the first row is answered. Cause: the order went
-    out for a run that had been given up.
+def test_an_order_is_not_sent_if_its_task_was_placed_elsewhere():
+    """Guards against two runs of one task.
+
+    While a placement waits for its write, its worker is lost and the task is placed
+    again. The order of the first run must not be sent when that write completes.
     """
     harness = LeaderHarness()
     harness.report(running=[RunningTask(TASK, 1, "", 5, 0)])
@@ -307,12 +323,12 @@
     assert harness.attachment.outbox.starts == []
 
 
-def test_an_end_of_a_worker_that_was_reborn_is_not_noted_for_the_new_one():
-    """Symptom: the new incarnation's first end is acknowledged unseen, and its task
-    runs again.
+def test_an_end_is_not_acknowledged_to_a_new_incarnation():
+    """Guards against acknowledging the first end of a new incarnation before it is
+    received, so that its task runs again.
 
-    Sequence: an end waits for its row; the worker is reborn; the row is written.
-    Cause: the number was noted for whatever incarnation was there by then.
+    An end waits for its write, the worker restarts, and then the write completes. The
+    end's number belongs to the old incarnation only.
     """
     harness = LeaderHarness()
     harness.report(ends=[EndedTask(1, TASK, 1, "done", "")])
@@ -324,9 +340,10 @@
 
 
 def test_an_end_that_is_listed_twice_counts_once():
-    """Symptom: a job fails after half of its attempts. Sequence: an end that is not
-    yet acknowledged is listed again, after its task was placed again here with the
-    same run number by a leader that did not know of the first. Cause: it counted again.
+    """Guards against a job that fails after half of its attempts.
+
+    An unacknowledged end is listed again after its task was placed on the same worker
+    with the same run number, by a leader that did not know of the first run.
     """
     harness = LeaderHarness()
     end = EndedTask(1, TASK, 1, "failed", "")
@@ -340,23 +357,23 @@
 LOSS = WorkerLoss("w1", "crashed", 100, ())
 
 
-def test_a_run_that_the_next_start_has_begun_goes_on_there():
-    """A task is queued again although its order was carried out by the next start."""
+def test_a_run_started_by_the_next_incarnation_continues_there():
+    """Guards against requeueing a run that the next incarnation has started."""
     harness = LeaderHarness()
     harness.report(worker="w2", running=[RunningTask(TASK, 1, "", 5, 0)], losses=[LOSS])
     assert (harness.task.place, harness.task.running) == ("node/w2", True)
     assert harness.attachment.outbox.stops == []
 
 
-def test_an_end_at_the_next_start_counts():
-    """A task that was done at the next start runs again."""
+def test_an_end_listed_by_the_next_incarnation_counts():
+    """Guards against rerunning a task that the next incarnation has completed."""
     harness = LeaderHarness()
     harness.report(worker="w2", ends=[EndedTask(1, TASK, 1, "done", "")])
     assert harness.task.done
 
 
-def test_a_run_that_may_begin_yet_is_not_given_up():
-    """A task runs twice: its unanswered order begins at the next start."""
+def test_a_run_that_may_still_start_is_not_requeued():
+    """Guards against two runs: the next incarnation may start an unanswered order."""
     harness = LeaderHarness()
     pending = OrderOutcome(TASK, 1, "pending", "")
     harness.report(worker="", outcomes=[pending], losses=[LOSS])
@@ -367,8 +384,8 @@
     assert harness.task.waits
 
 
-def test_a_run_that_nobody_waits_for_any_more_is_given_up():
-    """A task waits for ever for a runner that stays away."""
+def test_a_run_that_can_no_longer_start_is_requeued():
+    """Guards against a task that waits forever for a runner that stays away."""
     harness = LeaderHarness()
     pending = OrderOutcome(TASK, 1, "pending", "")
     harness.report(worker="", outcomes=[pending], losses=[LOSS])
