--- a/pistachiodeal/leader/descheduler.py
+++ b/pistachiodeal/leader/descheduler.py
@@ -36,13 +36,16 @@
 # a few seconds, when the load of the serving tasks changes, but a task with checkpoints
 # is better off elsewhere before that.
 HELD_BACK_S = 1.0
-# A task without checkpoints that has reached this percentage finishes where it is, even
-# at a low pace.
+# A held-back task without checkpoints that has reached this percentage is not moved,
+# since it would lose its progress: it finishes where it is, even at a low pace.
 MAX_RESTART_PERCENT = 40
 
 
 class Descheduler:
-    """Stops runs so that the planner places them on other workers."""
+    """Stops runs so that the planner places them on other workers.
+
+    :param limits: time limits of the deployment.
+    """
 
     def __init__(
         self,
--- a/pistachiodeal/leader/victims.py
+++ b/pistachiodeal/leader/victims.py
@@ -8,7 +8,7 @@
 
 
 def build_victim(task: Task, priority: int, now: float, move_s: float) -> Victim:
-    """Return a candidate with the cost and the freed room of stopping a task's run.
+    """Return a candidate with the cost and freed room of stopping a task's run.
 
     :param priority: priority of the task's queue.
     :param now: seconds of the boot clock.
