--- a/pistachiodeal/leader/crashes.py
+++ b/pistachiodeal/leader/crashes.py
@@ -88,8 +88,8 @@
             for one in loss.runs
             if one.task in runs and runs[one.task].run == one.run
         ]
-        restless = any(not one.explained for one in self._recent)
-        attribution = judge(active_runs, restless=restless)
+        recent_unexplained = any(not one.explained for one in self._recent)
+        attribution = judge(active_runs, restless=recent_unexplained)
         # A runner in a crash loop hits the same task repeatedly. Only a crash of that
         # worker under another task, or of another worker under this task, shows which
         # of the two is the cause, so repeats on the same node add no blame.
--- a/pistachiodeal/leader/fleet_views.py
+++ b/pistachiodeal/leader/fleet_views.py
@@ -97,7 +97,7 @@
         worker.rack,
         frozenset(worker.labels),
         worker.capacity,
-        alone=worker.baseline_slack,
+        alone=worker.solo_slack,
         built_in=this_round,
     )
     runs = registry.get_runs(worker.place).values()
--- a/pistachiodeal/leader/interference_monitor.py
+++ b/pistachiodeal/leader/interference_monitor.py
@@ -31,66 +31,68 @@
             for task in self._registry.get_runs(worker.place).values()
             if task.step.fills or task.step.serves_ms
         ]
-        self._observe(worker, runs, _sum_efforts(runs), now)
-        for (filling, serving), press in self._interference.take_changes().items():
+        self._observe(worker, runs, _sum_intensities(runs), now)
+        for (filling, serving), value in self._interference.take_changes().items():
             self._events.emit(
                 "interference.learnt",
                 filling=filling,
                 serving=serving,
-                press=press,
+                press=value,
                 place=worker.place,
             )
-        self._queue_presses(attachment, runs)
+        self._queue_interference(attachment, runs)
 
     def _observe(
         self,
         worker: WorkerState,
         runs: list[Task],
-        efforts: dict[str, float],
+        intensities: dict[str, float],
         now: float,
     ) -> None:
         """Pass each serving task's figure and the load beside it to the model."""
-        worker.baseline_slack = {}
+        worker.solo_slack = {}
         for task in runs:
             if not task.running or not task.step.serves_ms:
                 continue
             if task.figure >= FIRST_STRAIN * task.step.serves_ms:
-                sample = _build_sample(task, efforts, now)
+                sample = _build_sample(task, intensities, now)
                 self._interference.observe(sample)
-                baseline = sample.slack + self._interference.weigh(
-                    (sample.image,), efforts
+                slack = sample.slack + self._interference.weigh(
+                    (sample.image,), intensities
                 )
-                known = worker.baseline_slack.get(sample.image, baseline)
-                worker.baseline_slack[sample.image] = min(baseline, known)
+                known = worker.solo_slack.get(sample.image, slack)
+                worker.solo_slack[sample.image] = min(slack, known)
 
-    def _queue_presses(self, attachment: Attachment, runs: list[Task]) -> None:
+    def _queue_interference(self, attachment: Attachment, runs: list[Task]) -> None:
         fillings = {task.step.image for task in runs if task.step.fills}
         servings = {task.step.image for task in runs if task.step.serves_ms}
         for filling in fillings:
             for serving in servings:
-                press = self._interference.get_press(filling, serving)
-                attachment.queue_press((filling, serving), press)
+                interference = self._interference.get_press(filling, serving)
+                attachment.queue_interference((filling, serving), interference)
 
 
-def _sum_efforts(runs: list[Task]) -> dict[str, float]:
-    """Return the summed effort of the running filling tasks, by image."""
-    efforts: dict[str, float] = {}
+def _sum_intensities(runs: list[Task]) -> dict[str, float]:
+    """Return the summed intensity of the running filling tasks, by image."""
+    intensities: dict[str, float] = {}
     for task in runs:
         if task.running and task.step.fills:
             image = task.step.image
             asked_milli = task.step.size.cpu_milli
-            effort = compute_effort(task.worked, task.figure, asked_milli)
-            efforts[image] = efforts.get(image, 0.0) + effort
-    return efforts
+            intensity = compute_effort(task.worked, task.figure, asked_milli)
+            intensities[image] = intensities.get(image, 0.0) + intensity
+    return intensities
 
 
-def _build_sample(task: Task, efforts: dict[str, float], now: float) -> ServingSample:
+def _build_sample(
+    task: Task, intensities: dict[str, float], now: float
+) -> ServingSample:
     name = task.name
     return ServingSample(
         (name.job_id, name.occurrence, name.step),
         str(name),
         task.step.image,
         task.figure / task.step.serves_ms,
-        efforts,
+        intensities,
         now,
     )
--- a/pistachiodeal/leader/planner.py
+++ b/pistachiodeal/leader/planner.py
@@ -73,7 +73,7 @@
         self._interference = interference
         self._descheduler = Descheduler(registry, fleet, reconciler, limits)
         self._views = FleetViews(registry, fleet)
-        self._attempts = Attempts()
+        self._failed_placements = Attempts()
         self._preemptor = Preemptor(registry, fleet, reconciler, find_queue, limits)
         self._suspect_placer = SuspectPlacer(registry, reconciler, interference, events)
         # Extra cost of running away from the data: a task that takes twice as long
@@ -98,7 +98,7 @@
         self._preemptor.begin_round()
         self._suspect_placer.begin_round(now)
         ready = self._order_ready()
-        self._attempts.begin_round(step.key for *_, step in ready)
+        self._failed_placements.begin_round(step.key for *_, step in ready)
         until = read_boot_clock() + SLICE_S
         for _, _, record, step in ready:
             if read_boot_clock() > until:
@@ -172,17 +172,17 @@
             self._request_advice(request, queue, views)
         self._place_suspects(request, allowed, suspects)
         waiting = [task for task in waiting if not is_suspect(task)]
-        full_scan = queue.advised or self._attempts.is_due(request, now)
-        if not full_scan:
-            allowed = self._attempts.list_changed(request, allowed)
+        full_check = queue.advised or self._failed_placements.is_due(request, now)
+        if not full_check:
+            allowed = self._failed_placements.list_changed(request, allowed)
         candidates = Candidates(request, allowed, self._interference)
         for task in waiting:
             view = candidates.take(task.avoid)
             if view is None:
                 self._request_advice(request, queue, views)
-                self._attempts.note_failure(request, self._views.round)
-                if full_scan:
-                    self._attempts.note_whole(request, now)
+                self._failed_placements.note_failure(request, self._views.round)
+                if full_check:
+                    self._failed_placements.note_whole(request, now)
                     self._explain_wait(request, candidates.obstacles)
                 self._preemptor.make_room(task, queue, views)
                 return
--- a/pistachiodeal/leader/workers.py
+++ b/pistachiodeal/leader/workers.py
@@ -70,7 +70,7 @@
     ordered: set[tuple[str, int]] = field(default_factory=set)
     stopped: set[tuple[str, int]] = field(default_factory=set)
     described: set[tuple[str, int]] = field(default_factory=set)
-    sent_presses: dict[Pair, float] = field(default_factory=dict)
+    sent_interference: dict[Pair, float] = field(default_factory=dict)
 
     def order_stop(self, task: str, run: int) -> None:
         """Order the agent once to stop a run, or to make sure it never starts."""
@@ -97,12 +97,12 @@
             self.described.add((order.task, order.run))
             self.outbox.known.append(order)
 
-    def queue_press(self, pair: Pair, press: float) -> None:
+    def queue_interference(self, pair: Pair, interference: float) -> None:
         """Queue how much one image disturbs another, if that has changed enough."""
-        sent = self.sent_presses.get(pair)
-        if sent is None or abs(press - sent) > TOLD_CHANGE:
-            self.sent_presses[pair] = press
-            self.outbox.presses.append(PairPress(*pair, int(press * 1000)))
+        sent = self.sent_interference.get(pair)
+        if sent is None or abs(interference - sent) > TOLD_CHANGE:
+            self.sent_interference[pair] = interference
+            self.outbox.presses.append(PairPress(*pair, int(interference * 1000)))
 
     def build_directive(
         self, epoch: int, worker: str, ends_noted: int, grant_ms: int, starts_ms: int
@@ -139,7 +139,7 @@
         capacity has shrunk, or this leader has not checked yet.
     :param generation: increases with each report and link, which invalidates values
         cached from this state.
-    :param baseline_slack: by image, the least slack that its serving tasks would have
+    :param solo_slack: by image, the least slack that its serving tasks would have
         without filling tasks.
     """
 
@@ -158,7 +158,7 @@
     ends_durable: set[int] = field(default_factory=set)
     ends_applied: set[int] = field(default_factory=set)
     orphans: dict[str, int] = field(default_factory=dict)
-    baseline_slack: dict[str, float] = field(default_factory=dict)
+    solo_slack: dict[str, float] = field(default_factory=dict)
     health: WorkerHealth = field(default_factory=WorkerHealth)
     closed: bool = False
     maybe_overcommitted: bool = True
