--- a/pistachiodeal/leader/planner.py
+++ b/pistachiodeal/leader/planner.py
@@ -187,8 +187,8 @@
                 self._preemptor.make_room(task, queue, views)
                 return
             self._place(task, task.run + 1, request, view)
-            # The candidates also depend on the racks already used and on ``bold``,
-            # which applies to the first task only.
+            # The candidates also depend on the racks already used, and on
+            # ``bold``, which applies to the first task only.
             racks = request.racks | {view.rack} if step.step.same_rack else frozenset()
             if racks != request.racks or request.bold:
                 request = replace(request, racks=racks, bold=False)
