--- a/pistachiodeal/leader/commits.py
+++ b/pistachiodeal/leader/commits.py
@@ -25,7 +25,7 @@
     build_cancel_key,
     find_partition,
 )
-from pistachiodeal.leader.book import Effect, JobBook
+from pistachiodeal.leader.registry import Callback, JobRegistry
 from pistachiodeal.store.row_store import (
     RowCondition,
     RowStore,
@@ -95,7 +95,7 @@
         """Return the duration of the last write of jobs, seconds."""
         return self._last_write_s
 
-    async def write(self, book: JobBook) -> None:
+    async def write(self, registry: JobRegistry) -> None:
         """Write one batch of unsaved jobs; return once it is durable and applied.
 
         The callbacks of a decision, such as the one that sends its order, run after the
@@ -103,10 +103,10 @@
 
         :raises FencedError: another process leads now.
         """
-        batch = book.take_unsaved(MAX_JOBS_PER_TRANSACTION)
+        batch = registry.begin_writes(MAX_JOBS_PER_TRANSACTION)
         while batch:
             part, batch = _split(batch)
-            await self._write_part(book, part)
+            await self._write_part(registry, part)
 
     async def confirm(self) -> None:
         """Read the leader's row if the last confirmation is too old.
@@ -170,7 +170,7 @@
         return result.committed
 
     async def _write_part(
-        self, book: JobBook, part: list[tuple[JobRecord, list[Effect]]]
+        self, registry: JobRegistry, part: list[tuple[JobRecord, list[Callback]]]
     ) -> None:
         pause = RETRY_S
         while True:
@@ -196,10 +196,10 @@
         self._confirmed_at = max(self._confirmed_at, asked_at)
         self._last_write_s = read_boot_clock() - asked_at
         for record, _ in part:
-            book.note_written(record.job_id)
-        for _, effects in part:
-            for effect in effects:
-                effect()
+            registry.finish_write(record.job_id)
+        for _, callbacks in part:
+            for callback in callbacks:
+                callback()
 
     def _build(self, values: list[tuple[JobRecord, bytes]]) -> Transaction:
         conditions = [self._build_leader_condition()]
@@ -223,7 +223,7 @@
             raise FencedError(step="leader.commit")
 
     def _adopt_row_versions(
-        self, result: TransactionResult, part: list[tuple[JobRecord, list[Effect]]]
+        self, result: TransactionResult, part: list[tuple[JobRecord, list[Callback]]]
     ) -> None:
         # Only the leader of this epoch writes these rows, so a different version stems
         # from an earlier attempt whose answer was lost.
@@ -245,8 +245,10 @@
 
 
 def _split(
-    batch: list[tuple[JobRecord, list[Effect]]],
-) -> tuple[list[tuple[JobRecord, list[Effect]]], list[tuple[JobRecord, list[Effect]]]]:
+    batch: list[tuple[JobRecord, list[Callback]]],
+) -> tuple[
+    list[tuple[JobRecord, list[Callback]]], list[tuple[JobRecord, list[Callback]]]
+]:
     """Return the jobs that fit into one transaction, and the rest."""
     size = 0
     for number, (record, _) in enumerate(batch):
--- a/pistachiodeal/leader/crashes.py
+++ b/pistachiodeal/leader/crashes.py
@@ -1,7 +1,7 @@
-"""Counts the workers that crashed under each task, and takes back what a rack explains.
+"""Counts worker crashes against tasks, and reverts those due to a rack failure.
 
-The counts are written with the job's row, in the same write that sets its tasks free:
-a successor goes on with them.
+The counts are written with the job's row, in the same write that queues its tasks
+again, so that a succeeding leader continues with them.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 from pistachiodeal.events import EventLog
 from pistachiodeal.jobs.record import Task
-from pistachiodeal.leader.book import JobBook
+from pistachiodeal.leader.registry import JobRegistry
 from pistachiodeal.leader.workers import Fleet, WorkerState, build_place
 from pistachiodeal.scheduling.crash_attribution import (
     CRASH_RESET_S,
@@ -22,24 +22,26 @@
 )
 from pistachiodeal.wire.job_messages import WorkerLoss
 
-# Suspects wait this long after a crash: by then the agents of a rack that lost its
-# power have told of it, and nobody is given up for that.
-VERDICT_S = 0.6
-# A worker that crashed is expected back within this time, and remembered for it.
-AWAY_S = 10.0
-# Longer than any agent tells of a crash.
-HEARD_S = 60.0
+# A suspect is not placed again for this long after a crash. By then all agents of a
+# rack that lost power have reported it, so no job fails because of a rack failure.
+RACK_CHECK_DELAY_S = 0.6
+# A crashed worker is expected to restart within this time; its crash is kept that long.
+RECOVERY_WINDOW_S = 10.0
+# Reported crashes are remembered for this long to recognise repeats. This is longer
+# than any agent keeps reporting a crash.
+DEDUP_WINDOW_S = 60.0
 
 
 @dataclass(slots=True)
 class _Crash:
-    """A worker that crashed.
-
-    :param at: seconds of the boot clock.
-    :param suspected: whether a suspect was at work on it.
-    :param explained: whether a task that had just begun is the likely cause.
-    :param counted: tasks that it was counted against.
-    :param blames: how much was counted against those that were blamed.
+    """The crash of one worker.
+
+    :param at: time of the crash, seconds of the boot clock.
+    :param suspected: whether a suspect was running on the worker.
+    :param explained: whether a task that had just started is the likely cause.
+    :param counted_tasks: tasks whose crash count it increased.
+    :param blames: blame that it added, by task.
+    :param checked: whether a rack failure has been checked for.
     """
 
     at: float
@@ -47,36 +49,37 @@
     incarnation: str
     suspected: bool
     explained: bool
-    counted: list[Task] = field(default_factory=list)
+    counted_tasks: list[Task] = field(default_factory=list)
     blames: dict[str, int] = field(default_factory=dict)
-    settled: bool = False
+    checked: bool = False
 
 
 class CrashTracker:
-    """The leader's view of crashes.
+    """Attributes worker crashes to the tasks that may have caused them.
 
     Times are seconds of the boot clock.
     """
 
-    def __init__(self, book: JobBook, fleet: Fleet, events: EventLog) -> None:
-        self._book = book
+    def __init__(self, registry: JobRegistry, fleet: Fleet, events: EventLog) -> None:
+        self._registry = registry
         self._fleet = fleet
         self._events = events
         self._recent: list[_Crash] = []
-        # Agents tell of a crash until they are answered, and again on a new link.
-        self._heard: dict[str, float] = {}
+        # Agents report a crash until it is answered, and again on each new link.
+        self._reported_at: dict[str, float] = {}
 
-    def note_crash(self, worker: WorkerState, loss: WorkerLoss, now: float) -> None:
-        """Count a crash against the tasks that were at work, before they are freed.
+    def record_crash(self, worker: WorkerState, loss: WorkerLoss, now: float) -> None:
+        """Count a crash against the tasks that were running, before they are requeued.
 
-        One of an idle worker counts against nobody, and still shows that a rack fails.
+        The crash of an idle worker counts against no task, but still helps to detect a
+        rack failure.
         """
         place = build_place(worker.node, loss.worker)
-        if place in self._heard:
+        if place in self._reported_at:
             return
-        self._heard[place] = now
-        runs = self._book.get_runs(place)
-        at_work = [
+        self._reported_at[place] = now
+        runs = self._registry.get_runs(place)
+        active_runs = [
             CrashedRun(
                 one.task,
                 one.age_ms / 1000 if one.age_ms >= 0 else None,
@@ -85,40 +88,43 @@
             for one in loss.runs
             if one.task in runs and runs[one.task].run == one.run
         ]
-        restless = any(not one.explained for one in self._recent)
-        verdict = attribute_crash(at_work, recent_unexplained=restless)
-        # A runner that starts and ends in a loop hits a task more than once; only its
-        # end under another task, or of another worker under this one, tells them apart.
+        recent_unexplained = any(not one.explained for one in self._recent)
+        attribution = attribute_crash(
+            active_runs, recent_unexplained=recent_unexplained
+        )
+        # A runner in a crash loop hits the same task repeatedly. Only a crash of that
+        # worker under another task, or of another worker under this task, shows which
+        # of the two is the cause, so repeats on the same node add no blame.
         blames = {
             name: weight
-            for name, weight in verdict.blames.items()
+            for name, weight in attribution.blames.items()
             if not (runs[name].blames and worker.node in runs[name].avoid)
         }
         crash = _Crash(
             now - loss.ago_ms / 1000,
             worker,
             loss.worker,
-            suspected=any(one.suspect for one in at_work),
-            explained=verdict.explained,
+            suspected=any(one.suspect for one in active_runs),
+            explained=attribution.explained,
             blames=blames,
         )
-        for one in at_work:
-            if one.task not in verdict.involved:
+        for run in active_runs:
+            if run.task not in attribution.involved:
                 continue
-            task = runs[one.task]
-            crash.counted.append(task)
+            task = runs[run.task]
+            crash.counted_tasks.append(task)
             task.crashes += 1
-            task.blames += blames.get(one.task, 0)
+            task.blames += blames.get(run.task, 0)
             if is_suspect(task):
-                # It may be the worker that ends whatever begins there; emptied by its
-                # end it would be the first choice again.
+                # The worker itself may be faulty and crash under every task. The crash
+                # leaves it empty, which would make it the first choice again.
                 task.avoid |= {worker.node}
-                task.held_until = max(task.held_until, crash.at + VERDICT_S)
-            self._log_count(task, one.age_s)
+                task.held_until = max(task.held_until, crash.at + RACK_CHECK_DELAY_S)
+            self._log_suspect(task, run.age_s)
         self._recent.append(crash)
 
-    def note_at_work(self, task: Task) -> None:
-        """Clear a task that has been at work without a crash."""
+    def clear_if_stable(self, task: Task) -> None:
+        """Reset the counts of a task that has run long enough without a crash."""
         worked_s = task.seen_at - task.began_at
         if task.blames and worked_s >= STARTUP_S:
             task.blames = 0
@@ -128,50 +134,54 @@
         if worked_s >= CRASH_RESET_S:
             task.crashes = 0
 
-    def settle(self, now: float) -> None:
-        """Take back what was counted for crashes that their rack explains."""
+    def revert_rack_failures(self, now: float) -> None:
+        """Revert the counts of crashes due to a rack failure; drop old crashes."""
         for crash in self._recent:
-            if crash.settled or now - crash.at < VERDICT_S:
+            if crash.checked or now - crash.at < RACK_CHECK_DELAY_S:
                 continue
-            crash.settled = True
-            if crash.counted and self._did_rack_fail(crash):
-                self._take_back(crash)
-        self._recent = [one for one in self._recent if now - one.at < AWAY_S]
-        self._heard = {
-            place: at for place, at in self._heard.items() if now - at < HEARD_S
+            crash.checked = True
+            if crash.counted_tasks and self._did_rack_fail(crash):
+                self._revert_counts(crash)
+        self._recent = [one for one in self._recent if now - one.at < RECOVERY_WINDOW_S]
+        self._reported_at = {
+            place: at
+            for place, at in self._reported_at.items()
+            if now - at < DEDUP_WINDOW_S
         }
 
-    def count_away(self) -> int:
-        """Return how many workers crashed under a suspect and are not back."""
-        return len({one.worker.node for one in self._recent if self._is_away(one)})
+    def count_unrecovered(self) -> int:
+        """Return how many workers crashed under a suspect and have not restarted."""
+        return len(
+            {one.worker.node for one in self._recent if self._is_unrecovered(one)}
+        )
 
-    def _is_away(self, crash: _Crash) -> bool:
+    def _is_unrecovered(self, crash: _Crash) -> bool:
         worker = crash.worker
-        back = worker.open and worker.worker != crash.incarnation
+        back = worker.schedulable and worker.worker != crash.incarnation
         return crash.suspected and not back
 
     def _did_rack_fail(self, crash: _Crash) -> bool:
-        """Tell whether all other workers of the rack crashed at the same moment."""
-        together = {
+        """Tell whether all other workers of the rack crashed at the same time."""
+        crashed_together = {
             one.worker.node
             for one in self._recent
             if one is not crash and abs(one.at - crash.at) <= RACK_FAILURE_WINDOW_S
         }
-        mates = [
-            other.node in together
+        peers = [
+            other.node in crashed_together
             for other in self._fleet.workers.values()
             if other is not crash.worker
             and other.rack == crash.worker.rack
-            and (other.worker or other.node in together)
+            and (other.worker or other.node in crashed_together)
         ]
-        return bool(mates) and all(mates)
+        return bool(peers) and all(peers)
 
-    def _take_back(self, crash: _Crash) -> None:
-        for task in crash.counted:
+    def _revert_counts(self, crash: _Crash) -> None:
+        for task in crash.counted_tasks:
             task.crashes = max(0, task.crashes - 1)
             blames = crash.blames.get(str(task.name), 0)
             task.blames = max(0, task.blames - blames)
-            self._book.touch(task)
+            self._registry.mark_unsaved(task)
             self._events.emit(
                 "task.pardoned",
                 task=str(task.name),
@@ -181,7 +191,7 @@
                 blames=task.blames,
             )
 
-    def _log_count(self, task: Task, age_s: float | None) -> None:
+    def _log_suspect(self, task: Task, age_s: float | None) -> None:
         self._events.emit(
             "task.suspect",
             task=str(task.name),
--- a/pistachiodeal/leader/fleet_views.py
+++ b/pistachiodeal/leader/fleet_views.py
@@ -1,84 +1,87 @@
-"""The workers as a round of decisions sees them."""
+"""Provides the planner with up-to-date views of the workers."""
 
 from __future__ import annotations
 
 from pistachiodeal.jobs.record import Task
-from pistachiodeal.leader.book import JobBook
+from pistachiodeal.leader.registry import JobRegistry
 from pistachiodeal.leader.workers import Fleet, WorkerState
 from pistachiodeal.scheduling.crash_attribution import STARTUP_S, is_suspect
 from pistachiodeal.scheduling.health import MAX_SUSPECT_SHARE
 from pistachiodeal.scheduling.views import WorkerView
 
-Views = dict[str, list[WorkerView]]
-"""Views by service."""
+ViewsByService = dict[str, list[WorkerView]]
+"""Worker views by service."""
 
-Stamp = tuple[str, int, int]
-"""Place, and the stamps of its worker and of its runs."""
+ViewVersion = tuple[str, int, int]
+"""A place, and the generations of its worker and of its runs."""
 
 
 class FleetViews:
-    """Keeps a view of each worker that takes tasks, and builds anew what has changed.
+    """Caches a view of each schedulable worker and rebuilds those that have changed.
 
-    Between two rounds a few of hundreds of workers report; to build all views for each
-    round would take much of the leader's time.
+    Between two planning rounds only a few of hundreds of workers report. Rebuilding all
+    views in each round would take much of the leader's time.
     """
 
-    def __init__(self, book: JobBook, fleet: Fleet) -> None:
-        self._book = book
+    def __init__(self, registry: JobRegistry, fleet: Fleet) -> None:
+        self._registry = registry
         self._fleet = fleet
-        self._views: dict[str, tuple[Stamp, WorkerView]] = {}
+        self._views: dict[str, tuple[ViewVersion, WorkerView]] = {}
         self._round = 0
 
     @property
     def round(self) -> int:
-        """Return the number of the newest round; see ``WorkerView.built_round``."""
+        """Return the number of the current round; see ``WorkerView.built_round``."""
         return self._round
 
-    def refresh(self, now: float) -> Views:
-        """Begin a round; return the workers that take tasks, by service.
+    def refresh(self, now: float) -> ViewsByService:
+        """Begin a round; return the views of schedulable workers, by service.
 
         :param now: seconds of the boot clock.
         """
         self._round += 1
-        views: Views = {}
-        kept: dict[str, tuple[Stamp, WorkerView]] = {}
+        views: ViewsByService = {}
+        kept: dict[str, tuple[ViewVersion, WorkerView]] = {}
         for worker in self._fleet.workers.values():
-            if not worker.open:
+            if not worker.schedulable:
                 continue
-            entry = self._find(worker, now)
+            entry = self._get_or_build(worker, now)
             kept[worker.node] = entry
             views.setdefault(worker.service, []).append(entry[1])
         self._views = kept
-        for those in views.values():
-            _open_if_most_are_closed(those)
+        for service_views in views.values():
+            _reopen_if_most_closed(service_views)
         return views
 
-    def keep(self, view: WorkerView) -> None:
-        """Note that a view already shows a run that was placed on its worker.
+    def retain(self, view: WorkerView) -> None:
+        """Keep a view that already includes a run that was just placed on its worker.
 
-        Built anew it would count as changed, and each step that found nothing would be
-        weighed against it again, which makes a burst on a large fleet much slower.
+        A rebuilt view would count as changed, so that each step that found no worker
+        would be evaluated against it again, which makes placing a burst on a large
+        fleet much slower.
         """
         worker = self._fleet.get(view.node)
-        self._views[view.node] = (self._build_stamp(worker), view)
+        self._views[view.node] = (self._build_version(worker), view)
 
-    def _build_stamp(self, worker: WorkerState) -> Stamp:
+    def _build_version(self, worker: WorkerState) -> ViewVersion:
         place = worker.place
-        return place, worker.stamp, self._book.get_stamp(place)
+        return place, worker.generation, self._registry.get_generation(place)
 
-    def _find(self, worker: WorkerState, now: float) -> tuple[Stamp, WorkerView]:
-        stamp = self._build_stamp(worker)
+    def _get_or_build(
+        self, worker: WorkerState, now: float
+    ) -> tuple[ViewVersion, WorkerView]:
+        version = self._build_version(worker)
         known = self._views.get(worker.node)
-        # How long a worker stays closed is a matter of time alone.
-        timed = worker.health.suspect or worker.health.suspect_until > 0
-        if known is None or known[0] != stamp or timed or known[1].probation:
-            return stamp, _build(self._book, worker, now, self._round)
+        # A worker's suspicion ends by time alone, without a change of generation.
+        time_dependent = worker.health.suspect or worker.health.suspect_until > 0
+        if known is None or known[0] != version or time_dependent or known[1].probation:
+            return version, _build(self._registry, worker, now, self._round)
         return known
 
 
-def _open_if_most_are_closed(views: list[WorkerView]) -> None:
-    # Jobs that can never be done fail everywhere. Closing the workers for it would
-    # leave sound jobs without any.
+def _reopen_if_most_closed(views: list[WorkerView]) -> None:
+    # Jobs that can never succeed fail on every worker. Closing all those workers would
+    # leave none for valid jobs.
     if sum(view.excluded for view in views) <= MAX_SUSPECT_SHARE * len(views):
         return
     for view in views:
@@ -86,7 +89,7 @@
 
 
 def _build(
-    book: JobBook, worker: WorkerState, now: float, this_round: int
+    registry: JobRegistry, worker: WorkerState, now: float, this_round: int
 ) -> WorkerView:
     view = WorkerView(
         worker.place,
@@ -94,16 +97,16 @@
         worker.rack,
         frozenset(worker.labels),
         worker.capacity,
-        solo_slack=worker.alone,
+        solo_slack=worker.solo_slack,
         built_round=this_round,
     )
-    runs = book.get_runs(worker.place).values()
+    runs = registry.get_runs(worker.place).values()
     for task in runs:
-        _take_room(view, task)
-    for text in worker.strays:
-        stray = book.find_task(text)
-        if stray is not None:
-            _take_room(view, stray)
+        _reserve_room(view, task)
+    for text in worker.orphans:
+        orphan = registry.find_task(text)
+        if orphan is not None:
+            _reserve_room(view, orphan)
     at_work = sum(1 for task in runs if not task.step.lasts)
     view.excluded = worker.health.is_excluded(now, at_work=at_work)
     view.probing = worker.health.suspect
@@ -118,6 +121,6 @@
     return not task.running or task.seen_at - task.began_at < STARTUP_S
 
 
-def _take_room(view: WorkerView, task: Task) -> None:
+def _reserve_room(view: WorkerView, task: Task) -> None:
     name = task.name
     view.reserve((name.job_id, name.occurrence, name.step), task.step)
--- a/pistachiodeal/leader/leadership.py
+++ b/pistachiodeal/leader/leadership.py
@@ -24,13 +24,13 @@
 )
 from pistachiodeal.jobs.tables import read_tables
 from pistachiodeal.leader.advice import AdviceCache
-from pistachiodeal.leader.book import JobBook
 from pistachiodeal.leader.closures import ClosureWatch
 from pistachiodeal.leader.commits import MAX_REMOVALS, FencedWriter, LeaderTerm
 from pistachiodeal.leader.feed import JobFeed
 from pistachiodeal.leader.learned_state import LearnedStatePersister
 from pistachiodeal.leader.planner import Planner
 from pistachiodeal.leader.reconcile import Reconciler
+from pistachiodeal.leader.registry import JobRegistry
 from pistachiodeal.leader.sessions import AgentSessions
 from pistachiodeal.leader.startup_wait import StartupWait
 from pistachiodeal.leader.workers import Fleet, split_place
@@ -79,13 +79,13 @@
         self._changed = curio.Event()
         self._unsaved = curio.Event()
         self._superseded = curio.Event()
-        self._book = JobBook(events)
+        self._registry = JobRegistry(events)
         self._fleet = Fleet()
         self._closures = ClosureWatch(
             store, self._fleet, limits.closing_ms / 1000, events
         )
         self._feed = JobFeed(
-            store, self._book, events, self._cancel, self._notify_changed
+            store, self._registry, events, self._cancel, self._notify_changed
         )
         self._writer = FencedWriter(store, term, events)
         interference = InterferenceModel()
@@ -93,17 +93,17 @@
         if adviser is not None:
             self._advice = AdviceCache(adviser, events, self._changed.set)
         self._reconciler = Reconciler(
-            self._book, self._fleet, interference, events, advice=self._advice
+            self._registry, self._fleet, interference, events, advice=self._advice
         )
         self._learned_state = LearnedStatePersister(
             store,
             self._writer,
             interference,
-            self._book.expectations.durations,
+            self._registry.estimator.durations,
             events,
         )
         self._planner = Planner(
-            self._book,
+            self._registry,
             self._fleet,
             self._reconciler,
             interference,
@@ -146,9 +146,9 @@
         return self._sessions
 
     @property
-    def book(self) -> JobBook:
+    def registry(self) -> JobRegistry:
         """Return the jobs."""
-        return self._book
+        return self._registry
 
     @property
     def fleet(self) -> Fleet:
@@ -157,7 +157,7 @@
 
     def find_state(self, job_id: str) -> JobState | None:
         """Return the durable state of a job, None if it is unknown or not loaded."""
-        record = self._book.records.get(job_id) if self._loaded else None
+        record = self._registry.records.get(job_id) if self._loaded else None
         return record.shown if record is not None else None
 
     def announce(self, key: str) -> None:
@@ -229,13 +229,13 @@
                 log.info("leader: cannot read the jobs yet: {}", error)
                 await curio.sleep(RETRY_S)
         self._loaded_at = read_boot_clock()
-        nodes = {split_place(place)[0] for place in self._book.list_places()}
+        nodes = {split_place(place)[0] for place in self._registry.list_places()}
         self._startup_wait.begin(nodes, self._loaded_at)
         self._events.emit(
             "leader.loaded",
             epoch=self.epoch,
-            jobs=len(self._book.records),
-            open=len(self._book.open_records),
+            jobs=len(self._registry.records),
+            open=len(self._registry.open_records),
             took_ms=int((self._loaded_at - self._acquired_by) * 1000),
         )
 
@@ -254,7 +254,7 @@
         self._feed.start_after(jobs.version)
 
     def _restore(self, row: StoredRow, progress: StoredRow | None) -> None:
-        known = self._book.records.get(row.key)
+        known = self._registry.records.get(row.key)
         undivided = row.partition == UNDIVIDED_PARTITION
         if known is not None:
             if known.undivided != undivided:
@@ -275,12 +275,12 @@
         record.undivided = undivided
         if record.state.final:
             record.finished_at = read_boot_clock()
-        self._book.restore(record)
+        self._registry.restore(record)
         if not record.state.final:
-            self._book.open_due(record, time.time())
+            self._registry.open_due(record, time.time())
 
     def _cancel(self, job_id: str) -> None:
-        for task in self._book.cancel(job_id):
+        for task in self._registry.cancel(job_id):
             self._reconciler.stop(task, "its job is cancelled")
 
     async def _run_writer(self, number: int) -> None:
@@ -297,11 +297,11 @@
             self._unsaved.clear()
             if number:
                 await curio.sleep(number * SLOW_WRITE_S)
-            while self._book.has_writable and not self._paused:
-                await self._writer.write(self._book)
+            while self._registry.has_writable and not self._paused:
+                await self._writer.write(self._registry)
                 await self._sessions.send_orders()
                 await self._changed.set()
-                if self._book.has_unsaved:
+                if self._registry.has_unsaved:
                     await self._unsaved.set()
 
     async def _run_planner(self) -> None:
@@ -315,7 +315,7 @@
                     await self._changed.set()
             took_s = read_boot_clock() - began_at
             await self._sessions.send_orders()
-            if self._book.has_unsaved:
+            if self._registry.has_unsaved:
                 await self._unsaved.set()
             await curio.sleep(max(PLAN_PAUSE_S, PLAN_REST_FACTOR * took_s))
 
@@ -327,24 +327,26 @@
                 # close the links before all peers have been told who leads.
                 continue
             await self._writer.confirm()
-            for place in self._book.list_places():
+            for place in self._registry.list_places():
                 if self._sessions.is_lost(self._acquired_by, place):
-                    self._reconciler.lose(place, "its leases have run out")
+                    self._reconciler.requeue_lost_runs(place, "its leases have run out")
                     await self._notify_changed()
             await self._feed.check_announced()
             await self._remove_old()
 
     async def _remove_old(self) -> None:
-        old = self._book.list_expired(read_boot_clock(), self._kept_s)[:MAX_REMOVALS]
+        old = self._registry.list_expired(read_boot_clock(), self._kept_s)[
+            :MAX_REMOVALS
+        ]
         if not old:
             return
         if await self._writer.remove(old):
             for record in old:
-                self._book.remove(record)
+                self._registry.remove(record)
 
     async def _notify_changed(self) -> None:
         await self._changed.set()
-        if self._book.has_unsaved:
+        if self._registry.has_unsaved:
             await self._unsaved.set()
 
 
--- a/pistachiodeal/leader/planner.py
+++ b/pistachiodeal/leader/planner.py
@@ -1,4 +1,4 @@
-"""One round of decisions: what gets a place, and what gives way to it."""
+"""Plans in rounds: places waiting tasks and preempts or moves running ones."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from pistachiodeal.jobs.model import Queue
 from pistachiodeal.jobs.record import JobRecord, StepRecord, Task
 from pistachiodeal.leader.advice import AdviceCache
-from pistachiodeal.leader.book import JobBook
+from pistachiodeal.leader.descheduler import Descheduler
 from pistachiodeal.leader.failed_placements import FailedPlacements
-from pistachiodeal.leader.fleet_views import FleetViews, Views
-from pistachiodeal.leader.moves import Mover
-from pistachiodeal.leader.preemptor import FindQueue, Preemptor
-from pistachiodeal.leader.probation import Probation
+from pistachiodeal.leader.fleet_views import FleetViews, ViewsByService
+from pistachiodeal.leader.preemptor import Preemptor, QueueLookup
 from pistachiodeal.leader.reconcile import Reconciler
+from pistachiodeal.leader.registry import JobRegistry
+from pistachiodeal.leader.suspect_placer import SuspectPlacer
 from pistachiodeal.leader.workers import Fleet, split_place
 from pistachiodeal.scheduling.crash_attribution import is_suspect
 from pistachiodeal.scheduling.interference import InterferenceModel
@@ -39,47 +39,48 @@
 )
 from pistachiodeal.scheduling.views import WorkerView
 
-# Filling work that waits this long, with nothing of its job at work, goes beside
-# serving tasks even though it disturbs them: paced work is more than none.
+# A filling step that waits this long while nothing of its job runs is placed beside
+# serving tasks even if it disturbs them: paced progress is better than none.
 STARVED_S = 2.0
-# A round looks at what agents have reported after this long, whatever is still to be
-# decided: while it places a burst the leader would else hear nobody.
+# A round ends after this long even if steps remain, so that the leader can process the
+# reports of agents while it places a burst.
 SLICE_S = 0.03
-# What has to leave its worker is looked for this often. Agents list their runs each
-# 0.4 s, and the look goes over every run.
-MOVE_S = 0.1
+# Interval between checks for runs that have to move. Agents list their runs every
+# 0.4 s, and each check goes over every run.
+DESCHEDULE_INTERVAL_S = 0.1
 
 
 class Planner:
     """Places waiting tasks.
 
-    :param find_queue: returns a queue as the newest configuration has it.
-    :param limits: times that the deployment promises.
-    :param advice: answers of the outside service, where there is one.
+    :param find_queue: returns the queue as defined by the newest configuration.
+    :param limits: time limits of the deployment.
+    :param advice: answers of the external advice service, None without one.
     """
 
     def __init__(
         self,
-        book: JobBook,
+        registry: JobRegistry,
         fleet: Fleet,
         reconciler: Reconciler,
         interference: InterferenceModel,
-        find_queue: FindQueue,
+        find_queue: QueueLookup,
         *,
         limits: LimitSettings,
         events: EventLog,
         advice: AdviceCache | None = None,
     ) -> None:
         self._interference = interference
-        self._mover = Mover(book, fleet, reconciler, limits)
-        self._views = FleetViews(book, fleet)
-        self._attempts = FailedPlacements()
-        self._preemptor = Preemptor(book, fleet, reconciler, find_queue, limits)
-        self._probation = Probation(book, reconciler, interference, events)
-        # A task that takes twice as long elsewhere needs a whole worker's time more.
+        self._descheduler = Descheduler(registry, fleet, reconciler, limits)
+        self._views = FleetViews(registry, fleet)
+        self._failed_placements = FailedPlacements()
+        self._preemptor = Preemptor(registry, fleet, reconciler, find_queue, limits)
+        self._suspect_placer = SuspectPlacer(registry, reconciler, interference, events)
+        # Extra cost of running away from the data: a task that takes twice as long
+        # there occupies a whole worker for the same time again.
         self._remote_cost = limits.remote_factor - 1.0
-        self._moved_at = 0.0
-        self._book = book
+        self._descheduled_at = 0.0
+        self._registry = registry
         self._fleet = fleet
         self._reconciler = reconciler
         self._find_queue = find_queue
@@ -87,36 +88,36 @@
         self._advice = advice
 
     def plan(self) -> bool:
-        """Do one round; tell whether all waiting steps had their turn."""
+        """Run one planning round; tell whether all waiting steps were considered."""
         now = read_boot_clock()
         self._open_due()
-        if now - self._moved_at > MOVE_S:
-            self._moved_at = now
-            self._mover.move(now)
+        if now - self._descheduled_at > DESCHEDULE_INTERVAL_S:
+            self._descheduled_at = now
+            self._descheduler.run(now)
         views = self._views.refresh(now)
         self._preemptor.begin_round()
-        self._probation.begin_round(now)
+        self._suspect_placer.begin_round(now)
         ready = self._order_ready()
-        self._attempts.begin_round(step.key for *_, step in ready)
+        self._failed_placements.begin_round(step.key for *_, step in ready)
         until = read_boot_clock() + SLICE_S
         for _, _, record, step in ready:
             if read_boot_clock() > until:
                 return False
-            # An earlier step of the round may have given the job up.
+            # An earlier step of this round may have failed the job.
             if not record.state.final:
                 self._place_step(views, record, step)
         return True
 
     def _open_due(self) -> None:
         time_of_day_s = time.time()
-        for record in self._book.open_records.values():
+        for record in self._registry.open_records.values():
             if record.job.repeats:
-                self._book.open_due(record, time_of_day_s)
+                self._registry.open_due(record, time_of_day_s)
 
     def _order_ready(self) -> list[tuple[Rank, int, JobRecord, StepRecord]]:
         time_of_day_s = time.time()
         ready = []
-        for number, (record, step) in enumerate(self._book.iterate_ready()):
+        for number, (record, step) in enumerate(self._registry.iterate_ready()):
             queue = self._find_queue(record.job.queue)
             rank = self._rank(record, step, queue, time_of_day_s)
             ready.append((rank, number, record, step))
@@ -131,7 +132,7 @@
         if job.repeats:
             due_s = job.first_run_s + step.occurrence * job.interval_s
         steps = record.occurrences[step.occurrence]
-        self._book.expectations.expect(record, steps)
+        self._registry.estimator.estimate_steps(record, steps)
         return rank_step(
             WaitingStep(
                 queue.priority,
@@ -141,18 +142,18 @@
                 compute_objective_s(record.chain_s, queue.stretch, queue.aim_s),
                 sum(one.left_work for one in steps),
                 record.work,
-                self._book.expectations.get_usual_work(queue.name),
+                self._registry.estimator.get_average_work(queue.name),
             )
         )
 
     def _place_step(
-        self, all_views: Views, record: JobRecord, step: StepRecord
+        self, all_views: ViewsByService, record: JobRecord, step: StepRecord
     ) -> None:
         queue = self._find_queue(record.job.queue)
         views = all_views.get(queue.service, [])
         now = read_boot_clock()
         waiting = [task for task in step.tasks if task.waits and task.held_until <= now]
-        if self._probation.give_up_hopeless(record, waiting):
+        if self._suspect_placer.fail_hopeless_job(record, waiting):
             return
         if step.step.gang:
             self._place_gang(views, record, step, waiting, queue)
@@ -168,26 +169,28 @@
         allowed = self._list_allowed(request, queue, views)
         suspects = [task for task in waiting if is_suspect(task)]
         if suspects and not allowed:
-            self._want_advice(request, queue, views)
+            self._request_advice(request, queue, views)
         self._place_suspects(request, allowed, suspects)
         waiting = [task for task in waiting if not is_suspect(task)]
-        whole = queue.advised or self._attempts.needs_full_check(request, now)
-        if not whole:
-            allowed = self._attempts.list_changed(request, allowed)
+        full_check = queue.advised or self._failed_placements.needs_full_check(
+            request, now
+        )
+        if not full_check:
+            allowed = self._failed_placements.list_changed(request, allowed)
         candidates = Candidates(request, allowed, self._interference)
         for task in waiting:
             view = candidates.reserve(task.avoid)
             if view is None:
-                self._want_advice(request, queue, views)
-                self._attempts.note_failure(request, self._views.round)
-                if whole:
-                    self._attempts.note_full_check(request, now)
+                self._request_advice(request, queue, views)
+                self._failed_placements.note_failure(request, self._views.round)
+                if full_check:
+                    self._failed_placements.note_full_check(request, now)
                     self._explain_wait(request, candidates.obstacles)
                 self._preemptor.make_room(task, queue, views)
                 return
             self._place(task, task.run + 1, request, view)
-            # What the next task depends on beside its worker: racks that are taken,
-            # and that only the first one is bold.
+            # The candidates also depend on the racks already used, and on
+            # ``may_interfere``, which applies to the first task only.
             racks = request.racks | {view.rack} if step.step.same_rack else frozenset()
             if racks != request.racks or request.may_interfere:
                 request = replace(request, racks=racks, may_interfere=False)
@@ -197,7 +200,7 @@
         self, request: PlacementRequest, views: list[WorkerView], suspects: list[Task]
     ) -> None:
         for task in suspects:
-            view = self._probation.find_worker(task, request, views)
+            view = self._suspect_placer.reserve_worker(task, request, views)
             if view is None:
                 return
             self._place(task, task.run + 1, request, view)
@@ -210,8 +213,8 @@
         waiting: list[Task],
         queue: Queue,
     ) -> None:
-        # A part of a gang would hold its room without working: all or none. Members
-        # still at work from an earlier run end first.
+        # A partly placed gang would reserve room without working, so all members are
+        # placed or none. Members that still run from an earlier attempt end first.
         if len(waiting) < len(step.tasks):
             return
         request = PlacementRequest(
@@ -226,7 +229,7 @@
         for _ in waiting:
             view = choose_worker(request, trial, self._interference)
             if view is None:
-                self._want_advice(request, queue, views)
+                self._request_advice(request, queue, views)
                 return
             view.reserve(request.key, step.step)
             request = replace(request, racks=request.racks | {view.rack})
@@ -242,29 +245,29 @@
     def _list_allowed(
         self, request: PlacementRequest, queue: Queue, views: list[WorkerView]
     ) -> list[WorkerView]:
-        """Return the workers that the outside service allows, if it is asked at all."""
+        """Return the workers that the advice service allows; all if it isn't used."""
         if not queue.advised or self._advice is None:
             return views
         find = self._advice.find_ticket
         key = request.key
         return [view for view in views if find(key, split_place(view.place)[1])]
 
-    def _want_advice(
+    def _request_advice(
         self, request: PlacementRequest, queue: Queue, views: list[WorkerView]
     ) -> None:
         if not queue.advised or self._advice is None:
             return
         model = self._interference
-        able = [view for view in views if not find_obstacle(request, view, model)]
-        able.sort(key=lambda view: compute_cost(request, view, model))
+        feasible = [view for view in views if not find_obstacle(request, view, model)]
+        feasible.sort(key=lambda view: compute_cost(request, view, model))
         self._advice.request_tickets(
-            request.key, (split_place(view.place)[1] for view in able)
+            request.key, (split_place(view.place)[1] for view in feasible)
         )
 
     def _explain_wait(
         self, request: PlacementRequest, obstacles: Mapping[Obstacle, int]
     ) -> None:
-        """Log why a step waits."""
+        """Log the obstacles that keep a step waiting."""
         counts = {obstacle.value: count for obstacle, count in obstacles.items()}
         job_id, occurrence, step = request.key
         self._events.emit(
@@ -272,7 +275,7 @@
         )
 
     def _is_starved(self, record: JobRecord, step: StepRecord) -> bool:
-        """Tell whether a filling step has waited long and nothing of its job runs."""
+        """Tell whether a filling step has waited long while nothing of its job runs."""
         if not step.step.fills:
             return False
         if any(task.place for task in record.iterate_tasks()):
@@ -293,10 +296,10 @@
             load=round(view.load, 2),
             waited_ms=int((read_boot_clock() - task.ready_at) * 1000),
         )
-        self._book.place(
+        self._registry.place(
             task, run, place, lambda: self._reconciler.send_order(task, run, place)
         )
-        self._views.keep(view)
+        self._views.retain(view)
 
     def _list_racks(self, step: StepRecord, views: list[WorkerView]) -> frozenset[str]:
         if not step.step.same_rack:
@@ -306,6 +309,6 @@
 
 
 def _measure_wait_s(step: StepRecord) -> float:
-    """Return for how long the first of a step's waiting tasks has waited."""
+    """Return the longest waiting time of a step's waiting tasks, in seconds."""
     ready_at = min(task.ready_at for task in step.tasks if task.waits)
     return read_boot_clock() - ready_at
--- a/pistachiodeal/leader/preemptor.py
+++ b/pistachiodeal/leader/preemptor.py
@@ -1,4 +1,4 @@
-"""Makes room for urgent work that found none, by stopping less urgent work."""
+"""Preempts less urgent runs to make room for urgent tasks that found none."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from pistachiodeal.config.deployment import LimitSettings
 from pistachiodeal.jobs.model import Queue
 from pistachiodeal.jobs.record import Task
-from pistachiodeal.leader.book import JobBook
 from pistachiodeal.leader.reconcile import Reconciler
+from pistachiodeal.leader.registry import JobRegistry
 from pistachiodeal.leader.victims import build_victim
 from pistachiodeal.leader.workers import Fleet
 from pistachiodeal.model.resources import Resources
@@ -17,59 +17,61 @@
 from pistachiodeal.scheduling.preemption import Victim, choose_victims
 from pistachiodeal.scheduling.views import WorkerView, get_reserved_size
 
-# A moved task costs its start again, and a preempted one its work since its last save.
-PREEMPTIONS_A_ROUND = 16
+# Limits the cost per round: a moved task has to start again, and a preempted task loses
+# its work since the last checkpoint.
+MAX_PREEMPTIONS_PER_ROUND = 16
 
-FindQueue = Callable[[Queue], Queue]
+QueueLookup = Callable[[Queue], Queue]
 
 
 class Preemptor:
-    """Stops runs for urgent tasks, a bounded number in a round of decisions.
+    """Stops runs for urgent tasks, a bounded number per planning round.
 
-    What no stop makes room for is looked for once a round: to list the victims on 296
-    workers for each of a hundred steps took half of the round.
+    A size for which no preemption makes room is searched for only once per round:
+    listing the victims on 296 workers for each of a hundred steps took half of the
+    round.
 
-    :param find_queue: returns a queue as the newest configuration has it.
+    :param find_queue: returns the queue as defined by the newest configuration.
     """
 
     def __init__(
         self,
-        book: JobBook,
+        registry: JobRegistry,
         fleet: Fleet,
         reconciler: Reconciler,
-        find_queue: FindQueue,
+        find_queue: QueueLookup,
         limits: LimitSettings,
     ) -> None:
         self._move_s = limits.move_s
-        self._book = book
+        self._registry = registry
         self._fleet = fleet
         self._reconciler = reconciler
         self._find_queue = find_queue
-        self._stopped = 0
-        # Services in which stopped runs will make room for urgent work, and sizes that
-        # no stop makes room for.
-        self._room_comes: dict[str, bool] = {}
-        self._no_victims: dict[str, list[Resources]] = {}
+        self._preempted = 0
+        # By service: whether runs that are being stopped will make room for urgent
+        # tasks, and sizes for which no preemption makes room.
+        self._room_pending: dict[str, bool] = {}
+        self._infeasible_sizes: dict[str, list[Resources]] = {}
 
     def begin_round(self) -> None:
-        """Forget what the last round has worked out."""
-        self._stopped = 0
-        self._room_comes.clear()
-        self._no_victims.clear()
+        """Clear the results of the previous round."""
+        self._preempted = 0
+        self._room_pending.clear()
+        self._infeasible_sizes.clear()
 
     def make_room(self, task: Task, queue: Queue, views: list[WorkerView]) -> None:
-        """Stop less urgent work for an urgent task that found no room."""
+        """Stop less urgent runs for an urgent task that found no room."""
         if queue.priority != URGENT_PRIORITY:
             return
-        if self._stopped >= PREEMPTIONS_A_ROUND:
+        if self._preempted >= MAX_PREEMPTIONS_PER_ROUND:
             return
         service, need = queue.service, get_reserved_size(task.step)
-        if service not in self._room_comes:
-            self._room_comes[service] = self._is_room_coming(service)
-        if self._room_comes[service]:
+        if service not in self._room_pending:
+            self._room_pending[service] = self._is_room_pending(service)
+        if self._room_pending[service]:
             return
-        hopeless = self._no_victims.setdefault(service, [])
-        if any(size.fits(need) for size in hopeless):
+        infeasible = self._infeasible_sizes.setdefault(service, [])
+        if any(size.fits(need) for size in infeasible):
             return
         best: list[Victim] = []
         for view in views:
@@ -78,20 +80,20 @@
             if victims and (not best or _sum_loss(victims) < _sum_loss(best)):
                 best = victims
         if not best:
-            hopeless.append(need)
+            infeasible.append(need)
         for victim in best:
-            self._room_comes[service] = True
-            run = self._book.find_task(victim.task)
+            self._room_pending[service] = True
+            run = self._registry.find_task(victim.task)
             if run is not None:
-                self._stopped += 1
+                self._preempted += 1
                 self._reconciler.stop(run, f"gives way to {task.name}")
 
-    def _is_room_coming(self, service: str) -> bool:
-        """Tell whether runs that are being stopped will make room for a task."""
+    def _is_room_pending(self, service: str) -> bool:
+        """Tell whether a service has runs that are being stopped for an urgent task."""
         for worker in self._fleet.workers.values():
-            if not worker.open or worker.service != service:
+            if not worker.schedulable or worker.service != service:
                 continue
-            runs = self._book.get_runs(worker.place).values()
+            runs = self._registry.get_runs(worker.place).values()
             if any(run.stopping.startswith("gives way") for run in runs):
                 return True
         return False
@@ -99,10 +101,10 @@
     def _list_victims(self, view: WorkerView) -> list[Victim]:
         victims = []
         now = read_boot_clock()
-        for task in self._book.get_runs(view.place).values():
+        for task in self._registry.get_runs(view.place).values():
             if task.stopping or not task.running:
                 continue
-            record = self._book.records[task.name.job_id]
+            record = self._registry.records[task.name.job_id]
             priority = self._find_queue(record.job.queue).priority
             victim = build_victim(task, priority, now, self._move_s)
             if not task.step.lasts and victim.room != Resources():
--- a/pistachiodeal/leader/reconcile.py
+++ b/pistachiodeal/leader/reconcile.py
@@ -1,4 +1,4 @@
-"""Sets what an agent reports against what the leader has decided."""
+"""Reconciles the reports of agents with the decisions of the leader."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from pistachiodeal.jobs.record import Task
 from pistachiodeal.jobs.runtime import CallResult
 from pistachiodeal.leader.advice import AdviceCache
-from pistachiodeal.leader.book import JobBook
 from pistachiodeal.leader.crashes import CrashTracker
-from pistachiodeal.leader.neighbours import NeighbourWatch
+from pistachiodeal.leader.interference_monitor import InterferenceMonitor
+from pistachiodeal.leader.registry import JobRegistry
 from pistachiodeal.leader.report_index import ReportIndex, RunKey, index_report
 from pistachiodeal.leader.workers import (
     PLACE_SEPARATOR,
@@ -31,18 +31,19 @@
     WorkerReport,
 )
 
-# A filling task below this pace hardly moves.
+# A filling task below this pace hardly progresses.
 SLOW_PACE = 0.25
-# A runner that refuses a start for want of room lists what took it soon after.
-REFUSED_S = 0.3
+# A refused task is not placed again for this long. A runner that refuses a start for
+# lack of room lists the run that took the room soon after.
+REFUSAL_BACKOFF_S = 0.3
 
 
 class Reconciler:
-    """Applies reports to the book."""
+    """Applies the reports of agents to the job registry and the fleet."""
 
     def __init__(
         self,
-        book: JobBook,
+        registry: JobRegistry,
         fleet: Fleet,
         interference: InterferenceModel,
         events: EventLog,
@@ -50,79 +51,85 @@
         advice: AdviceCache | None = None,
     ) -> None:
         self._advice = advice
-        self._book = book
+        self._registry = registry
         self._fleet = fleet
-        self._crashes = CrashTracker(book, fleet, events)
-        self._neighbours = NeighbourWatch(book, interference, events)
+        self._crashes = CrashTracker(registry, fleet, events)
+        self._interference_monitor = InterferenceMonitor(registry, interference, events)
         self._events = events
 
     @property
     def crashes(self) -> CrashTracker:
-        """Return what is known of workers that crashed."""
+        """Return the tracker of worker crashes."""
         return self._crashes
 
     def apply(self, attachment: Attachment, report: WorkerReport) -> None:
-        """Take in one report."""
+        """Apply one report."""
         now = read_boot_clock()
         worker = self._fleet.get(attachment.node)
-        attachment.beat, attachment.heard_at = report.beat, now
-        worker.stamp += 1
+        attachment.beat, attachment.last_report_at = report.beat, now
+        worker.generation += 1
         listed = index_report(report)
         place = build_place(worker.node, report.worker) if report.worker else ""
-        others = self._list_others(worker, place)
+        earlier_places = self._list_earlier_places(worker, place)
         if place and report.listed:
-            self._move_runs(others, place, listed)
+            self._move_runs(earlier_places, place, listed)
         for loss in report.losses:
             if loss.worker != report.worker:
-                self._take_loss(worker, loss, now)
+                self._apply_loss(worker, loss, now)
                 why = f"its agent saw it end: {loss.cause}"
-                self._lose_all(others, why, listed.outcomes)
+                self._requeue_all_lost(earlier_places, why, listed.outcomes)
         if not report.worker:
             worker.listed = False
             return
-        was = worker.place if worker.worker else ""
-        worker.become(report)
-        if was != worker.place:
-            self._events.emit("worker.known", place=worker.place, was=was)
+        previous_place = worker.place if worker.worker else ""
+        worker.apply_report(report)
+        if previous_place != worker.place:
+            self._events.emit("worker.known", place=worker.place, was=previous_place)
         worker.leaving_at = now + report.leaving_ms / 1000 if report.draining else 0.0
         if not report.listed:
             return
-        # The agent has spoken with the one worker that the node has now.
-        self._lose_all(others, "a new incarnation is at its address")
+        # The agent has reached the current worker of the node, so all earlier
+        # incarnations are gone.
+        self._requeue_all_lost(earlier_places, "a new incarnation is at its address")
         self._apply_runs(worker, attachment, listed, now)
         self._apply_ends(worker, attachment, report)
-        self._stop_strays(worker, attachment, listed)
-        self._neighbours.learn(worker, attachment, now)
+        self._stop_orphans(worker, attachment, listed)
+        self._interference_monitor.update(worker, attachment, now)
 
     def stop(self, task: Task, why: str) -> None:
-        """Ask for the stop of a task's newest run."""
+        """Request the stop of a task's newest run."""
         if task.stopping or not task.place:
             return
         task.stopping = why
         self._events.emit(
             "run.stop", task=str(task.name), run=task.run, place=task.place, why=why
         )
-        worker = self._fleet.find_place(task.place)
+        worker = self._fleet.find_by_place(task.place)
         attachment = worker.attachment if worker else None
-        # A run whose order has not left yet is given up where the order is made.
+        # A run whose order is not sent yet is requeued in ``send_order``.
         if attachment is not None and (
             task.running or (str(task.name), task.run) in attachment.ordered
         ):
             attachment.order_stop(str(task.name), task.run)
 
     def send_order(self, task: Task, run: int, place: str) -> None:
-        """Order a run, now that its decision is durable."""
+        """Queue the start order of a run whose placement is durable."""
         if task.run != run or task.place != place:
             return
-        worker = self._fleet.find_place(place)
+        worker = self._fleet.find_by_place(place)
         attachment = worker.attachment if worker else None
-        record = self._book.records[task.name.job_id]
-        # An agent that has not listed its worker on this link may not know it yet, and
-        # would drop the order in silence: its task would wait for ever.
-        if task.stopping or worker is None or attachment is None or not worker.open:
-            # Nobody was ever told of this run, so it cannot come to life later.
+        record = self._registry.records[task.name.job_id]
+        # An agent that has not listed its worker on this link may not know the worker
+        # yet and would silently drop the order, and the task would wait forever.
+        if (
+            task.stopping
+            or worker is None
+            or attachment is None
+            or not worker.schedulable
+        ):
+            # The order was never sent, so the run cannot start later.
             self._events.emit("run.unsent", task=str(task.name), run=run, place=place)
-            self._book.requeue(task)
+            self._registry.requeue(task)
             return
         self._events.emit(
             "run.order",
@@ -133,14 +140,16 @@
         )
         attachment.order_start(build_order(task), record.job_id, record.job.text)
 
-    def lose(self, place: str, why: str, kept: Container[RunKey] = ()) -> None:
-        """Give up the runs of a worker that is certainly gone.
+    def requeue_lost_runs(
+        self, place: str, why: str, kept: Container[RunKey] = ()
+    ) -> None:
+        """Requeue the runs of a worker incarnation that is certainly gone.
 
-        :param kept: runs that may begin yet, at the worker's next incarnation.
+        :param kept: runs to keep, since the worker's next incarnation may start them.
         """
         runs = [
             task
-            for name, task in self._book.get_runs(place).items()
+            for name, task in self._registry.get_runs(place).items()
             if (name, task.run) not in kept
         ]
         if runs:
@@ -157,44 +166,46 @@
                 blames=task.blames,
                 placed_ms=int((now - task.placed_at) * 1000),
             )
-            self._book.requeue(task)
-        self._book.forget_place(place)
+            self._registry.requeue(task)
+        self._registry.forget_place(place)
 
-    def _take_loss(self, worker: WorkerState, loss: WorkerLoss, now: float) -> None:
+    def _apply_loss(self, worker: WorkerState, loss: WorkerLoss, now: float) -> None:
         if worker.worker == loss.worker:
-            worker.renew("")
-        # A worker that had said it would leave, or that was only cut off, tells nothing
-        # about its tasks.
+            worker.reset_incarnation("")
+        # The loss of a worker that announced its leave, or that was only unreachable,
+        # says nothing about its tasks.
         if loss.cause == LossCause.CRASHED:
-            self._crashes.note_crash(worker, loss, now)
+            self._crashes.record_crash(worker, loss, now)
 
-    def _list_others(self, worker: WorkerState, place: str) -> list[str]:
+    def _list_earlier_places(self, worker: WorkerState, place: str) -> list[str]:
         """Return the places of earlier incarnations on a worker's node."""
         prefix = worker.node + PLACE_SEPARATOR
         return [
             other
-            for other in self._book.list_places()
+            for other in self._registry.list_places()
             if other.startswith(prefix) and other != place
         ]
 
-    def _lose_all(
+    def _requeue_all_lost(
         self, places: list[str], why: str, kept: Container[RunKey] = ()
     ) -> None:
         for place in places:
-            self.lose(place, why, kept)
+            self.requeue_lost_runs(place, why, kept)
 
-    def _move_runs(self, others: list[str], place: str, listed: ReportIndex) -> None:
-        """Take in that orders for earlier incarnations were carried out by this one.
+    def _move_runs(
+        self, earlier_places: list[str], place: str, listed: ReportIndex
+    ) -> None:
+        """Move runs that were ordered for earlier incarnations and started on this one.
 
-        Queued again, such a task would run twice, or again after its end.
+        If such a task were requeued, it would run twice, or again after its end.
         """
-        for other in others:
-            for name, task in list(self._book.get_runs(other).items()):
+        for other in earlier_places:
+            for name, task in list(self._registry.get_runs(other).items()):
                 if listed.contains((name, task.run)):
                     self._events.emit(
                         "run.moved", task=name, run=task.run, place=place, was=other
                     )
-                    self._book.move_run(task, place)
+                    self._registry.move_run(task, place)
 
     def _apply_runs(
         self,
@@ -203,10 +214,10 @@
         listed: ReportIndex,
         now: float,
     ) -> None:
-        for name, task in list(self._book.get_runs(worker.place).items()):
+        for name, task in list(self._registry.get_runs(worker.place).items()):
             key = (name, task.run)
             if key in listed.running:
-                self._note_running(task, listed.running[key], now)
+                self._update_running(task, listed.running[key], now)
                 attachment.describe(build_order(task))
                 if task.stopping or self._is_over(task):
                     attachment.order_stop(name, task.run)
@@ -215,39 +226,39 @@
             elif key in listed.outcomes:
                 self._apply_outcome(worker, task, listed.outcomes[key], now)
             elif key not in attachment.ordered and self._is_durable(task):
-                # An earlier leader, or this one on an earlier link, ordered it. What
-                # became of that order is unknown: it may even arrive now. A stop that
-                # the runner answers settles it.
+                # The run was ordered by an earlier leader or on an earlier link. Its
+                # order may still be in flight. The runner's answer to a stop makes the
+                # outcome certain.
                 attachment.order_stop(name, task.run)
 
     def _is_durable(self, task: Task) -> bool:
-        record = self._book.records[task.name.job_id]
-        return not self._book.is_unsaved(record.job_id)
+        record = self._registry.records[task.name.job_id]
+        return not self._registry.is_unsaved(record.job_id)
 
     def _is_over(self, task: Task) -> bool:
-        return self._book.records[task.name.job_id].state.final
+        return self._registry.records[task.name.job_id].state.final
 
-    def _note_running(self, task: Task, seen: RunningTask, now: float) -> None:
+    def _update_running(self, task: Task, seen: RunningTask, now: float) -> None:
         if not task.running:
             task.running, task.began_at, task.moved_at = True, now, now
-        self._note_work(task, seen.worked_milli / 1000, now)
+        self._add_work(task, seen.worked_milli / 1000, now)
         if seen.percent != task.percent:
             task.percent, task.moved_at = seen.percent, now
         task.figure = seen.figure
-        self._note_pace(task, seen.worked_milli / 1000, now)
+        self._update_pace(task, seen.worked_milli / 1000, now)
         if seen.checkpoint:
             task.checkpoint = seen.checkpoint
         if task.crashes:
-            self._crashes.note_at_work(task)
+            self._crashes.clear_if_stable(task)
 
-    def _note_work(self, task: Task, worked: float, now: float) -> None:
-        """Count the time at work since the task was last listed."""
+    def _add_work(self, task: Task, worked: float, now: float) -> None:
+        """Add the time that the task has run since it was last listed."""
         since = task.seen_at or task.placed_at
         speed = worked if task.step.fills else 1.0
         task.work_s += speed * (now - since)
         task.seen_at = now
 
-    def _note_pace(self, task: Task, worked: float, now: float) -> None:
+    def _update_pace(self, task: Task, worked: float, now: float) -> None:
         task.worked = worked
         if worked > SLOW_PACE or not task.slow_since:
             task.slow_since = now
@@ -266,27 +277,28 @@
             detail=outcome.detail,
         )
         if outcome.detail == CallResult.NO_TICKET and self._advice is not None:
-            record = self._book.records[task.name.job_id]
+            record = self._registry.records[task.name.job_id]
             key = record.find_step(task.name).key
             self._advice.invalidate_ticket(key, worker.worker)
-        self._book.requeue(task)
+        self._registry.requeue(task)
         if outcome.outcome == OrderState.REFUSED:
-            # Placed again at once, it would be refused again as fast as orders travel.
-            task.held_until = now + REFUSED_S
+            # Without a delay the task would be placed and refused again as fast as
+            # orders travel.
+            task.held_until = now + REFUSAL_BACKOFF_S
 
     def _apply_ends(
         self, worker: WorkerState, attachment: Attachment, report: WorkerReport
     ) -> None:
         for end in report.ends:
-            if end.number in worker.ends_taken:
+            if end.number in worker.ends_applied:
                 continue
-            worker.ends_taken.add(end.number)
-            task = self._book.find_task(end.task)
+            worker.ends_applied.add(end.number)
+            task = self._registry.find_task(end.task)
             if task is None or task.run != end.run or task.place != worker.place:
-                worker.note_end(end.number)
+                worker.mark_end_durable(end.number)
                 continue
             self._apply_end(worker, task, end)
-        worker.advance_noted(report.ends)
+        worker.advance_ends_noted(report.ends)
 
     def _apply_end(self, worker: WorkerState, task: Task, end: EndedTask) -> None:
         kind = EndKind(end.how)
@@ -306,33 +318,34 @@
         if kind is EndKind.DONE:
             worker.health.note_success()
             if task.watched and not task.step.lasts:
-                self._note_work(task, task.worked if task.seen_at else 1.0, now)
-                record = self._book.records[task.name.job_id]
-                self._book.expectations.note_took(record, task, task.work_s)
+                self._add_work(task, task.worked if task.seen_at else 1.0, now)
+                record = self._registry.records[task.name.job_id]
+                self._registry.estimator.observe_duration(record, task, task.work_s)
         elif kind is EndKind.FAILED and not task.step.lasts:
-            # A task that fails everywhere says nothing of the worker.
+            # Only a task's first failure counts against its worker, since a task that
+            # fails everywhere says nothing about the worker.
             if not task.failures:
                 worker.health.note_failure(now)
             task.avoid |= {worker.node}
         incarnation = worker.worker
 
-        def note() -> None:
+        def acknowledge() -> None:
             if worker.worker == incarnation:
-                worker.note_end(end.number)
+                worker.mark_end_durable(end.number)
 
-        for other in self._book.end_run(task, kind, end.checkpoint, note):
+        for other in self._registry.end_run(task, kind, end.checkpoint, acknowledge):
             self.stop(other, "the job has failed")
 
-    def _stop_strays(
+    def _stop_orphans(
         self, worker: WorkerState, attachment: Attachment, listed: ReportIndex
     ) -> None:
-        worker.strays = {}
-        runs = self._book.get_runs(worker.place)
+        worker.orphans = {}
+        runs = self._registry.get_runs(worker.place)
         for name, run in listed.running:
             task = runs.get(name)
             if task is not None and task.run == run:
                 continue
-            # The run was given up while it was out of sight; its room is taken until
-            # its end is listed.
-            worker.strays[name] = run
+            # The run was requeued while its worker was unreachable. It occupies its
+            # room until its end is listed.
+            worker.orphans[name] = run
             attachment.order_stop(name, run)
--- a/pistachiodeal/leader/book.py
+++ b/pistachiodeal/leader/registry.py
@@ -1,8 +1,8 @@
-"""All jobs that the leader knows, and every change to them.
+"""Holds the leader's in-memory state of all jobs and applies every change to it.
 
-A change marks its job as not yet durable. Effects of a change (an order, an
-acknowledgement, a state that callers are told) are kept with it and run only once the
-job's row is written.
+A change marks its job as unsaved. Actions that depend on the change, such as sending
+an order, acknowledging an end or showing a new state to callers, are queued with it as
+callbacks and run only once the job's row is written.
 """
 
 from __future__ import annotations
@@ -15,24 +15,24 @@
 from pistachiodeal.jobs.model import EndKind, Job, JobState
 from pistachiodeal.jobs.names import parse_task_name
 from pistachiodeal.jobs.record import JobRecord, StepRecord, Task, build_record
-from pistachiodeal.leader.expectations import Expectations
+from pistachiodeal.leader.estimator import JobEstimator
 from pistachiodeal.scheduling.ordering import compute_objective_s
 
-Effect = Callable[[], None]
+Callback = Callable[[], None]
 
 
-class JobBook:
-    """The leader's memory of jobs."""
+class JobRegistry:
+    """Holds the records of all jobs, the runs at each place and the unsaved changes."""
 
     def __init__(self, events: EventLog) -> None:
         self._events = events
         self._records: dict[str, JobRecord] = {}
         self._open: dict[str, JobRecord] = {}
-        self._unsaved: dict[str, list[Effect]] = {}
+        self._unsaved: dict[str, list[Callback]] = {}
         self._writing: set[str] = set()
-        self._expectations = Expectations()
+        self._estimator = JobEstimator()
         self._runs: dict[str, dict[str, Task]] = {}
-        self._stamps: dict[str, int] = {}
+        self._generations: dict[str, int] = {}
 
     @property
     def records(self) -> dict[str, JobRecord]:
@@ -45,35 +45,35 @@
         return self._open
 
     @property
-    def expectations(self) -> Expectations:
-        """Return what is expected of jobs."""
-        return self._expectations
+    def estimator(self) -> JobEstimator:
+        """Return the estimates of task times and of the work of jobs."""
+        return self._estimator
 
     @property
     def has_unsaved(self) -> bool:
-        """Tell whether any change has to be written."""
+        """Tell whether any job has changes whose write has not begun."""
         return bool(self._unsaved)
 
     @property
     def has_writable(self) -> bool:
         """Tell whether any change can be written now.
 
-        A job whose last change is on its way waits for the answer: two writes of one
-        row at a time could come in the wrong order.
+        A job whose previous write is in flight waits for its answer, because two
+        concurrent writes of one row could arrive in the wrong order.
         """
         return any(job_id not in self._writing for job_id in self._unsaved)
 
     def is_unsaved(self, job_id: str) -> bool:
-        """Tell whether a change of a job has not reached its row."""
+        """Tell whether a change of a job is not yet durable in its row."""
         return job_id in self._unsaved or job_id in self._writing
 
     def get_runs(self, place: str) -> dict[str, Task]:
         """Return the tasks whose run is at a place, by name."""
         return self._runs.get(place, {})
 
-    def get_stamp(self, place: str) -> int:
-        """Return a number that rises with each change of the runs at a place."""
-        return self._stamps.get(place, 0)
+    def get_generation(self, place: str) -> int:
+        """Return a number that increases with each change of the runs at a place."""
+        return self._generations.get(place, 0)
 
     def list_places(self) -> list[str]:
         """Return all places with runs."""
@@ -86,36 +86,38 @@
         return record.find(name) if record and name else None
 
     def restore(self, record: JobRecord) -> None:
-        """Take in a record as its rows say it is."""
+        """Add a record that was read from its rows."""
         self._records[record.job_id] = record
         if not record.state.final:
             self._open[record.job_id] = record
         now = read_boot_clock()
         for task in record.iterate_tasks():
-            # How long a task has waited under an earlier leader isn't known.
+            # The time that a task waited under an earlier leader is unknown.
             task.ready_at = now
             if task.place:
                 self._runs.setdefault(task.place, {})[str(task.name)] = task
 
     def add(self, job: Job, time_of_day_s: float) -> None:
-        """Take in an accepted job; one that is known stays as it is."""
+        """Add an accepted job; a job that is already present stays unchanged."""
         if job.job_id in self._records:
             return
         record = build_record(job)
         self.restore(record)
         self.open_due(record, time_of_day_s)
         if record.occurrences:
-            self._expectations.expect(record, next(iter(record.occurrences.values())))
-            self._expectations.note_work(record)
+            self._estimator.estimate_steps(
+                record, next(iter(record.occurrences.values()))
+            )
+            self._estimator.observe_work(record)
         self._events.emit("job.known", job=job.job_id, queue=job.queue.name)
 
     def get_expected_s(self, task: Task) -> float:
-        """Return the time that a task is expected to take at full speed."""
+        """Return the expected duration of a task at full speed, in seconds."""
         record = self._records[task.name.job_id]
         return record.find_step(task.name).expected_s
 
     def open_due(self, record: JobRecord, time_of_day_s: float) -> None:
-        """Open a job's occurrences that are due."""
+        """Open the occurrences of a job that are due."""
         if not record.open_due(time_of_day_s):
             return
         now = read_boot_clock()
@@ -130,8 +132,8 @@
         self._events.emit("job.cancelled", job=job_id, state=record.state.value)
         return self._finish(record, JobState.CANCELLED)
 
-    def place(self, task: Task, run: int, place: str, ordered: Effect) -> None:
-        """Decide a run; ``ordered`` runs once the decision is durable."""
+    def place(self, task: Task, run: int, place: str, on_durable: Callback) -> None:
+        """Place a run; ``on_durable`` is called once the decision is durable."""
         now = read_boot_clock()
         task.run, task.place = run, place
         task.running, task.percent, task.stopping = False, 0, ""
@@ -139,26 +141,26 @@
         task.seen_at = 0.0
         task.placed_at = task.moved_at = now
         self._runs.setdefault(place, {})[str(task.name)] = task
-        self._note_change(place)
+        self._bump_generation(place)
         record = self._records[task.name.job_id]
         record.begun = True
         if record.state is JobState.QUEUED:
             record.state = JobState.ACTIVE
-        self._save(record, ordered)
+        self._record_change(record, on_durable)
 
     def end_run(
-        self, task: Task, kind: EndKind, checkpoint: str, noted: Effect
+        self, task: Task, kind: EndKind, checkpoint: str, on_durable: Callback
     ) -> list[Task]:
-        """Take in the end of a task's newest run.
+        """Apply the end of a task's newest run.
 
-        :param noted: runs once the end is durable.
+        :param on_durable: called once the end is durable.
         :return: tasks whose runs have to be stopped because the job is over.
         """
         record = self._records[task.name.job_id]
         self._release(task, checkpoint)
         stops: list[Task] = []
         if kind is EndKind.DONE and not task.step.lasts:
-            self._note_done(record, task)
+            self._mark_done(record, task)
         elif kind is EndKind.FAILED and not task.step.lasts:
             task.failures += 1
             if task.failures >= record.job.queue.attempts and not record.state.final:
@@ -173,11 +175,11 @@
             record.close_done()
             if record.state.final:
                 self._close(record)
-        self._save(record, noted)
+        self._record_change(record, on_durable)
         return stops
 
-    def give_up(self, record: JobRecord, task: Task) -> list[Task]:
-        """Fail a job for a task that ends its workers.
+    def fail_job(self, record: JobRecord, task: Task) -> list[Task]:
+        """Fail a job because one of its tasks crashes its workers.
 
         :return: tasks whose runs have to be stopped.
         """
@@ -192,44 +194,44 @@
         )
         return self._finish(record, JobState.FAILED)
 
-    def touch(self, task: Task) -> None:
-        """Have a task's row written again."""
-        self._save(self._records[task.name.job_id], None)
+    def mark_unsaved(self, task: Task) -> None:
+        """Mark a task's job as unsaved, so that its row is written again."""
+        self._record_change(self._records[task.name.job_id], None)
 
     def requeue(self, task: Task) -> None:
-        """Give a run up that certainly isn't, and never will be, at work."""
+        """Queue a task again whose run certainly is not running and never will be."""
         record = self._records[task.name.job_id]
         self._release(task, "")
-        self._save(record, None)
+        self._record_change(record, None)
 
     def move_run(self, task: Task, place: str) -> None:
-        """Note that a task's newest run is, or may be, at another place."""
-        self._leave_place(task)
+        """Record that a task's newest run is, or may be, at another place."""
+        self._remove_from_place(task)
         task.place, task.running = place, False
         self._runs.setdefault(place, {})[str(task.name)] = task
-        self._note_change(place)
-        self.touch(task)
+        self._bump_generation(place)
+        self.mark_unsaved(task)
 
     def forget_place(self, place: str) -> None:
-        """Forget a place that has no runs any more."""
+        """Drop the state of a place that has no runs any more."""
         if not self.get_runs(place):
             self._runs.pop(place, None)
-            self._stamps.pop(place, None)
+            self._generations.pop(place, None)
 
-    def take_unsaved(self, most: int) -> list[tuple[JobRecord, list[Effect]]]:
-        """Return jobs to write, oldest change first, with their effects."""
-        writable = [one for one in self._unsaved if one not in self._writing][:most]
+    def begin_writes(self, limit: int) -> list[tuple[JobRecord, list[Callback]]]:
+        """Return up to ``limit`` jobs to write, oldest change first, with callbacks."""
+        writable = [one for one in self._unsaved if one not in self._writing][:limit]
         self._writing.update(writable)
         return [
             (self._records[job_id], self._unsaved.pop(job_id)) for job_id in writable
         ]
 
-    def note_written(self, job_id: str) -> None:
-        """Note that a job's row is written; its effects run next."""
+    def finish_write(self, job_id: str) -> None:
+        """Record that a job's row is written; the caller then runs its callbacks."""
         self._writing.discard(job_id)
 
     def count_pending(self, queue: str) -> int:
-        """Return how many jobs of a queue have not begun."""
+        """Return how many open jobs of a queue have not begun."""
         return sum(
             1
             for record in self._open.values()
@@ -237,7 +239,7 @@
         )
 
     def list_expired(self, now: float, kept_s: float) -> list[JobRecord]:
-        """Return final jobs whose state nobody may ask for any more."""
+        """Return final jobs whose retention time has passed."""
         return [
             record
             for record in self._records.values()
@@ -247,34 +249,35 @@
         ]
 
     def remove(self, record: JobRecord) -> None:
-        """Forget a job whose rows are gone."""
+        """Remove a job whose rows are deleted."""
         self._records.pop(record.job_id, None)
 
     def iterate_ready(self) -> Iterator[tuple[JobRecord, StepRecord]]:
-        """Return all steps with waiting tasks whose turn has come."""
+        """Yield the steps with waiting tasks whose preceding steps are done."""
         for record in self._open.values():
             for step in record.list_ready():
                 yield record, step
 
-    def _note_done(self, record: JobRecord, task: Task) -> None:
+    def _mark_done(self, record: JobRecord, task: Task) -> None:
         step = record.find_step(task.name)
         step.mark_done(task)
         if step.done:
-            self._open_turns(record, task.name.occurrence, step.number)
+            self._reset_ready_times(record, task.name.occurrence, step.number)
         if not task.step.gang:
             return
-        # One end stands for all members of a gang, which end together; the listed
-        # ends of the others are then of no run that is known.
+        # The members of a gang end together, so one end completes all of them. The
+        # ends that are listed later for the other members match no known run.
         for member in step.tasks:
             if not member.done:
                 self._release(member, "")
                 step.mark_done(member)
 
-    def _open_turns(self, record: JobRecord, occurrence: int, done: int) -> None:
-        """Let the steps that come after one that is done wait from now on.
+    def _reset_ready_times(self, record: JobRecord, occurrence: int, done: int) -> None:
+        """Start the waiting time of the steps that depend on a completed step.
 
-        Counted from the job's acceptance, each later step of a filling job was starved
-        as soon as its turn came, and went beside whomever it disturbed.
+        If the time counted from the job's acceptance, each later step of a filling job
+        would be starved as soon as it became ready, and would be placed beside serving
+        tasks that it disturbs.
         """
         now = read_boot_clock()
         for step in record.occurrences[occurrence]:
@@ -285,21 +288,21 @@
     def _finish(self, record: JobRecord, state: JobState) -> list[Task]:
         record.state = state
         self._close(record)
-        self._save(record, None)
+        self._record_change(record, None)
         return [task for task in record.iterate_tasks() if task.place]
 
     def _close(self, record: JobRecord) -> None:
         record.finished_at = read_boot_clock()
         self._open.pop(record.job_id, None)
 
-    def _leave_place(self, task: Task) -> None:
+    def _remove_from_place(self, task: Task) -> None:
         runs = self._runs.get(task.place)
         if runs is not None:
             runs.pop(str(task.name), None)
-            self._note_change(task.place)
+            self._bump_generation(task.place)
 
     def _release(self, task: Task, checkpoint: str) -> None:
-        self._leave_place(task)
+        self._remove_from_place(task)
         task.place, task.running, task.stopping = "", False, ""
         task.ready_at = read_boot_clock()
         if checkpoint:
@@ -307,18 +310,18 @@
         if not task.checkpoint:
             task.work_s = 0.0
 
-    def _note_change(self, place: str) -> None:
-        self._stamps[place] = self._stamps.get(place, 0) + 1
+    def _bump_generation(self, place: str) -> None:
+        self._generations[place] = self._generations.get(place, 0) + 1
 
-    def _save(self, record: JobRecord, effect: Effect | None) -> None:
-        effects = self._unsaved.setdefault(record.job_id, [])
-        if effect is not None:
-            effects.append(effect)
+    def _record_change(self, record: JobRecord, callback: Callback | None) -> None:
+        callbacks = self._unsaved.setdefault(record.job_id, [])
+        if callback is not None:
+            callbacks.append(callback)
         state = record.state
         if state is not record.shown:
-            effects.append(lambda: self._show(record, state))
+            callbacks.append(lambda: self._publish_state(record, state))
 
-    def _show(self, record: JobRecord, state: JobState) -> None:
+    def _publish_state(self, record: JobRecord, state: JobState) -> None:
         if record.shown is not state and not record.shown.final:
             record.shown = state
             queue = record.job.queue
--- a/pistachiodeal/leader/sessions.py
+++ b/pistachiodeal/leader/sessions.py
@@ -56,7 +56,7 @@
         token = (self._writer.epoch << TOKEN_SHIFT) + self._tokens
         attachment = Attachment(node, token)
         worker = self._fleet.get(node)
-        self._fleet.locate(worker, link.peer.data_centre)
+        self._fleet.set_data_centre(worker, link.peer.data_centre)
         worker.attach(attachment)
         self._links[node] = (link, attachment)
         self._events.emit("agent.attached", node=node, token=token)
@@ -111,7 +111,7 @@
             attachment.withdraw_starts()
         # The grant must not outlast the last confirmation of this leader plus GRANT_S:
         # a successor waits for old grants only from the time of its own election.
-        until = min(attachment.heard_at, self._writer.confirmed_at) + GRANT_S
+        until = min(attachment.last_report_at, self._writer.confirmed_at) + GRANT_S
         grant_ms = _compute_ms_after_report(attachment, until)
         worker.granted_until = max(worker.granted_until, until)
         directive = attachment.build_directive(
@@ -126,4 +126,4 @@
 
 def _compute_ms_after_report(attachment: Attachment, until: float) -> int:
     """Return the time from an agent's newest report until a time, milliseconds."""
-    return max(0, int((until - attachment.heard_at) * 1000))
+    return max(0, int((until - attachment.last_report_at) * 1000))
--- a/pistachiodeal/leader/startup_wait.py
+++ b/pistachiodeal/leader/startup_wait.py
@@ -48,7 +48,7 @@
 
     def _have_workers_stopped_arriving(self, now: float) -> bool:
         """Tell whether workers are listed, and none was added for a while."""
-        listed = sum(worker.open for worker in self._fleet.workers.values())
+        listed = sum(worker.schedulable for worker in self._fleet.workers.values())
         if listed != self._listed:
             self._listed, self._listed_at = listed, now
         return listed > 0 and now - self._listed_at > NO_NEW_WORKER_S
--- a/pistachiodeal/leader/probation.py
+++ b/pistachiodeal/leader/suspect_placer.py
@@ -1,8 +1,9 @@
-"""Places tasks that may end their worker: one alone, on few workers, and gives them up.
+"""Places tasks suspected of crashing their worker in isolation, on a few workers only.
 
-"Alone" means that nothing else begins on the worker until it has worked for a moment,
-and that what was ordered before is seen at work, where such a worker is to be had. What
-has been at work there for longer stays.
+Isolation means that no other task starts on the worker until the suspect has run for a
+moment and, where such a worker is available, that all runs ordered there earlier have
+been listed as running. Tasks that have been running there for longer stay. A job whose
+task has crashed too many workers fails.
 """
 
 from __future__ import annotations
@@ -12,9 +13,9 @@
 
 from pistachiodeal.events import EventLog
 from pistachiodeal.jobs.record import JobRecord, Task
-from pistachiodeal.leader.book import JobBook
 from pistachiodeal.leader.crashes import CrashTracker
 from pistachiodeal.leader.reconcile import Reconciler
+from pistachiodeal.leader.registry import JobRegistry
 from pistachiodeal.scheduling.crash_attribution import (
     compute_isolation_limit,
     should_give_up,
@@ -23,70 +24,75 @@
 from pistachiodeal.scheduling.placement import PlacementRequest, choose_worker
 from pistachiodeal.scheduling.views import StepKey, WorkerView
 
-# To weigh all workers for each of many suspects would take a whole round.
-SUSPECTS_A_ROUND = 8
-# On a fleet that starts tasks all the time no worker may be quiet. A suspect goes
-# beside what has just begun after this long: it has all the blame then.
-PATIENCE_S = 2.0
-# Why a suspect waits is logged this often for each step.
-TOLD_S = 2.0
+# Evaluating all workers for each of many suspects would take a whole round.
+MAX_SUSPECTS_PER_ROUND = 8
+# On a fleet that starts tasks all the time no worker may be quiet. After this long a
+# suspect is placed beside tasks that have just started; it then takes all the blame.
+MAX_QUIET_WAIT_S = 2.0
+# The reason why a suspect waits is logged at most this often per step.
+WAIT_LOG_INTERVAL_S = 2.0
 
 
-class Probation:
-    """Decides about suspects in rounds, as the planner goes through the steps."""
+class SuspectPlacer:
+    """Chooses workers for suspects, called by the planner within a planning round."""
 
     def __init__(
         self,
-        book: JobBook,
+        registry: JobRegistry,
         reconciler: Reconciler,
         interference: InterferenceModel,
         events: EventLog,
     ) -> None:
-        self._book = book
+        self._registry = registry
         self._reconciler = reconciler
         self._interference = interference
         self._events = events
-        self._left = 0
+        self._remaining = 0
         self._now = 0.0
-        self._told_at: dict[StepKey, float] = {}
+        self._logged_at: dict[StepKey, float] = {}
 
     @property
     def _crashes(self) -> CrashTracker:
         return self._reconciler.crashes
 
     def begin_round(self, now: float) -> None:
-        """Settle the crashes whose time has come."""
-        self._crashes.settle(now)
+        """Revert counts due to rack failures and reset the limits of the round."""
+        self._crashes.revert_rack_failures(now)
         self._now = now
-        self._told_at = {
-            key: at for key, at in self._told_at.items() if now - at < TOLD_S
+        self._logged_at = {
+            key: at
+            for key, at in self._logged_at.items()
+            if now - at < WAIT_LOG_INTERVAL_S
         }
-        self._left = SUSPECTS_A_ROUND
+        self._remaining = MAX_SUSPECTS_PER_ROUND
 
-    def give_up_hopeless(self, record: JobRecord, tasks: Iterable[Task]) -> bool:
-        """Give the job up if one of its waiting tasks has ended too many workers."""
+    def fail_hopeless_job(self, record: JobRecord, tasks: Iterable[Task]) -> bool:
+        """Fail the job if one of its waiting tasks has crashed too many workers."""
         for task in tasks:
             if should_give_up(task):
-                for other in self._book.give_up(record, task):
+                for other in self._registry.fail_job(record, task):
                     self._reconciler.stop(other, "the job has failed")
                 return True
         return False
 
-    def find_worker(
+    def reserve_worker(
         self, task: Task, request: PlacementRequest, views: list[WorkerView]
     ) -> WorkerView | None:
-        """Reserve a worker for a suspect, None while it has to wait."""
-        exposed = sum(view.probation for view in views) + self._crashes.count_away()
+        """Reserve a worker for a suspect; return None while it has to wait."""
+        exposed = (
+            sum(view.probation for view in views) + self._crashes.count_unrecovered()
+        )
         limit = compute_isolation_limit(len(views))
         view = None
-        if self._left > 0 and exposed < limit:
-            self._left -= 1
-            quiet = self._now - task.ready_at < PATIENCE_S
+        if self._remaining > 0 and exposed < limit:
+            self._remaining -= 1
+            quiet = self._now - task.ready_at < MAX_QUIET_WAIT_S
             alone = replace(
                 request, may_crash_worker=True, require_settled=quiet, avoid=task.avoid
             )
             others = [one for one in views if one.node not in task.avoid]
-            # Its end on the same worker once more would tell nothing of the task.
+            # Another crash on a worker that already crashed under the task would not
+            # show which of the two is the cause.
             choice = others if quiet and others else views
             view = choose_worker(alone, choice, self._interference)
         if view is None:
@@ -97,10 +103,10 @@
         return view
 
     def _explain_wait(self, task: Task, key: StepKey, exposed: int, limit: int) -> None:
-        """Log why a suspect waits, once in a while for each step."""
-        if key in self._told_at:
+        """Log why a suspect waits, at most once per interval and step."""
+        if key in self._logged_at:
             return
-        self._told_at[key] = self._now
+        self._logged_at[key] = self._now
         self._events.emit(
             "task.waits_alone",
             task=str(task.name),
--- a/tests/unit/test_leader_advice.py
+++ b/tests/unit/test_leader_advice.py
@@ -11,9 +11,9 @@
 from pistachiodeal.exceptions import AdviceError
 from pistachiodeal.jobs.advice import Advice
 from pistachiodeal.leader.advice import MAX_WORKERS_PER_CALL, AdviceCache
-from pistachiodeal.leader.book import JobBook
 from pistachiodeal.leader.planner import Planner
 from pistachiodeal.leader.reconcile import Reconciler
+from pistachiodeal.leader.registry import JobRegistry
 from pistachiodeal.leader.workers import Attachment, Fleet
 from pistachiodeal.scheduling.interference import InterferenceModel
 from pistachiodeal.wire.job_messages import Label, OrderOutcome, WorkerReport
@@ -46,15 +46,15 @@
 
     def __init__(self, adviser: FakeAdviser, workers: int) -> None:
         events = create_quiet_log()
-        self.book = JobBook(events)
+        self.registry = JobRegistry(events)
         fleet = Fleet()
         model = InterferenceModel()
         self.advice = AdviceCache(adviser, events, self.note_change)
         self.reconciler = reconciler = Reconciler(
-            self.book, fleet, model, events, advice=self.advice
+            self.registry, fleet, model, events, advice=self.advice
         )
         self.planner = Planner(
-            self.book,
+            self.registry,
             fleet,
             reconciler,
             model,
@@ -63,7 +63,7 @@
             events=events,
             advice=self.advice,
         )
-        self.book.add(build_job(1, count=2, steps=1), 0.0)
+        self.registry.add(build_job(1, count=2, steps=1), 0.0)
         self.attachments = [Attachment(f"n{n}", n + 1) for n in range(workers)]
         for number, attachment in enumerate(self.attachments):
             fleet.get(f"n{number}").attachment = attachment
@@ -84,7 +84,7 @@
 
     def list_tickets(self) -> set[tuple[str, str]]:
         """Return place and ticket of each placed task."""
-        tasks = self.book.records[KEY[0]].iterate_tasks()
+        tasks = self.registry.records[KEY[0]].iterate_tasks()
         return {(task.place, task.ticket) for task in tasks if task.place}
 
     async def run(self, for_s: float) -> None:
@@ -142,7 +142,7 @@
     """
     adviser = FakeAdviser({"w1"})
     harness = AdviceHarness(adviser, 4)
-    for task in harness.book.records[KEY[0]].iterate_tasks():
+    for task in harness.registry.records[KEY[0]].iterate_tasks():
         task.crashes = task.blames = 1
     curio.run(harness.run, 0.1)
     assert harness.list_tickets() == {("n1/w1", "t-w1")}
@@ -170,7 +170,7 @@
     harness = AdviceHarness(adviser, 2)
     curio.run(harness.run, 0.05)
     assert harness.list_tickets() == {("n1/w1", "t-w1")}
-    tasks = list(harness.book.records[KEY[0]].iterate_tasks())
+    tasks = list(harness.registry.records[KEY[0]].iterate_tasks())
     harness.report(
         1, [OrderOutcome(str(task.name), 1, "refused", "no_ticket") for task in tasks]
     )
