--- a/bench/budget.py
+++ b/bench/budget.py
@@ -50,7 +50,7 @@
 def summarise_log(lines: Iterable[str]) -> list[QueueSummary]:
     """Return where the jobs of each queue spent their time."""
     tracer = Tracer()
-    tracer.take(LineReader().read(lines))
+    tracer.add_lines(LineReader().read(lines))
     return summarise(tracer)
 
 
--- a/pistachiodeal/commands/job_path.py
+++ b/pistachiodeal/commands/job_path.py
@@ -32,7 +32,7 @@
     """Print how long each part of the way took, by queue."""
     reader, tracer = LineReader(), Tracer()
     for name in args.logs:
-        tracer.take(reader.read(_open(name)))
+        tracer.add_lines(reader.read(_open(name)))
     summaries = [
         one for one in summarise(tracer) if not args.queue or one.queue == args.queue
     ]
--- a/pistachiodeal/jobagent/app.py
+++ b/pistachiodeal/jobagent/app.py
@@ -11,7 +11,7 @@
 from pistachiodeal.jobagent.heartbeats import Heartbeats
 from pistachiodeal.jobagent.leader_link import LeaderLink
 from pistachiodeal.jobagent.ledger import AgentLedger
-from pistachiodeal.jobagent.paces import PaceKeeper
+from pistachiodeal.jobagent.paces import PaceController
 from pistachiodeal.jobagent.renewal import Renewal
 from pistachiodeal.jobagent.signals import AgentSignals
 from pistachiodeal.jobs.rows import find_partition
@@ -36,7 +36,7 @@
         runtime = create_runner(settings.runner)
         limits = settings.limits
         ledger = AgentLedger(events, limits.longest_lease_ms / 1000)
-        paces = PaceKeeper(ledger, runtime, events, limits.interference_ms / 1000)
+        paces = PaceController(ledger, runtime, events, limits.interference_ms / 1000)
         self._renewal = Renewal(ledger, runtime, paces, events, agent_signals)
         executor = Executor(ledger, runtime, events, agent_signals)
         self._leader_link = LeaderLink(
@@ -61,7 +61,7 @@
         supervisor = Supervisor("agent")
         supervisor.add("heartbeats", self._runners.run)
         supervisor.add("renewal", self._renewal.run)
-        supervisor.add("looks", self._renewal.run_looks)
+        supervisor.add("looks", self._renewal.run_on_demand)
         supervisor.add("leader", self._leader_link.run)
         supervisor.add("metrics", self._metrics.run)
         running = await curio.spawn(supervisor.run)
--- a/pistachiodeal/jobagent/authority.py
+++ b/pistachiodeal/jobagent/authority.py
@@ -72,7 +72,7 @@
         """
         return self.granted and self.granted + min(self.starts, TOKENS_GRANTED - 1)
 
-    def take_start_limit(self, sent_at: float, starts_ms: int) -> None:
+    def set_start_limit(self, sent_at: float, starts_ms: int) -> None:
         """Take in until when the orders of a directive may begin.
 
         :param sent_at: when the report that it answers was sent, boot clock.
--- a/pistachiodeal/jobagent/executor.py
+++ b/pistachiodeal/jobagent/executor.py
@@ -55,14 +55,14 @@
         if directive.worker != ledger.worker:
             return
         for known in directive.known:
-            ledger.described[known.task, known.run] = known
+            ledger.run_specs[known.task, known.run] = known
         for ref in directive.stops:
             await curio.spawn(self._stop, ref.task, ref.run, daemon=True)
         for order in directive.starts:
             key = (order.task, order.run)
             if key in ledger.orders or key in ledger.running:
                 continue
-            ledger.described[key] = order
+            ledger.run_specs[key] = order
             ledger.orders[key] = Order(order.task, order.run)
             await curio.spawn(self._start, order, directive.worker, daemon=True)
 
--- a/pistachiodeal/jobagent/heartbeats.py
+++ b/pistachiodeal/jobagent/heartbeats.py
@@ -15,7 +15,7 @@
 from pistachiodeal.jobagent.renewal import Renewal
 from pistachiodeal.jobs.incarnations import get_runner
 from pistachiodeal.jobs.model import LossCause
-from pistachiodeal.jobs.runtime import CallResult, Goodbye, WorkerBeat
+from pistachiodeal.jobs.runtime import CallResult, Goodbye, WorkerHeartbeat
 from pistachiodeal.platform.runner import (
     BEAT_PATH,
     LEAVE_PATH,
@@ -31,7 +31,7 @@
 VERIFY_PAUSE_S = 0.1
 DECIDED = (CallResult.DONE, CallResult.OTHER_INCARNATION, CallResult.FENCED)
 
-Message = TypeVar("Message", WorkerBeat, Goodbye)
+Message = TypeVar("Message", WorkerHeartbeat, Goodbye)
 
 
 class Heartbeats:
@@ -48,7 +48,7 @@
         self._renewal = renewal
         self._events = events
         self._report = report
-        self._unverified: dict[str, WorkerBeat] = {}
+        self._unverified: dict[str, WorkerHeartbeat] = {}
         self._verifying = False
 
     async def handle(self, request: WebRequest) -> WebResponse:
@@ -58,10 +58,10 @@
             return build_json(200, {})
         if not request.path.startswith(BEAT_PATH):
             raise RequestError("no such path", code="not_found", status=404)
-        await self.take(self._decode(decode_beat, request, "heartbeat"))
+        await self.process_heartbeat(self._decode(decode_beat, request, "heartbeat"))
         return build_json(200, {})
 
-    async def take(self, beat: WorkerBeat) -> None:
+    async def process_heartbeat(self, beat: WorkerHeartbeat) -> None:
         """Take in one heartbeat."""
         ledger = self._ledger
         if beat.worker == ledger.worker:
@@ -83,7 +83,7 @@
         if not self._verifying:
             await curio.spawn(self._verify, daemon=True)
 
-    async def _adopt(self, beat: WorkerBeat) -> None:
+    async def _adopt(self, beat: WorkerHeartbeat) -> None:
         self._ledger.adopt(beat)
         if get_runner(beat.worker) == beat.worker:
             self._events.emit("worker.start_unknown", worker=beat.worker)
@@ -105,7 +105,7 @@
                 str(error), code="malformed_request", status=400
             ) from None
 
-    def _log_change(self, known: WorkerBeat | None, beat: WorkerBeat) -> None:
+    def _log_change(self, known: WorkerHeartbeat | None, beat: WorkerHeartbeat) -> None:
         if known is None or known.draining != beat.draining:
             self._events.emit(
                 "worker.draining",
@@ -132,7 +132,7 @@
         finally:
             self._verifying = False
 
-    async def _verify_one(self, beat: WorkerBeat) -> None:
+    async def _verify_one(self, beat: WorkerHeartbeat) -> None:
         known = self._ledger.worker
         result = await self._renewal.verify(beat)
         for _ in range(VERIFY_RETRIES):
--- a/pistachiodeal/jobagent/leader_link.py
+++ b/pistachiodeal/jobagent/leader_link.py
@@ -32,7 +32,7 @@
 # A leader grants 11 s from its last confirmed look at its row, and looks each 0.65 s.
 # Less than this means that the store turns it away; another may lead by now, whom
 # it does not hear of.
-LEAST_GRANT_MS = 8_500
+MIN_GRANT_MS = 8_500
 SUCCESSOR_S = 0.5
 
 
@@ -116,7 +116,7 @@
         self._sent.clear()
         self._fenced.clear()
         self._ledger.forget_reports()
-        self._grant_ms = LEAST_GRANT_MS
+        self._grant_ms = MIN_GRANT_MS
         self._events.emit("leader.attached", peer=link.address)
         try:
             await run_until_one_ends(
@@ -149,7 +149,7 @@
             if not isinstance(message, Directive):
                 continue
             sent_at = self._sent.get(message.beat)
-            if not self._ledger.take_directive(message, sent_at):
+            if not self._ledger.apply_directive(message, sent_at):
                 self._events.emit("leader.outdated", epoch=message.epoch)
                 return
             self._grant_ms = message.grant_ms
@@ -167,7 +167,7 @@
         epoch = self._directory.epoch
         while self._directory.epoch == epoch:
             await curio.sleep(SUCCESSOR_S)
-            if self._grant_ms >= LEAST_GRANT_MS:
+            if self._grant_ms >= MIN_GRANT_MS:
                 continue
             for address in self._directory.list_others(self._directory.leader):
                 notice = await ask_who_leads(self._peers, address)
--- a/pistachiodeal/jobagent/ledger.py
+++ b/pistachiodeal/jobagent/ledger.py
@@ -12,7 +12,7 @@
 from pistachiodeal.jobagent.orders import Order, list_outcomes
 from pistachiodeal.jobs.incarnations import get_runner
 from pistachiodeal.jobs.model import LossCause, OrderState
-from pistachiodeal.jobs.runtime import Listing, WorkerBeat
+from pistachiodeal.jobs.runtime import Listing, WorkerHeartbeat
 from pistachiodeal.model.resources import Resources
 from pistachiodeal.scheduling.interference import Pair
 from pistachiodeal.wire.job_messages import (
@@ -46,13 +46,13 @@
         self._longest_lease_s = longest_lease_s
         self.authority = Authority()
         self.lease = Lease(longest_lease_s)
-        self.beat: WorkerBeat | None = None
+        self.beat: WorkerHeartbeat | None = None
         self.listed = False
         self.history = LossHistory()
         self.running: dict[RunKey, RunningTask] = {}
         self.ends: tuple[EndedTask, ...] = ()
         self.orders: dict[RunKey, Order] = {}
-        self.described: dict[RunKey, RunOrder] = {}
+        self.run_specs: dict[RunKey, RunOrder] = {}
         self.noted = 0
         self.answered_at = 0.0
         self.presses: dict[Pair, float] = {}
@@ -77,7 +77,7 @@
         """Tell whether an incarnation has ended, as far as is known."""
         return worker in self._gone
 
-    def adopt(self, beat: WorkerBeat) -> None:
+    def adopt(self, beat: WorkerHeartbeat) -> None:
         """Take in a runner that has answered under this incarnation."""
         if self.worker and self.worker != beat.worker:
             self.drop_worker("another incarnation answers at its address")
@@ -101,7 +101,7 @@
             unsettled=sorted(unsettled),
         )
 
-    def update(self, beat: WorkerBeat) -> bool:
+    def update(self, beat: WorkerHeartbeat) -> bool:
         """Take in a heartbeat of the same incarnation; tell whether it says news."""
         known = self.beat
         if known is None:
@@ -142,8 +142,8 @@
             return False
         used = Resources()
         for key in self._list_begun():
-            if key in self.described and key != (order.task, order.run):
-                used = used + _measure(self.described[key])
+            if key in self.run_specs and key != (order.task, order.run):
+                used = used + _measure(self.run_specs[key])
         return _measure(order).fits_beside(used, self.beat.capacity)
 
     def drop_worker(self, why: str, cause: LossCause = LossCause.CRASHED) -> None:
@@ -177,10 +177,10 @@
         self.lease = Lease(self._longest_lease_s)
         self.running, self.ends = {}, ()
         self.figures, self.losses = FigureSampler(), LossWatch()
-        self.orders, self.described = {}, {}
+        self.orders, self.run_specs = {}, {}
         self.noted = self._listing_ms = 0
 
-    def take_listing(self, listing: Listing, sent_at: float, now: float) -> bool:
+    def apply_listing(self, listing: Listing, sent_at: float, now: float) -> bool:
         """Take in what the runner lists; tell whether an end or order is news.
 
         Listings on different connections may overtake each other; the runner's clock
@@ -201,14 +201,14 @@
         self.listed = True
         self._listing_ms = listing.clock_ms
         listed = {(one.task, one.run): one for one in listing.running}
-        self.running = self.figures.sample(listed, self.described, self.orders, now)
+        self.running = self.figures.sample(listed, self.run_specs, self.orders, now)
         self.losses.note_answer(self._list_begun())
         known = {end.number for end in self.ends}
         self.ends = tuple(end for end in listing.ends if end.number > self.noted)
         news |= any(end.number not in known for end in self.ends)
         return self._settle(sent_at) or news
 
-    def take_directive(self, directive: Directive, sent_at: float | None) -> bool:
+    def apply_directive(self, directive: Directive, sent_at: float | None) -> bool:
         """Take in the leader's word; False for a leader that was replaced.
 
         :param sent_at: when the report that it answers was sent, None if unknown.
@@ -221,7 +221,7 @@
         if sent_at is not None:
             until = sent_at + directive.grant_ms / 1000
             authority.granted_until = max(authority.granted_until, until)
-            authority.take_start_limit(sent_at, directive.starts_ms)
+            authority.set_start_limit(sent_at, directive.starts_ms)
         self._drop_reported(directive.beat)
         self.history.note_answer(directive.beat)
         if self.worker and directive.worker == self.worker:
--- a/pistachiodeal/jobagent/paces.py
+++ b/pistachiodeal/jobagent/paces.py
@@ -18,7 +18,7 @@
 from pistachiodeal.scheduling.tails import PaceHistory, ServingTail
 
 
-class PaceKeeper:
+class PaceController:
     """Applies a pace to the filling tasks of each image.
 
     :param interference_s: a serving task may be over its aim for this long.
@@ -56,7 +56,7 @@
             self._events.emit("pace.changed", paces=changed)
         self._tail_watch.note(self._pacer, now)
         for key, history in list(self._ledger.figures.histories.items()):
-            percent = paces[self._ledger.described[key].image]
+            percent = paces[self._ledger.run_specs[key].image]
             if history.newest != percent:
                 history.note(percent, now)
                 await curio.spawn(self._pace, key, percent, daemon=True)
@@ -69,7 +69,7 @@
         ledger = self._ledger
         for key, history in ledger.figures.histories.items():
             used_milli = ledger.running[key].figure
-            asked_milli = ledger.described[key].cpu_milli
+            asked_milli = ledger.run_specs[key].cpu_milli
             if not asked_milli or history.allows(used_milli / asked_milli, now):
                 continue
             self._events.emit(
@@ -85,7 +85,7 @@
     def _list_tails(self) -> list[ServingTail]:
         tails = []
         for key, running in self._ledger.running.items():
-            described = self._ledger.described.get(key)
+            described = self._ledger.run_specs.get(key)
             if described is not None and described.serves_ms:
                 tails.append(
                     ServingTail(
@@ -101,7 +101,7 @@
     def _count_fills(self) -> dict[str, FillingLoad]:
         loads: dict[str, FillingLoad] = {}
         for key, history in self._ledger.figures.histories.items():
-            described = self._ledger.described[key]
+            described = self._ledger.run_specs[key]
             running = self._ledger.running[key]
             load = loads.setdefault(described.image, FillingLoad())
             load.count += 1
--- a/pistachiodeal/jobagent/renewal.py
+++ b/pistachiodeal/jobagent/renewal.py
@@ -8,10 +8,10 @@
 from pistachiodeal.clock import read_boot_clock
 from pistachiodeal.events import EventLog
 from pistachiodeal.jobagent.ledger import AgentLedger
-from pistachiodeal.jobagent.paces import PaceKeeper
+from pistachiodeal.jobagent.paces import PaceController
 from pistachiodeal.jobagent.signals import AgentSignals
 from pistachiodeal.jobs.model import LossCause
-from pistachiodeal.jobs.runtime import CallResult, Listing, Runtime, WorkerBeat
+from pistachiodeal.jobs.runtime import CallResult, Listing, Runtime, WorkerHeartbeat
 
 log = Logger("renewal")
 
@@ -36,7 +36,7 @@
         self,
         ledger: AgentLedger,
         runtime: Runtime,
-        paces: PaceKeeper,
+        paces: PaceController,
         events: EventLog,
         signals: AgentSignals,
     ) -> None:
@@ -66,7 +66,7 @@
                 await curio.ignore_after(NOTED_WAIT_S, self._noted.wait)
                 self._noted.clear()
 
-    async def run_looks(self) -> None:
+    async def run_on_demand(self) -> None:
         """Read the listing whenever something was settled."""
         while True:
             await self._look.wait()
@@ -77,7 +77,7 @@
                 await curio.sleep(RETRY_S)
                 await self._look.set()
 
-    async def verify(self, beat: WorkerBeat) -> CallResult:
+    async def verify(self, beat: WorkerHeartbeat) -> CallResult:
         """Tell whether an incarnation is the one that answers now.
 
         The call's token shuts out orders for another start, also where that is the one
@@ -116,7 +116,7 @@
     async def _take(self, listing: Listing, sent_at: float) -> None:
         now = read_boot_clock()
         self._absent = 0
-        if self._ledger.take_listing(listing, sent_at, now):
+        if self._ledger.apply_listing(listing, sent_at, now):
             await self._report.set()
         await self._paces.apply(now)
 
--- a/pistachiodeal/jobagent/tail_watch.py
+++ b/pistachiodeal/jobagent/tail_watch.py
@@ -57,7 +57,7 @@
                 del self.over[key]
                 self._end(key, stretch, now)
         for key, tail_ms in listed.items():
-            aim_ms = self.ledger.described[key].serves_ms
+            aim_ms = self.ledger.run_specs[key].serves_ms
             if tail_ms <= aim_ms:
                 continue
             stretch = self.over.setdefault(key, OverAim(aim_ms, now))
@@ -69,7 +69,7 @@
 
     def _report(self, key: RunKey, stretch: OverAim, pacer: Pacer, now: float) -> None:
         ledger = self.ledger
-        order = ledger.described[key]
+        order = ledger.run_specs[key]
         counted_s = now - pacer.guard.over_since.get(order.task, now)
         self.events.emit(
             "tail.over",
@@ -103,7 +103,7 @@
         ledger = self.ledger
         described: dict[str, dict[str, Any]] = {}
         for key in ledger.figures.histories:
-            image = ledger.described[key].image
+            image = ledger.run_specs[key].image
             one = described.setdefault(
                 image,
                 {
@@ -116,5 +116,5 @@
             )
             one["runs"] += 1
             one["used_milli"] += ledger.running[key].figure
-            one["asked_milli"] += ledger.described[key].cpu_milli
+            one["asked_milli"] += ledger.run_specs[key].cpu_milli
         return described
--- a/pistachiodeal/jobpath/traces.py
+++ b/pistachiodeal/jobpath/traces.py
@@ -128,7 +128,7 @@
             "pace.changed": self._take_paces,
         }
 
-    def take(self, lines: Iterable[LogLine]) -> None:
+    def add_lines(self, lines: Iterable[LogLine]) -> None:
         """Take in lines; those of one job are in the order of their times."""
         for line in lines:
             taker = self._takers.get(line.event)
--- a/pistachiodeal/jobs/record.py
+++ b/pistachiodeal/jobs/record.py
@@ -29,7 +29,7 @@
     :param blames: how much speaks for it as their cause.
     :param running: whether a worker has listed the run.
     :param percent: of its work, as last listed.
-    :param moved_at: when ``percent`` last changed, seconds of the boot clock.
+    :param progressed_at: when ``percent`` last changed, seconds of the boot clock.
     :param placed_at: when the run was decided, seconds of the boot clock.
     :param stopping: why the run is being stopped, empty when it isn't.
     :param held_until: it gets no place before, seconds of the boot clock.
@@ -40,8 +40,8 @@
     :param work_s: time at work since the beginning or the checkpoint that it resumed
         from, in seconds at full speed.
     :param seen_at: when it was last listed, seconds of the boot clock.
-    :param watched: whether this leader has seen all its runs, so that ``work_s`` is
-        true.
+    :param fully_observed: whether this leader has observed all its runs, so that
+        ``work_s`` is accurate.
     """
 
     name: TaskName
@@ -56,7 +56,7 @@
     running: bool = False
     percent: int = 0
     figure: int = 0
-    moved_at: float = 0.0
+    progressed_at: float = 0.0
     placed_at: float = 0.0
     began_at: float = 0.0
     ready_at: float = 0.0
@@ -68,7 +68,7 @@
     slow_since: float = 0.0
     work_s: float = 0.0
     seen_at: float = 0.0
-    watched: bool = True
+    fully_observed: bool = True
 
     @property
     def waits(self) -> bool:
@@ -82,8 +82,8 @@
 
     :param left: tasks that are not done; counted, since each round of decisions asks.
     :param expected_s: time that a task is expected to take; declared at first.
-    :param took_s: sum of the times of the tasks in ``timed``.
-    :param timed: tasks that were done under this leader.
+    :param total_time_s: sum of the times of the tasks in ``timed_tasks``.
+    :param timed_tasks: tasks that were done under this leader.
     """
 
     number: int
@@ -92,8 +92,8 @@
     tasks: list[Task]
     left: int = 0
     expected_s: float = 0.0
-    took_s: float = 0.0
-    timed: int = 0
+    total_time_s: float = 0.0
+    timed_tasks: int = 0
 
     @property
     def key(self) -> tuple[str, int, int]:
@@ -106,7 +106,7 @@
         return self.left == 0
 
     @property
-    def left_work(self) -> float:
+    def remaining_work(self) -> float:
         """Return the core-seconds of the tasks that are not done."""
         return self.left * self._task_work
 
@@ -121,8 +121,8 @@
 
     def note_took(self, took_s: float) -> None:
         """Note how long a task has taken; the others of the step take as long."""
-        self.timed += 1
-        self.took_s += took_s
+        self.timed_tasks += 1
+        self.total_time_s += took_s
 
     def mark_done(self, task: Task) -> None:
         """Note that a task has ended as done."""
@@ -135,25 +135,26 @@
 class JobRecord:
     """One job as the leader knows it.
 
-    :param state: as decided; ``shown`` is the durable one that callers are told.
+    :param state: as decided by the leader.
+    :param durable_state: as stored; the state that callers see.
     :param begun: whether any task has ever been placed.
     :param completed: occurrences of which nothing is left to do.
     :param undivided: whether it has rows where submissions lay before they were
         divided; a removal has to take those too.
-    :param chain_s: longest chain of expected task times, as last worked out.
+    :param critical_path_s: longest chain of expected task times, as last worked out.
     :param work: core-seconds of the whole job, as last worked out.
     :param row_version: of its progress row, 0 when there is none.
     """
 
     job: Job
     state: JobState = JobState.QUEUED
-    shown: JobState = JobState.QUEUED
+    durable_state: JobState = JobState.QUEUED
     begun: bool = False
     row_version: int = 0
     finished_at: float = 0.0
     completed: set[int] = field(default_factory=set)
     occurrences: dict[int, list[StepRecord]] = field(default_factory=dict)
-    chain_s: float = 0.0
+    critical_path_s: float = 0.0
     work: float = 0.0
     undivided: bool = False
 
@@ -201,16 +202,16 @@
                     ready.append(record)
         return ready
 
-    def compute_left_s(self, steps: list[StepRecord]) -> float:
+    def compute_remaining_s(self, steps: list[StepRecord]) -> float:
         """Return the longest chain of expected time that is left, seconds."""
         return compute_chain_s(
             (one.step for one in steps),
             (0.0 if one.done else one.expected_s for one in steps),
         )
 
-    def take_expectations(self, steps: list[StepRecord]) -> None:
+    def update_estimates(self, steps: list[StepRecord]) -> None:
         """Work out chain and work of an occurrence from the expected times."""
-        self.chain_s = compute_chain_s(
+        self.critical_path_s = compute_chain_s(
             (one.step for one in steps), (one.expected_s for one in steps)
         )
         self.work = sum(one.whole_work for one in steps)
@@ -239,7 +240,7 @@
 def build_record(job: Job) -> JobRecord:
     """Return the record of a job of which nothing has run yet."""
     declared = (step.estimate_s for step in job.steps)
-    return JobRecord(job, chain_s=compute_chain_s(job.steps, declared))
+    return JobRecord(job, critical_path_s=compute_chain_s(job.steps, declared))
 
 
 def encode_progress(record: JobRecord) -> bytes:
@@ -280,7 +281,7 @@
     """
     try:
         document = orjson.loads(value)
-        record.state = record.shown = JobState(document["state"])
+        record.state = record.durable_state = JobState(document["state"])
         record.begun = bool(document["begun"])
         record.completed = {int(number) for number in document["completed"]}
         record.row_version = version
@@ -323,10 +324,10 @@
     task = _find_task(record, key)
     task.run, task.place, done, task.failures, task.checkpoint = fields
     _check_counts(task)
-    task.watched = False
+    task.fully_observed = False
     if done:
         record.find_step(task.name).mark_done(task)
-    task.moved_at = task.placed_at = read_boot_clock()
+    task.progressed_at = task.placed_at = read_boot_clock()
 
 
 def _build_steps(job: Job, occurrence: int) -> list[StepRecord]:
--- a/pistachiodeal/jobs/runtime.py
+++ b/pistachiodeal/jobs/runtime.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WorkerBeat:
+class WorkerHeartbeat:
     """What a runner says of itself.
 
     :param worker: its incarnation.
--- a/pistachiodeal/leader/book.py
+++ b/pistachiodeal/leader/book.py
@@ -137,7 +137,7 @@
         task.running, task.percent, task.stopping = False, 0, ""
         task.worked = task.slow_since = 0.0
         task.seen_at = 0.0
-        task.placed_at = task.moved_at = now
+        task.placed_at = task.progressed_at = now
         self._runs.setdefault(place, {})[str(task.name)] = task
         self._note_change(place)
         record = self._records[task.name.job_id]
@@ -241,7 +241,7 @@
         return [
             record
             for record in self._records.values()
-            if record.shown.final
+            if record.durable_state.final
             and record.finished_at
             and now - record.finished_at > kept_s
         ]
@@ -315,15 +315,15 @@
         if effect is not None:
             effects.append(effect)
         state = record.state
-        if state is not record.shown:
+        if state is not record.durable_state:
             effects.append(lambda: self._show(record, state))
 
     def _show(self, record: JobRecord, state: JobState) -> None:
-        if record.shown is not state and not record.shown.final:
-            record.shown = state
+        if record.durable_state is not state and not record.durable_state.final:
+            record.durable_state = state
             queue = record.job.queue
             objective_s = compute_objective_s(
-                record.chain_s, queue.stretch, queue.aim_s
+                record.critical_path_s, queue.stretch, queue.aim_s
             )
             self._events.emit(
                 "job.shown",
--- a/pistachiodeal/leader/expectations.py
+++ b/pistachiodeal/leader/expectations.py
@@ -25,12 +25,12 @@
         """Work out how long the steps of an occurrence will take."""
         queue = record.job.queue.name
         for one in steps:
-            if one.timed:
-                one.expected_s = one.took_s / one.timed
+            if one.timed_tasks:
+                one.expected_s = one.total_time_s / one.timed_tasks
             else:
                 declared_s = one.step.estimate_s
                 one.expected_s = self._durations.expect_s(queue, declared_s)
-        record.take_expectations(steps)
+        record.update_estimates(steps)
 
     def note_took(self, record: JobRecord, task: Task, took_s: float) -> None:
         """Learn from a task that was done how long its like take."""
--- a/pistachiodeal/leader/leadership.py
+++ b/pistachiodeal/leader/leadership.py
@@ -154,7 +154,7 @@
     def find_state(self, job_id: str) -> JobState | None:
         """Return the durable state of a job, None when it isn't known (yet)."""
         record = self._book.records.get(job_id) if self._loaded else None
-        return record.shown if record is not None else None
+        return record.durable_state if record is not None else None
 
     def announce(self, key: str) -> None:
         """Note that a row of the jobs table is durable; see :class:`JobFeed`."""
--- a/pistachiodeal/leader/moves.py
+++ b/pistachiodeal/leader/moves.py
@@ -80,10 +80,12 @@
         if not task.running or task.stopping or task.step.lasts:
             return False
         if task.step.fills and task.worked < STALL_PACE:
-            task.moved_at = task.seen_at
+            task.progressed_at = task.seen_at
             return False
         expected_s = self._book.get_expected_s(task)
-        return task.seen_at - task.moved_at > max(STALL_S, expected_s * STALL_SHARE)
+        return task.seen_at - task.progressed_at > max(
+            STALL_S, expected_s * STALL_SHARE
+        )
 
     def _leave_draining(self, now: float) -> None:
         for worker in self._fleet.workers.values():
--- a/pistachiodeal/leader/planner.py
+++ b/pistachiodeal/leader/planner.py
@@ -137,9 +137,9 @@
                 queue.priority,
                 step.step.lasts,
                 max(0.0, time_of_day_s - due_s),
-                record.compute_left_s(steps),
-                compute_objective_s(record.chain_s, queue.stretch, queue.aim_s),
-                sum(one.left_work for one in steps),
+                record.compute_remaining_s(steps),
+                compute_objective_s(record.critical_path_s, queue.stretch, queue.aim_s),
+                sum(one.remaining_work for one in steps),
                 record.work,
                 self._book.expectations.get_usual_work(queue.name),
             )
--- a/pistachiodeal/leader/reconcile.py
+++ b/pistachiodeal/leader/reconcile.py
@@ -229,10 +229,10 @@
 
     def _note_running(self, task: Task, seen: RunningTask, now: float) -> None:
         if not task.running:
-            task.running, task.began_at, task.moved_at = True, now, now
+            task.running, task.began_at, task.progressed_at = True, now, now
         self._note_work(task, seen.worked_milli / 1000, now)
         if seen.percent != task.percent:
-            task.percent, task.moved_at = seen.percent, now
+            task.percent, task.progressed_at = seen.percent, now
         task.figure = seen.figure
         self._note_pace(task, seen.worked_milli / 1000, now)
         if seen.checkpoint:
@@ -305,7 +305,7 @@
         )
         if kind is EndKind.DONE:
             worker.health.note_success()
-            if task.watched and not task.step.lasts:
+            if task.fully_observed and not task.step.lasts:
                 self._note_work(task, task.worked if task.seen_at else 1.0, now)
                 record = self._book.records[task.name.job_id]
                 self._book.expectations.note_took(record, task, task.work_s)
--- a/pistachiodeal/platform/runner.py
+++ b/pistachiodeal/platform/runner.py
@@ -17,7 +17,7 @@
     Goodbye,
     Listing,
     StartCall,
-    WorkerBeat,
+    WorkerHeartbeat,
 )
 from pistachiodeal.model.resources import Resources
 from pistachiodeal.web.client import (
@@ -192,7 +192,7 @@
     return PlatformRunner(create_client(address, connections=CONNECTIONS))
 
 
-def decode_beat(path: str, body: bytes) -> WorkerBeat:
+def decode_beat(path: str, body: bytes) -> WorkerHeartbeat:
     """Return a runner's heartbeat.
 
     :raises ProtocolError: it can't be read.
@@ -202,7 +202,7 @@
         room = document.get("capacity", {})
         state = document["state"]
         labels = tuple(document.get("labels", ()))
-        beat = WorkerBeat(
+        beat = WorkerHeartbeat(
             _read_incarnation(path.removeprefix(BEAT_PATH), document),
             document["service"],
             document["address"],
--- a/tests/standins/job_cluster.py
+++ b/tests/standins/job_cluster.py
@@ -20,7 +20,7 @@
 from pistachiodeal.jobagent.heartbeats import Heartbeats
 from pistachiodeal.jobagent.leader_link import LeaderLink
 from pistachiodeal.jobagent.ledger import AgentLedger
-from pistachiodeal.jobagent.paces import PaceKeeper
+from pistachiodeal.jobagent.paces import PaceController
 from pistachiodeal.jobagent.renewal import Renewal
 from pistachiodeal.jobagent.signals import AgentSignals
 from pistachiodeal.jobentry.acceptance import Acceptance
@@ -149,7 +149,7 @@
         events = create_quiet_log()
         signals = AgentSignals()
         self.ledger = AgentLedger(events)
-        paces = PaceKeeper(self.ledger, self.runner, events, 4.0)
+        paces = PaceController(self.ledger, self.runner, events, 4.0)
         renewal = Renewal(self.ledger, self.runner, paces, events, signals)
         executor = Executor(self.ledger, self.runner, events, signals)
         peers = PeerContext(
@@ -161,12 +161,12 @@
         )
         link = LeaderLink(MemoryRows(self.state), peers, self.ledger, executor, signals)
         self.heartbeats = Heartbeats(self.ledger, renewal, events, signals.report)
-        await self.start(renewal.run, renewal.run_looks, link.run, self._beat)
+        await self.start(renewal.run, renewal.run_on_demand, link.run, self._beat)
 
     async def _beat(self) -> None:
         while True:
             if not self.runner.down:
-                await self.heartbeats.take(self.runner.build_beat())
+                await self.heartbeats.process_heartbeat(self.runner.build_beat())
             await curio.sleep(BEAT_S)
 
 
--- a/tests/standins/job_runner.py
+++ b/tests/standins/job_runner.py
@@ -9,7 +9,7 @@
 import curio
 
 from pistachiodeal.jobs.incarnations import build_incarnation, get_runner
-from pistachiodeal.jobs.runtime import CallResult, Listing, StartCall, WorkerBeat
+from pistachiodeal.jobs.runtime import CallResult, Listing, StartCall, WorkerHeartbeat
 from pistachiodeal.model.resources import Resources
 from pistachiodeal.wire.job_messages import EndedTask, RunningTask
 
@@ -169,10 +169,10 @@
         self._reset()
         self._up_at = time.monotonic() + self.faults.down_s
 
-    def build_beat(self) -> WorkerBeat:
+    def build_beat(self) -> WorkerHeartbeat:
         """Return the next heartbeat."""
         self._sequence += 1
-        return WorkerBeat(
+        return WorkerHeartbeat(
             self.worker,
             "svc",
             "",
--- a/tests/standins/paced_fleet.py
+++ b/tests/standins/paced_fleet.py
@@ -151,7 +151,7 @@
     def _learn(self, worker: PacedWorker, mix: dict[str, float]) -> None:
         for task, serving in worker.servings.items():
             strain = worker.ledger.running[task, 1].figure / AIM_MS
-            described = (task, 1) in worker.ledger.described
+            described = (task, 1) in worker.ledger.run_specs
             if strain < FIRST_STRAIN or not described:
                 continue
             # Each image is one step here, so its tasks are siblings.
--- a/tests/standins/paced_worker.py
+++ b/tests/standins/paced_worker.py
@@ -15,7 +15,7 @@
 
 from pistachiodeal.jobagent.ledger import AgentLedger
 from pistachiodeal.jobagent.orders import Order
-from pistachiodeal.jobagent.paces import PaceKeeper
+from pistachiodeal.jobagent.paces import PaceController
 from pistachiodeal.jobs.runtime import CallResult, Listing
 from pistachiodeal.scheduling.interference import Pair, compute_effort
 from pistachiodeal.wire.job_messages import RunningTask, RunOrder
@@ -176,7 +176,7 @@
         cpu_milli = self._rng.randrange(1_200, 2_600)
         filling = Filling(image, cpu_milli, work_s, stays, slow_since=now)
         self.fillings[task] = filling
-        self.ledger.described[task, 1] = build_order(task, filling)
+        self.ledger.run_specs[task, 1] = build_order(task, filling)
         self.ledger.orders[task, 1] = Order(
             task, 1, settled_at=now, sent=True, started=True
         )
@@ -228,19 +228,19 @@
             for task, one in self.fillings.items()
         ]
         listing = Listing(CallResult.DONE, int(now * 1000), tuple(running))
-        ledger.take_listing(listing, now, now)
+        ledger.apply_listing(listing, now, now)
         await self._keeper.apply(now)
         await curio.sleep(0)
-        for key in list(ledger.described):
+        for key in list(ledger.run_specs):
             if key[0] not in self.servings and key[0] not in self.fillings:
-                del ledger.described[key]
+                del ledger.run_specs[key]
         self.next_listing = now + LISTED_S + self._rng.uniform(0, LISTED_JITTER_S)
 
     def measure_mix(self) -> dict[str, float]:
         """Return the filling work at work, as the agent reports it."""
         mix: dict[str, float] = {}
         for key in self.ledger.figures.histories:
-            order = self.ledger.described.get(key)
+            order = self.ledger.run_specs.get(key)
             if order is None:
                 continue
             seen = self.ledger.running[key]
@@ -253,16 +253,16 @@
     def _boot(self) -> None:
         events = create_quiet_log()
         self.ledger = AgentLedger(events)
-        self._keeper = PaceKeeper(self.ledger, self, events, self._interference_s)
+        self._keeper = PaceController(self.ledger, self, events, self._interference_s)
 
     def _describe(self) -> None:
         """Tell the agent what runs on its worker, as the leader does."""
         self._described_at = 0.0
         for task, serving in self.servings.items():
             order = RunOrder(task, 1, "", "", False, AIM_MS, serving.image)
-            self.ledger.described[task, 1] = order
+            self.ledger.run_specs[task, 1] = order
         for task, filling in self.fillings.items():
-            self.ledger.described[task, 1] = build_order(task, filling)
+            self.ledger.run_specs[task, 1] = build_order(task, filling)
 
     def _advance_filling(self, one: Filling, now: float) -> None:
         while one.due and one.due[0][0] <= now:
--- a/tests/unit/test_closed_data_centres.py
+++ b/tests/unit/test_closed_data_centres.py
@@ -268,7 +268,7 @@
 
     async def main():
         async with build_stage() as stage:
-            stage.ledger.authority.take_start_limit(read_boot_clock(), starts_ms)
+            stage.ledger.authority.set_start_limit(read_boot_clock(), starts_ms)
             await stage.order()
             assert len(stage.runtime.starts) == expected
 
--- a/tests/unit/test_foreign_writers.py
+++ b/tests/unit/test_foreign_writers.py
@@ -15,7 +15,7 @@
 from pistachiodeal.jobs.checks import check_job
 from pistachiodeal.jobs.record import apply_progress, build_record, encode_progress
 from pistachiodeal.jobs.rows import decode_job, encode_job
-from pistachiodeal.jobs.runtime import CallResult, WorkerBeat
+from pistachiodeal.jobs.runtime import CallResult, WorkerHeartbeat
 from pistachiodeal.leader.book import JobBook
 from pistachiodeal.leader.commits import CONTROL_TABLE, LEADER_KEY, Authority
 from pistachiodeal.leader.directory import Directory
@@ -220,10 +220,12 @@
         decode_job("k", row.value)
 
 
-def build_beat(sequence: int, service: str) -> WorkerBeat:
+def build_beat(sequence: int, service: str) -> WorkerHeartbeat:
     """Return a heartbeat of the worker under test."""
     room = Resources(16_000, 64_000, 0)
-    return WorkerBeat("w1", service, "10.0.0.1:80", False, 0, sequence, room, ("a",))
+    return WorkerHeartbeat(
+        "w1", service, "10.0.0.1:80", False, 0, sequence, room, ("a",)
+    )
 
 
 def test_a_heartbeat_of_another_writer_does_not_hide_the_worker():
--- a/tests/unit/test_job_path.py
+++ b/tests/unit/test_job_path.py
@@ -63,7 +63,7 @@
 
 def trace(lines: list[str]) -> Tracer:
     tracer = Tracer()
-    tracer.take(LineReader().read(lines))
+    tracer.add_lines(LineReader().read(lines))
     return tracer
 
 
@@ -104,7 +104,7 @@
         write_line(1.0, "job.shown", job=JOB, queue="q", state="completed"),
         write_line(1.0, "step.waits", job=JOB, step="0.0"),
     ]
-    tracer.take(reader.read(lines))
+    tracer.add_lines(reader.read(lines))
     assert reader.skipped == 3
     assert tracer.unreadable == 3
 
--- a/tests/unit/test_jobagent_executor.py
+++ b/tests/unit/test_jobagent_executor.py
@@ -70,7 +70,7 @@
     ledger.adopt(build_beat("w"))
     now = read_boot_clock()
     ledger.authority.granted_until = now + 10.0
-    ledger.take_listing(Listing(CallResult.DONE, 1_000), now, now)
+    ledger.apply_listing(Listing(CallResult.DONE, 1_000), now, now)
     executor = Executor(ledger, runtime, create_quiet_log(), AgentSignals())
     yield Stage(ledger, runtime, executor)
 
--- a/tests/unit/test_jobagent_heartbeats.py
+++ b/tests/unit/test_jobagent_heartbeats.py
@@ -9,7 +9,7 @@
 from pistachiodeal.jobagent.heartbeats import Heartbeats
 from pistachiodeal.jobagent.ledger import AgentLedger
 from pistachiodeal.jobs.model import LossCause
-from pistachiodeal.jobs.runtime import CallResult, WorkerBeat
+from pistachiodeal.jobs.runtime import CallResult, WorkerHeartbeat
 from tests.standins.job_cluster import create_quiet_log
 from tests.unit.test_jobagent_ledger import build_beat, build_directive
 
@@ -25,7 +25,7 @@
     unanswered: int = 0
     asked: list[str] = field(default_factory=list)
 
-    async def verify(self, beat: WorkerBeat) -> CallResult:
+    async def verify(self, beat: WorkerHeartbeat) -> CallResult:
         self.asked.append(beat.worker)
         await curio.sleep(0.02)
         if self.unanswered:
@@ -57,7 +57,7 @@
     async def main():
         renewal = FakeRenewal("w@2", unanswered=2)
         heartbeats, ledger = build_stage(renewal)
-        await heartbeats.take(build_beat("w@2"))
+        await heartbeats.process_heartbeat(build_beat("w@2"))
         await wait_for_worker(ledger, "w@2")
 
     curio.run(main)
@@ -69,7 +69,7 @@
     async def main():
         heartbeats, ledger = build_stage(FakeRenewal("w@3"))
         for worker in ("w@2", "w@3", "w@0"):
-            await heartbeats.take(build_beat(worker))
+            await heartbeats.process_heartbeat(build_beat(worker))
         await wait_for_worker(ledger, "w@3")
         await curio.sleep(0.1)
         assert ledger.worker == "w@3"
@@ -83,7 +83,7 @@
     async def main():
         renewal = FakeRenewal("w@1", unanswered=1_000)
         heartbeats, ledger = build_stage(renewal)
-        await heartbeats.take(build_beat("w@0"))
+        await heartbeats.process_heartbeat(build_beat("w@0"))
         await curio.sleep(2 * SOON_S)
         assert ledger.worker == "w@1"
         assert len(renewal.asked) < 10
@@ -97,7 +97,7 @@
     async def main():
         renewal = FakeRenewal("w@2")
         heartbeats, ledger = build_stage(renewal)
-        await heartbeats.take(build_beat("w@2"))
+        await heartbeats.process_heartbeat(build_beat("w@2"))
         await curio.sleep(0.01)
         ledger.adopt(build_beat("w@3"))
         await curio.sleep(0.1)
@@ -113,7 +113,7 @@
     async def main():
         heartbeats, ledger = build_stage(FakeRenewal("w@1"))
         ledger.drop_worker("it is silent", LossCause.SILENT)
-        await heartbeats.take(build_beat("w@1"))
+        await heartbeats.process_heartbeat(build_beat("w@1"))
         assert ledger.worker == "w@1"
 
     curio.run(main)
@@ -127,12 +127,12 @@
         heartbeats, ledger = build_stage(renewal)
         ledger.adopt(build_beat("w"))
         ledger.drop_worker("nothing listens at its address")
-        await heartbeats.take(build_beat("w"))
+        await heartbeats.process_heartbeat(build_beat("w"))
         await curio.sleep(0.05)
         assert ledger.worker == ""
         ledger.build_report(1)
-        ledger.take_directive(build_directive(""), None)
-        await heartbeats.take(build_beat("w"))
+        ledger.apply_directive(build_directive(""), None)
+        await heartbeats.process_heartbeat(build_beat("w"))
         await wait_for_worker(ledger, "w")
 
     curio.run(main)
--- a/tests/unit/test_jobagent_ledger.py
+++ b/tests/unit/test_jobagent_ledger.py
@@ -10,7 +10,7 @@
 from pistachiodeal.jobagent.ledger import AgentLedger
 from pistachiodeal.jobagent.orders import Order
 from pistachiodeal.jobs.model import LossCause, OrderState
-from pistachiodeal.jobs.runtime import CallResult, Listing, WorkerBeat
+from pistachiodeal.jobs.runtime import CallResult, Listing, WorkerHeartbeat
 from pistachiodeal.model.resources import Resources
 from pistachiodeal.wire.job_messages import Directive, EndedTask
 
@@ -21,8 +21,10 @@
     return AgentLedger(EventLog(os.open(os.devnull, os.O_WRONLY), "test"))
 
 
-def build_beat(worker: str, *, draining: bool = False, sequence: int = 1) -> WorkerBeat:
-    return WorkerBeat(
+def build_beat(
+    worker: str, *, draining: bool = False, sequence: int = 1
+) -> WorkerHeartbeat:
+    return WorkerHeartbeat(
         worker, "service", "127.0.0.1:1", draining, 0, sequence, ROOM, ("a", "r1")
     )
 
@@ -44,10 +46,10 @@
     ledger = create_ledger()
     ledger.adopt(build_beat("old"))
     ledger.drop_worker("it left", LossCause.LEFT)
-    ledger.take_directive(build_directive("", noted=40), 0.0)
+    ledger.apply_directive(build_directive("", noted=40), 0.0)
     ledger.adopt(build_beat("new"))
     end = EndedTask(1, "0123456789abcdef.0.0.0", 1, "done", "")
-    ledger.take_listing(Listing(CallResult.DONE, 100, (), (end,)), 1.0, 1.0)
+    ledger.apply_listing(Listing(CallResult.DONE, 100, (), (end,)), 1.0, 1.0)
     assert ledger.noted == 0
     assert ledger.build_report(1).ends == (end,)
 
@@ -60,9 +62,9 @@
     """
     ledger = create_ledger()
     ledger.adopt(build_beat("w"))
-    assert ledger.take_directive(build_directive("w", epoch=2), 5.0)
+    assert ledger.apply_directive(build_directive("w", epoch=2), 5.0)
     granted = ledger.authority.granted_until
-    assert not ledger.take_directive(build_directive("w", epoch=1, noted=9), 50.0)
+    assert not ledger.apply_directive(build_directive("w", epoch=1, noted=9), 50.0)
     assert ledger.noted == 0
     assert ledger.authority.granted_until == granted
 
@@ -89,8 +91,8 @@
     ledger = create_ledger()
     ledger.adopt(build_beat("w"))
     end = EndedTask(1, "0123456789abcdef.0.0.0", 1, "done", "")
-    ledger.take_listing(Listing(CallResult.DONE, 200, (), (end,)), 1.0, 1.0)
-    ledger.take_listing(Listing(CallResult.DONE, 150, (), ()), 1.1, 1.2)
+    ledger.apply_listing(Listing(CallResult.DONE, 200, (), (end,)), 1.0, 1.0)
+    ledger.apply_listing(Listing(CallResult.DONE, 150, (), ()), 1.1, 1.2)
     assert ledger.build_report(1).ends == (end,)
 
 
@@ -108,10 +110,10 @@
     task = "0123456789abcdef.0.0.0"
     ledger.orders[task, 1] = Order(task, 1, OrderState.REFUSED, "no lease")
     ledger.build_report(1)
-    ledger.take_directive(replace(build_directive("w"), beat=1), 0.0)
-    ledger.take_listing(Listing(CallResult.DONE, 100), 1.0, 1.0)
+    ledger.apply_directive(replace(build_directive("w"), beat=1), 0.0)
+    ledger.apply_listing(Listing(CallResult.DONE, 100), 1.0, 1.0)
     assert [one.task for one in ledger.build_report(2).outcomes] == [task]
-    ledger.take_directive(replace(build_directive("w"), beat=2), 0.0)
+    ledger.apply_directive(replace(build_directive("w"), beat=2), 0.0)
     assert ledger.build_report(3).outcomes == ()
 
 
@@ -123,7 +125,7 @@
     """
     ledger = create_ledger()
     ledger.adopt(build_beat("new"))
-    ledger.take_directive(build_directive("old", noted=40), 0.0)
+    ledger.apply_directive(build_directive("old", noted=40), 0.0)
     assert ledger.noted == 0
 
 
@@ -138,9 +140,9 @@
     ledger.adopt(build_beat("w"))
     task = "0123456789abcdef.0.0.0"
     ledger.orders[task, 1] = Order(task, 1, settled_at=5.0)
-    ledger.take_listing(Listing(CallResult.DONE, 100), 4.0, 5.1)
+    ledger.apply_listing(Listing(CallResult.DONE, 100), 4.0, 5.1)
     assert ledger.orders[task, 1].state is OrderState.PENDING
-    ledger.take_listing(Listing(CallResult.DONE, 200), 5.2, 5.3)
+    ledger.apply_listing(Listing(CallResult.DONE, 200), 5.2, 5.3)
     assert ledger.orders[task, 1].state is OrderState.VOID
 
 
@@ -150,13 +152,13 @@
     """
     ledger = create_ledger()
     ledger.adopt(build_beat("w"))
-    ledger.take_listing(Listing(CallResult.DONE, 100), 1.0, 1.0)
+    ledger.apply_listing(Listing(CallResult.DONE, 100), 1.0, 1.0)
     task = "0123456789abcdef.0.0.0"
     ledger.orders[task, 1] = Order(task, 1, OrderState.REFUSED, "no lease")
     ledger.build_report(3)
-    ledger.take_directive(replace(build_directive("w"), beat=2), 0.0)
+    ledger.apply_directive(replace(build_directive("w"), beat=2), 0.0)
     assert ledger.orders
-    ledger.take_directive(replace(build_directive("w"), beat=3), 0.0)
+    ledger.apply_directive(replace(build_directive("w"), beat=3), 0.0)
     assert not ledger.orders
 
 
--- a/tests/unit/test_jobagent_losses.py
+++ b/tests/unit/test_jobagent_losses.py
@@ -34,7 +34,7 @@
 def list_runs(ledger: AgentLedger, clock_ms: int, at: float, *tasks: str) -> None:
     """Take a listing of runs at work."""
     running = tuple(RunningTask(task, 1, "", 1, 0) for task in tasks)
-    ledger.take_listing(Listing(CallResult.DONE, clock_ms, running), at, at)
+    ledger.apply_listing(Listing(CallResult.DONE, clock_ms, running), at, at)
 
 
 def test_a_crash_is_told_with_the_age_of_each_run(monkeypatch):
@@ -109,7 +109,7 @@
     ledger.adopt(build_beat("next"))
     for beat in (1, 2):
         assert [loss.worker for loss in ledger.build_report(beat).losses] == ["w"]
-    ledger.take_directive(replace(build_directive("next"), beat=1), 10.0)
+    ledger.apply_directive(replace(build_directive("next"), beat=1), 10.0)
     assert ledger.build_report(3).losses == ()
     ledger.forget_reports()
     set_clock(monkeypatch, 9.9 + KEPT_S)
@@ -147,9 +147,9 @@
     set_clock(monkeypatch, 3.0)
     ledger.adopt(build_beat("w@2"))
     assert list_outcomes(ledger, 2) == [(TASK, "pending")]
-    ledger.take_listing(Listing(CallResult.DONE, 100), 3.0, 3.1)
+    ledger.apply_listing(Listing(CallResult.DONE, 100), 3.0, 3.1)
     assert list_outcomes(ledger, 3) == [(TASK, "pending")]
-    ledger.take_listing(Listing(CallResult.DONE, 200), 3.2, 3.3)
+    ledger.apply_listing(Listing(CallResult.DONE, 200), 3.2, 3.3)
     assert list_outcomes(ledger, 4) == [(TASK, "void")]
 
 
@@ -157,7 +157,7 @@
     """A task waits for ever for a runner that never comes back."""
     ledger = drop_unanswered(monkeypatch, "w@1")
     ledger.build_report(1)
-    ledger.take_directive(build_directive("", epoch=1), None)
+    ledger.apply_directive(build_directive("", epoch=1), None)
     assert ledger.build_report(2).losses == ()
     set_clock(monkeypatch, 2.0 + UNSETTLED_S)
     report = ledger.build_report(3)
@@ -173,14 +173,14 @@
 def test_each_start_is_called_under_a_higher_token():
     """An order for an earlier start is carried out after the new one was listed."""
     ledger = create_ledger()
-    ledger.take_directive(build_directive(""), None)
+    ledger.apply_directive(build_directive(""), None)
     ledger.adopt(build_beat("w@1"))
     first = ledger.authority.token
     ledger.drop_worker("it has left", LossCause.LEFT)
     ledger.adopt(build_beat("w@2"))
     second = ledger.authority.token
     assert second == first + 1
-    ledger.take_directive(replace(build_directive(""), token=7 + TOKENS_GRANTED), None)
+    ledger.apply_directive(replace(build_directive(""), token=7 + TOKENS_GRANTED), None)
     assert ledger.authority.token > second
     for _ in range(2 * TOKENS_GRANTED):
         ledger.adopt(build_beat("w@2"))
--- a/tests/unit/test_jobagent_paces.py
+++ b/tests/unit/test_jobagent_paces.py
@@ -8,7 +8,7 @@
 
 from pistachiodeal.jobagent.ledger import AgentLedger
 from pistachiodeal.jobagent.orders import Order
-from pistachiodeal.jobagent.paces import PaceKeeper
+from pistachiodeal.jobagent.paces import PaceController
 from pistachiodeal.jobs.runtime import CallResult, Listing
 from pistachiodeal.scheduling.tails import FOLLOW_S, PaceHistory
 from pistachiodeal.wire.job_messages import RunningTask, RunOrder
@@ -32,14 +32,14 @@
     """Return the paces told after an agent's first listing of a filling task."""
     ledger = AgentLedger(create_quiet_log())
     runtime = FakeRuntime()
-    ledger.described[TASK, 1] = RunOrder(TASK, 1, "", "", True, 0, "filling")
+    ledger.run_specs[TASK, 1] = RunOrder(TASK, 1, "", "", True, 0, "filling")
     if ordered:
         ledger.orders[TASK, 1] = Order(TASK, 1)
     running = (RunningTask(TASK, 1, "", 10, 500),)
-    ledger.take_listing(Listing(CallResult.DONE, 1_000, running), 1.0, 1.0)
+    ledger.apply_listing(Listing(CallResult.DONE, 1_000, running), 1.0, 1.0)
 
     async def main() -> None:
-        await PaceKeeper(ledger, runtime, create_quiet_log(), 4.0).apply(1.0)
+        await PaceController(ledger, runtime, create_quiet_log(), 4.0).apply(1.0)
         await curio.sleep(0.01)
 
     curio.run(main)
--- a/tests/unit/test_jobagent_renewal.py
+++ b/tests/unit/test_jobagent_renewal.py
@@ -8,7 +8,7 @@
 
 from pistachiodeal.clock import read_boot_clock
 from pistachiodeal.jobagent.ledger import AgentLedger
-from pistachiodeal.jobagent.paces import PaceKeeper
+from pistachiodeal.jobagent.paces import PaceController
 from pistachiodeal.jobagent.renewal import Renewal
 from pistachiodeal.jobagent.signals import AgentSignals
 from pistachiodeal.jobs.runtime import CallResult, Listing
@@ -44,10 +44,10 @@
 def build_stage(listing: Listing) -> Stage:
     events = create_quiet_log()
     ledger = AgentLedger(events)
-    ledger.take_directive(build_directive("w@1"), read_boot_clock())
+    ledger.apply_directive(build_directive("w@1"), read_boot_clock())
     ledger.adopt(build_beat("w@1"))
     runtime, signals = FakeRuntime(listing), AgentSignals()
-    paces = PaceKeeper(ledger, runtime, events, 4.0)
+    paces = PaceController(ledger, runtime, events, 4.0)
     renewal = Renewal(ledger, runtime, paces, events, signals)
     return Stage(ledger, runtime, signals, renewal)
 
--- a/tests/unit/test_leader_election.py
+++ b/tests/unit/test_leader_election.py
@@ -11,7 +11,7 @@
 
 from pistachiodeal.addresses import split_address
 from pistachiodeal.exceptions import LinkClosedError
-from pistachiodeal.jobagent.leader_link import LEAST_GRANT_MS
+from pistachiodeal.jobagent.leader_link import MIN_GRANT_MS
 from pistachiodeal.jobs.model import JobState
 from pistachiodeal.leader.commits import Authority
 from pistachiodeal.leader.directory import HEARD_LIMIT_S, Directory, is_heard
@@ -233,7 +233,7 @@
         self.reports += 1
         beat = message.beat
         await link.send(
-            Directive(self.epoch, beat, LEAST_GRANT_MS // 2, 9, "", 0, (), (), (), ())
+            Directive(self.epoch, beat, MIN_GRANT_MS // 2, 9, "", 0, (), (), (), ())
         )
 
 
--- a/tests/unit/test_leader_reconcile.py
+++ b/tests/unit/test_leader_reconcile.py
@@ -169,7 +169,7 @@
     stage.task.step = replace(stage.task.step, fills=fills, image="f")
     mover = Mover(stage.book, stage.fleet, stage.reconciler, LimitSettings())
     stage.report(running=[RunningTask(TASK, 1, "", 10, 0, pace_milli)])
-    stage.task.moved_at -= listed_s
+    stage.task.progressed_at -= listed_s
     # Held back by its pace is another reason, which has a test of its own.
     stage.task.slow_since = read_boot_clock()
     mover.move(read_boot_clock())
--- a/tests/unit/test_restarted_runners.py
+++ b/tests/unit/test_restarted_runners.py
@@ -137,7 +137,7 @@
             await cluster.entries[0].submit(job)
             await wait_until_begun(cluster, 3)
             for beat in (earlier, unknown):
-                await agent.heartbeats.take(replace(beat, sequence=900))
+                await agent.heartbeats.process_heartbeat(replace(beat, sequence=900))
                 await curio.sleep(0.1)
                 assert agent.ledger.worker == agent.runner.worker
             await cluster.wait_for_state(job, JobState.COMPLETED, 6.0)
--- a/tests/unit/test_shrinking_workers.py
+++ b/tests/unit/test_shrinking_workers.py
@@ -67,10 +67,10 @@
             smaller = Resources(500, 8_000, 0)
             stage.ledger.update(replace(build_beat("w", sequence=2), capacity=smaller))
             serving = replace(build_order(0), serves_ms=100)
-            stage.ledger.described[serving.task, 1] = serving
+            stage.ledger.run_specs[serving.task, 1] = serving
             running = RunningTask(serving.task, 1, "", 100, 5)
             now = read_boot_clock()
-            stage.ledger.take_listing(
+            stage.ledger.apply_listing(
                 Listing(CallResult.DONE, 2_000, (running,)), now, now
             )
             filling = replace(build_order(1), fills=True)
--- a/tests/unit/test_tail_watch.py
+++ b/tests/unit/test_tail_watch.py
@@ -8,7 +8,7 @@
 
 from pistachiodeal.events import EventLog
 from pistachiodeal.jobagent.ledger import AgentLedger
-from pistachiodeal.jobagent.paces import PaceKeeper
+from pistachiodeal.jobagent.paces import PaceController
 from pistachiodeal.jobs.runtime import CallResult, Listing
 from pistachiodeal.wire.job_messages import RunningTask, RunOrder
 from tests.standins.job_cluster import create_quiet_log
@@ -46,10 +46,10 @@
     """
     events = KeptLog()
     ledger = AgentLedger(create_quiet_log())
-    ledger.described[SERVING, 1] = RunOrder(SERVING, 1, "", "", False, 50, "s")
-    ledger.described[FILLING, 1] = RunOrder(FILLING, 1, "", "", True, 0, "f", 2_000)
+    ledger.run_specs[SERVING, 1] = RunOrder(SERVING, 1, "", "", False, 50, "s")
+    ledger.run_specs[FILLING, 1] = RunOrder(FILLING, 1, "", "", True, 0, "f", 2_000)
     ledger.presses["f", "s"] = 0.0
-    keeper = PaceKeeper(ledger, FakeRuntime(), events, 4.0)
+    keeper = PaceController(ledger, FakeRuntime(), events, 4.0)
 
     async def main() -> None:
         for number, tail_ms in enumerate(tails_ms):
@@ -59,7 +59,7 @@
                 RunningTask(FILLING, 1, "", 10, 1_900),
             )
             clock_ms = 1_000 + 400 * number
-            ledger.take_listing(Listing(CallResult.DONE, clock_ms, running), now, now)
+            ledger.apply_listing(Listing(CallResult.DONE, clock_ms, running), now, now)
             await keeper.apply(now)
 
     curio.run(main)
