--- a/pistachiodeal/jobs/__init__.py
+++ b/pistachiodeal/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs of steps and tasks: what they are, their states and their rows."""
+"""The model of jobs, steps and tasks, their states and their stored rows."""
--- a/pistachiodeal/jobs/advice.py
+++ b/pistachiodeal/jobs/advice.py
@@ -1,4 +1,4 @@
-"""What an outside service says of the workers that may run a step."""
+"""Interface of the external service that selects workers for a step."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Advice:
-    """The answer to one question.
+    """The service's answer to one request.
 
-    :param tickets: of the workers that may run the step, by worker.
-    :param valid_s: how long the tickets are taken, from the answer.
+    :param tickets: a ticket for each worker that may run the step, by worker.
+    :param valid_s: how long the tickets are valid after the answer, seconds.
     """
 
     tickets: dict[str, str]
@@ -19,10 +19,10 @@
 
 
 class Adviser(Protocol):
-    """The service."""
+    """Client of the external service."""
 
     async def advise(self, step: str, workers: tuple[str, ...]) -> Advice:
-        """Ask which of some workers may run a step.
+        """Ask which of the given workers may run a step.
 
-        :raises AdviceError: there is no answer, or too many calls wait.
+        :raises AdviceError: the service does not answer, or too many calls are queued.
         """
--- a/pistachiodeal/jobs/checks.py
+++ b/pistachiodeal/jobs/checks.py
@@ -1,9 +1,9 @@
-"""Whether a job that was read from outside makes sense, field by field.
+"""Validates jobs that are decoded from rows or requests.
 
-What can go wrong: a row or a request of another writer has the right names and other
-types, a negative size, or a step that comes after itself. Taken in as it is, it raises
-in the middle of a round of decisions, and the leader that reads the same rows again
-fails again, for ever.
+A row or request of another writer may have the right field names and wrong types, a
+negative size, or a step that depends on itself. Accepted unchecked, it would raise in
+the middle of a scheduling round, and every later leader that reads the same rows would
+fail in the same way.
 """
 
 from __future__ import annotations
@@ -19,18 +19,19 @@
 MAX_STEPS = 100
 MAX_TASKS = 10_000
 MAX_OCCURRENCES = 10_000
-PLAIN_TYPES = (int, float, str, bool)
+SCALAR_TYPES = (int, float, str, bool)
 
 
 def check_fields(instance: Any) -> None:
-    """Check a data class's plain fields against their annotations.
+    """Check the scalar fields of a data class against their annotations.
 
-    :raises TypeError: a field holds another type, or a number that is not finite.
+    :raises TypeError: a field holds a value of another type, or a number that is not
+        finite.
     """
-    for name, kind in _list_plain_fields(instance.__class__):
+    for name, kind in _list_scalar_fields(instance.__class__):
         value = getattr(instance, name)
         allowed = (int, float) if kind is float else (kind,)
-        # A bool is an int to Python, and no number to whoever wrote the field.
+        # Compares exact types: a bool is an instance of int, but not a valid number.
         if type(value) not in allowed:
             raise TypeError(f"{name} is {type(value).__name__}, not {kind.__name__}")
         if kind is float and not math.isfinite(value):
@@ -38,9 +39,9 @@
 
 
 def check_job(job: Job) -> None:
-    """Check a job and all that it holds.
+    """Check a job with its queue and steps.
 
-    :raises TypeError: a field holds another type.
+    :raises TypeError: a field holds a value of another type.
     :raises ValueError: the fields contradict each other, or are out of bounds.
     """
     check_fields(job)
@@ -48,7 +49,7 @@
     if len(job.text.encode()) > MAX_TEXT_BYTES:
         raise ValueError(f"the text has more than {MAX_TEXT_BYTES} bytes")
     if not 0 <= job.repeats <= MAX_OCCURRENCES or job.interval_s < 0:
-        raise ValueError("its occurrences are out of bounds")
+        raise ValueError("the job's occurrences or their interval are out of bounds")
     if not 0 < len(job.steps) <= MAX_STEPS:
         raise ValueError(f"a job has 1 to {MAX_STEPS} steps")
     for number, step in enumerate(job.steps):
@@ -65,17 +66,19 @@
     sizes = (step.size.cpu_milli, step.size.memory_mib, step.size.accelerators)
     others = (step.estimate_s, step.spread, step.serves_ms, step.may_be_away)
     if min(*sizes, *others) < 0:
-        raise ValueError(f"step {number} has a negative figure")
+        raise ValueError(f"step {number} has a negative value")
     for earlier in step.after:
         if type(earlier) is not int or not 0 <= earlier < number:
-            raise ValueError(f"step {number} comes after a step that is not earlier")
+            raise ValueError(
+                f"step {number} depends on a step that does not precede it"
+            )
 
 
 @lru_cache(maxsize=32)
-def _list_plain_fields(kind: type) -> tuple[tuple[str, type], ...]:
+def _list_scalar_fields(kind: type) -> tuple[tuple[str, type], ...]:
     hints = get_type_hints(kind)
     return tuple(
         (field.name, hints[field.name])
         for field in fields(kind)
-        if hints[field.name] in PLAIN_TYPES
+        if hints[field.name] in SCALAR_TYPES
     )
--- a/pistachiodeal/jobs/explain.py
+++ b/pistachiodeal/jobs/explain.py
@@ -1,4 +1,4 @@
-"""What a job waits for, told from its rows alone."""
+"""Explains what a job waits for, from its stored rows alone."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 @dataclass(frozen=True, slots=True)
 class StepReport:
-    """How one step of a job stands.
+    """The progress of one step of a job.
 
     :param name: occurrence and number of the step.
-    :param why: what its tasks wait for, empty for a step that is done.
+    :param why: what the step's tasks wait for, empty for a step that is done.
     """
 
     name: str
@@ -24,9 +24,9 @@
 
 
 def explain_job(record: JobRecord, *, cancelled: bool, leader: str) -> str:
-    """Return in one sentence why a job is not done, empty for one that is final.
+    """Return in one sentence why a job is not done, empty for a final job.
 
-    :param leader: node of the process that leads, empty while nobody does.
+    :param leader: node of the leader, empty while there is none.
     """
     if record.state.final:
         return ""
@@ -45,7 +45,7 @@
 
 
 def report_steps(record: JobRecord) -> list[StepReport]:
-    """Return how each step of the open occurrences stands."""
+    """Return the progress of each step of the open occurrences."""
     return [
         _report(step, steps)
         for _, steps in sorted(record.occurrences.items())
@@ -58,7 +58,7 @@
     return StepReport(
         f"{step.occurrence}.{step.number}",
         len(step.tasks),
-        len(step.tasks) - step.left,
+        len(step.tasks) - step.remaining,
         len(placed),
         sum(task.failures for task in step.tasks),
         _explain_step(step, steps, placed),
--- a/pistachiodeal/jobs/incarnations.py
+++ b/pistachiodeal/jobs/incarnations.py
@@ -1,8 +1,8 @@
-"""Names of incarnations: one start of a runner, told from its other starts.
+"""Names of incarnations; an incarnation is one start of a runner.
 
-A runner may start again under the same name, and then knows nothing of before. Its time
-of day may have stepped back meanwhile, so that which of two starts is the later one
-can't be read from their names; only whoever answers now is known to live.
+A runner may restart under the same name, without any state of its earlier start. Its
+time of day may have stepped back in between, so names don't tell which of two starts is
+the later one. Only the incarnation that answers calls is known to be alive.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 def build_incarnation(runner: str, started_ms: int) -> str:
     """Return the name of one start of a runner.
 
-    :param started_ms: time of day of the start by the runner's clock, milliseconds.
+    :param started_ms: time of day of the start on the runner's clock, milliseconds.
     """
     return f"{runner}{SEPARATOR}{started_ms}"
 
@@ -21,7 +21,7 @@
 def get_runner(incarnation: str) -> str:
     """Return the name that all starts of a runner share.
 
-    Of a runner that doesn't tell its starts apart this is the incarnation itself.
+    For a runner that doesn't distinguish its starts this is the incarnation itself.
     """
     runner, separator, _ = incarnation.rpartition(SEPARATOR)
     return runner if separator else incarnation
--- a/pistachiodeal/jobs/model.py
+++ b/pistachiodeal/jobs/model.py
@@ -1,4 +1,4 @@
-"""What a caller submits: a job of steps, each of equal tasks."""
+"""The model of a submitted job: steps, each with a number of identical tasks."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class JobState(StrEnum):
-    """States of a job as callers see them."""
+    """States of a job, as reported to callers."""
 
     QUEUED = "queued"
     ACTIVE = "active"
@@ -20,7 +20,7 @@
 
     @property
     def final(self) -> bool:
-        """Tell whether the job will never change again."""
+        """Tell whether the state is terminal."""
         return self in FINAL_STATES
 
 
@@ -31,48 +31,49 @@
     """How a run ended."""
 
     DONE = "done"
-    FAILED = "failed"  # by its own fault or the worker's
+    FAILED = "failed"  # because of the task or of the worker
     STOPPED = "stopped"  # on request
-    LAPSED = "lapsed"  # its lease ran out
+    LAPSED = "lapsed"  # its lease expired
     BROKEN = "broken"  # another member of its gang ended
-    ALONE = "alone"  # the other members of its gang didn't come
+    ALONE = "alone"  # the other members of its gang did not start
 
 
 class OrderState(StrEnum):
-    """What an agent says of a start order that put nothing on its worker."""
+    """What an agent reports about a start order whose run its worker doesn't list."""
 
-    PENDING = "pending"  # not settled yet
-    REFUSED = "refused"  # the worker did not take it
-    VOID = "void"  # the worker will never run it, whatever arrives late
+    PENDING = "pending"  # outcome not known yet
+    REFUSED = "refused"  # not started, by the agent or the worker
+    VOID = "void"  # will never run, even if a call arrives late
 
 
 class LossCause(StrEnum):
-    """Why an agent has given up its worker."""
+    """Why an agent considers its worker lost."""
 
-    CRASHED = "crashed"  # it ended without a word, before the agent's eyes
-    LEFT = "left"  # it had said that it would
-    SILENT = "silent"  # it didn't answer until all leases had run out
+    CRASHED = "crashed"  # ended without notice, as the agent observed
+    LEFT = "left"  # ended after it had announced it
+    SILENT = "silent"  # did not answer until all leases had expired
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One step of a job: ``count`` equal tasks.
+    """One step of a job: ``count`` identical tasks.
 
-    :param size: what one task reserves.
-    :param estimate_s: rough time of one task.
-    :param after: numbers of the steps that have to be done first.
+    :param size: resources that one task reserves.
+    :param estimate_s: estimated run time of one task, seconds.
+    :param after: numbers of the steps that must be done first.
     :param checkpoints: whether tasks save their progress.
-    :param gang: whether tasks work only all together.
-    :param same_rack: whether tasks are slower on more than one rack.
+    :param gang: whether tasks make progress only when all of them run.
+    :param same_rack: whether tasks are slower when they span more than one rack.
     :param label: a label that the worker must have, or empty.
-    :param data_rack: the rack where tasks are fast, or empty.
-    :param spread: most tasks of the step on one worker, 0 for any number.
-    :param duplicates: whether copies of a task may run at once.
+    :param data_rack: the rack that holds the input data, where tasks run faster, or
+        empty.
+    :param spread: the most tasks of the step on one worker, 0 for no limit.
+    :param duplicates: whether copies of a task may run at the same time.
     :param lasts: whether tasks run until the job is cancelled.
-    :param image: tasks of the same image behave alike.
-    :param serves_ms: tail latency that a task must keep, 0 when it has none.
-    :param fills: whether tasks live on the processor time that others leave.
-    :param may_be_away: tasks that may be away at once by our own doing.
+    :param image: image of the tasks; tasks of one image are assumed to behave alike.
+    :param serves_ms: tail latency that a task must keep, milliseconds, 0 for none.
+    :param fills: whether tasks use only the processor time that other tasks leave.
+    :param may_be_away: how many tasks the scheduler may interrupt at the same time.
     """
 
     count: int
@@ -95,15 +96,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Queue:
-    """Where callers submit jobs, and how these are treated.
+    """A queue to which callers submit jobs, with its policies.
 
     :param name: stable name of the queue.
-    :param prefix: start of its paths.
-    :param priority: 0 goes first.
-    :param attempts: failed runs after which a task has failed.
-    :param stretch: a job is in time within this many times its longest chain.
-    :param aim_s: what is added to that.
-    :param advised: whether an outside service chooses the workers of each step.
+    :param prefix: prefix of its request paths.
+    :param priority: 0 is the highest.
+    :param attempts: number of failed runs after which a task has failed.
+    :param stretch: factor of a job's time objective, which is ``stretch`` times the
+        critical path plus ``aim_s``.
+    :param aim_s: constant part of the time objective, seconds.
+    :param advised: whether an external service selects the workers of each step.
     """
 
     name: str
@@ -122,11 +124,12 @@
     """An accepted job.
 
     :param queue: the queue as it was when the job was accepted.
-    :param text: handed to each task unread.
+    :param text: passed uninterpreted to each task.
     :param accepted_s: time of day of its acceptance, seconds since 1970.
-    :param repeats: occurrences of a job with times, 0 for a job without.
-    :param first_run_s: time of day at which the first occurrence is due.
-    :param interval_s: time between two occurrences.
+    :param repeats: number of occurrences of a scheduled job, 0 for an unscheduled one.
+    :param first_run_s: time of day at which the first occurrence is due, seconds since
+        1970.
+    :param interval_s: time between two occurrences, seconds.
     """
 
     job_id: str
@@ -139,8 +142,11 @@
     interval_s: float = 0.0
 
 
-def compute_chain_s(steps: Iterable[Step], times_s: Iterable[float]) -> float:
-    """Return the longest chain of steps whose tasks take these times, seconds."""
+def compute_critical_path_s(steps: Iterable[Step], times_s: Iterable[float]) -> float:
+    """Return the length of the critical path of steps, seconds.
+
+    :param times_s: time that a task of each step takes, seconds.
+    """
     ends: list[float] = []
     for step, time_s in zip(steps, times_s, strict=True):
         begin = max((ends[number] for number in step.after), default=0.0)
@@ -149,7 +155,7 @@
 
 
 def find_queue(queues: tuple[Queue, ...], host: str, path: str) -> Queue | None:
-    """Return the queue with the longest prefix of a path at a host."""
+    """Return the queue of a host with the longest prefix that matches a path."""
     best: Queue | None = None
     for queue in queues:
         if queue.host != host or not path.startswith(queue.prefix):
--- a/pistachiodeal/jobs/names.py
+++ b/pistachiodeal/jobs/names.py
@@ -1,4 +1,4 @@
-"""Names of tasks: ``job.occurrence.step.index``."""
+"""Task names, in the form ``job.occurrence.step.index``."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def parse_task_name(text: str) -> TaskName | None:
-    """Return the parts of a task's name, or None when it is none."""
+    """Return the parts of a task name, or None if the text is not a task name."""
     parts = text.split(".")
     if len(parts) != 4 or not all(part.isdigit() for part in parts[1:]):
         return None
--- a/pistachiodeal/jobs/record.py
+++ b/pistachiodeal/jobs/record.py
@@ -1,4 +1,4 @@
-"""The leader's memory of one job: its steps, tasks and runs."""
+"""The leader's in-memory record of one job: its steps, tasks and runs."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from pistachiodeal.clock import read_boot_clock
 from pistachiodeal.exceptions import ProtocolError
 from pistachiodeal.jobs.checks import check_fields
-from pistachiodeal.jobs.model import Job, JobState, Step, compute_chain_s
+from pistachiodeal.jobs.model import Job, JobState, Step, compute_critical_path_s
 from pistachiodeal.jobs.names import TaskName
 
 
@@ -19,26 +19,28 @@
 class Task:
     """One task.
 
-    Durable are ``run``, ``place``, ``done``, ``failures``, ``checkpoint``, ``crashes``
-    and ``blames``; the rest is what the leader has seen in its own time.
+    ``run``, ``place``, ``done``, ``failures``, ``checkpoint``, ``crashes`` and
+    ``blames`` are stored. The other fields hold what the present leader has observed,
+    and are lost when the leader changes.
 
-    :param run: number of its newest run, 0 before the first.
+    :param run: number of the newest run, 0 before the first.
     :param place: where that run is, or may still be; empty while the task waits.
-    :param checkpoint: state from which its next run resumes.
-    :param crashes: workers that crashed under it and that it may have ended.
-    :param blames: how much speaks for it as their cause.
+    :param checkpoint: state from which the next run resumes.
+    :param crashes: number of worker crashes that the task may have caused.
+    :param blames: accumulated weight of the evidence that the task caused them.
     :param running: whether a worker has listed the run.
-    :param percent: of its work, as last listed.
+    :param percent: share of its work that is done, as last listed.
     :param progressed_at: when ``percent`` last changed, seconds of the boot clock.
-    :param placed_at: when the run was decided, seconds of the boot clock.
-    :param stopping: why the run is being stopped, empty when it isn't.
-    :param held_until: it gets no place before, seconds of the boot clock.
-    :param ticket: of the outside service for its newest run, or empty.
-    :param avoid: nodes on which it failed or stood still, or that ended under it.
-    :param worked: pace of a filling task while its worker's figures were taken.
+    :param placed_at: when the run was placed, seconds of the boot clock.
+    :param stopping: why the run is being stopped, empty if it isn't.
+    :param held_until: the task is not placed before this, seconds of the boot clock.
+    :param ticket: ticket of the external service for the newest run, or empty.
+    :param avoid: nodes on which the task failed or stalled, or whose worker crashed
+        while the task ran there.
+    :param worked: average pace of a filling task over the last sampling period.
     :param slow_since: since when that pace is low, seconds of the boot clock.
-    :param work_s: time at work since the beginning or the checkpoint that it resumed
-        from, in seconds at full speed.
+    :param work_s: work done since the start of the task or since the checkpoint that
+        it resumed from, in seconds at full speed.
     :param seen_at: when it was last listed, seconds of the boot clock.
     :param fully_observed: whether this leader has observed all its runs, so that
         ``work_s`` is accurate.
@@ -72,7 +74,7 @@
 
     @property
     def waits(self) -> bool:
-        """Tell whether the task needs a place."""
+        """Tell whether the task has to be placed."""
         return not self.done and not self.place
 
 
@@ -80,17 +82,18 @@
 class StepRecord:
     """The tasks of one step of one occurrence.
 
-    :param left: tasks that are not done; counted, since each round of decisions asks.
-    :param expected_s: time that a task is expected to take; declared at first.
-    :param total_time_s: sum of the times of the tasks in ``timed_tasks``.
-    :param timed_tasks: tasks that were done under this leader.
+    :param remaining: number of tasks that are not done; maintained as a counter, since
+        each scheduling round reads it.
+    :param expected_s: expected run time of a task, seconds; at first the declared one.
+    :param total_time_s: sum of the run times of the tasks counted in ``timed_tasks``.
+    :param timed_tasks: number of tasks that were done under this leader.
     """
 
     number: int
     occurrence: int
     step: Step
     tasks: list[Task]
-    left: int = 0
+    remaining: int = 0
     expected_s: float = 0.0
     total_time_s: float = 0.0
     timed_tasks: int = 0
@@ -102,16 +105,16 @@
 
     @property
     def done(self) -> bool:
-        """Tell whether all tasks have ended as done."""
-        return self.left == 0
+        """Tell whether all tasks are done."""
+        return self.remaining == 0
 
     @property
     def remaining_work(self) -> float:
         """Return the core-seconds of the tasks that are not done."""
-        return self.left * self._task_work
+        return self.remaining * self._task_work
 
     @property
-    def whole_work(self) -> float:
+    def total_work(self) -> float:
         """Return the core-seconds of all tasks."""
         return len(self.tasks) * self._task_work
 
@@ -120,30 +123,30 @@
         return self.step.size.cpu_milli / 1000 * self.expected_s
 
     def note_took(self, took_s: float) -> None:
-        """Note how long a task has taken; the others of the step take as long."""
+        """Record the run time of a task; it serves to estimate the step's other tasks."""
         self.timed_tasks += 1
         self.total_time_s += took_s
 
     def mark_done(self, task: Task) -> None:
-        """Note that a task has ended as done."""
+        """Record that a task is done."""
         if not task.done:
             task.done = True
-            self.left -= 1
+            self.remaining -= 1
 
 
 @dataclass(slots=True, eq=False)
 class JobRecord:
-    """One job as the leader knows it.
+    """The leader's record of one job.
 
     :param state: as decided by the leader.
     :param durable_state: as stored; the state that callers see.
     :param begun: whether any task has ever been placed.
-    :param completed: occurrences of which nothing is left to do.
-    :param undivided: whether it has rows where submissions lay before they were
-        divided; a removal has to take those too.
-    :param critical_path_s: longest chain of expected task times, as last worked out.
-    :param work: core-seconds of the whole job, as last worked out.
-    :param row_version: of its progress row, 0 when there is none.
+    :param completed: numbers of the occurrences that are complete.
+    :param undivided: whether the job has rows in the partition that held all
+        submissions before they were partitioned; a removal must delete those too.
+    :param critical_path_s: critical path by expected run times, as last computed.
+    :param work: core-seconds of the whole job, as last computed.
+    :param row_version: version of its progress row, 0 if there is none.
     """
 
     job: Job
@@ -182,7 +185,7 @@
         return self.occurrences[name.occurrence][name.step]
 
     def open_due(self, time_of_day_s: float) -> bool:
-        """Open the occurrences that are due; tell whether any was opened."""
+        """Open the occurrences that are due; return whether any was opened."""
         opened = False
         for number in range(self._count_due(time_of_day_s)):
             if number in self.occurrences or number in self.completed:
@@ -192,7 +195,7 @@
         return opened
 
     def list_ready(self) -> list[StepRecord]:
-        """Return the steps with waiting tasks whose turn has come."""
+        """Return the steps that have waiting tasks and whose dependencies are done."""
         ready = []
         for steps in self.occurrences.values():
             for record in steps:
@@ -203,21 +206,21 @@
         return ready
 
     def compute_remaining_s(self, steps: list[StepRecord]) -> float:
-        """Return the longest chain of expected time that is left, seconds."""
-        return compute_chain_s(
+        """Return the critical path of the steps that are not done, seconds."""
+        return compute_critical_path_s(
             (one.step for one in steps),
             (0.0 if one.done else one.expected_s for one in steps),
         )
 
     def update_estimates(self, steps: list[StepRecord]) -> None:
-        """Work out chain and work of an occurrence from the expected times."""
-        self.critical_path_s = compute_chain_s(
+        """Recompute critical path and work from an occurrence's expected run times."""
+        self.critical_path_s = compute_critical_path_s(
             (one.step for one in steps), (one.expected_s for one in steps)
         )
-        self.work = sum(one.whole_work for one in steps)
+        self.work = sum(one.total_work for one in steps)
 
     def close_done(self) -> None:
-        """Close the occurrences that are done; complete the job after the last."""
+        """Close the occurrences that are done; complete the job with the last one."""
         for number, steps in list(self.occurrences.items()):
             if all(step.done for step in steps):
                 del self.occurrences[number]
@@ -238,9 +241,9 @@
 
 
 def build_record(job: Job) -> JobRecord:
-    """Return the record of a job of which nothing has run yet."""
+    """Return the record of a job that has not run yet."""
     declared = (step.estimate_s for step in job.steps)
-    return JobRecord(job, critical_path_s=compute_chain_s(job.steps, declared))
+    return JobRecord(job, critical_path_s=compute_critical_path_s(job.steps, declared))
 
 
 def encode_progress(record: JobRecord) -> bytes:
@@ -260,7 +263,7 @@
                     task.checkpoint,
                 ]
     else:
-        # A final job's runs may still have to be stopped by a successor.
+        # The next leader may still have to stop the runs of a final job.
         for task in record.iterate_tasks():
             if task.place:
                 tasks[_build_key(task)] = [task.run, task.place, int(task.done), 0, ""]
@@ -275,9 +278,9 @@
 
 
 def apply_progress(record: JobRecord, value: bytes, version: int) -> None:
-    """Set a new record to what its progress row says.
+    """Restore a new record from its progress row.
 
-    :raises ProtocolError: the value was not written by this project.
+    :raises ProtocolError: the value is not a valid progress row.
     """
     try:
         document = orjson.loads(value)
@@ -298,7 +301,7 @@
 def read_state(value: bytes) -> JobState:
     """Return the state in a progress row.
 
-    :raises ProtocolError: the value was not written by this project.
+    :raises ProtocolError: the value is not a valid progress row.
     """
     try:
         return JobState(orjson.loads(value)["state"])
@@ -314,7 +317,7 @@
 def _find_task(record: JobRecord, key: str) -> Task:
     occurrence, step, index = (int(part) for part in key.split("."))
     if min(occurrence, step, index) < 0:
-        raise ValueError("a number in a task's name is negative")
+        raise ValueError("a task key has a negative number")
     if occurrence not in record.occurrences:
         record.occurrences[occurrence] = _build_steps(record.job, occurrence)
     return record.occurrences[occurrence][step].tasks[index]
@@ -346,4 +349,4 @@
 def _check_counts(task: Task) -> None:
     check_fields(task)
     if min(task.run, task.failures, task.crashes, task.blames) < 0:
-        raise ValueError("a count is negative")
+        raise ValueError("a task has a negative count")
--- a/pistachiodeal/jobs/rows.py
+++ b/pistachiodeal/jobs/rows.py
@@ -1,4 +1,4 @@
-"""How jobs and their progress are kept in the store's rows.
+"""Encodes jobs and their progress as rows of the store.
 
 A job's submission and its cancellation are rows that an entry inserts once. Its
 progress is one row that only the leader writes.
@@ -19,30 +19,31 @@
 
 JOBS_TABLE = "jobs"
 PROGRESS_TABLE = "progress"
-# A partition does its transactions one after another, at 3 ms each, and at 0.3 s each
-# on a store that is a hundred times slower. Eight then take 27 submissions a second; a
-# single one took three, and refused those of 35 entries for as long as it lasted. Jobs
-# are few (220,000 a day are 2.5 a second), and each partition is one more read for
-# whoever takes the lead.
+# A partition executes its transactions one after another, at 3 ms each, or at 0.3 s
+# each on a store that is a hundred times slower. Eight partitions then accept 27
+# submissions a second, where a single one accepted three and refused those of 35
+# entries for as long as the store was slow. More are not needed: 220,000 jobs a day are
+# 2.5 a second, and each partition is one more read for a new leader.
 SUBMISSION_PARTITIONS = 8
-# Where submissions lay before they were divided; rows there still count.
+# Held all submissions before they were partitioned; rows there are still read.
 UNDIVIDED_PARTITION = "jobs"
 COMMON_PARTITION = ""
-# A row that never is there: asking for it shows whether the store answers.
+# Key of a row that never exists; reading it checks whether the store answers.
 PROBE_KEY = "/probe"
 CANCEL_SUFFIX = "/cancel"
 CANCEL_VALUE = b"{}"
-# The row of a job's submission is followed by that of its cancellation; no other
-# key lies between a job's id and this end.
+# Appended to a job's id, this is the exclusive end of a range that holds only the rows
+# of the job's submission and its cancellation.
 RANGE_END = "0"
 
 
 def find_partition(table: str, key: str) -> str:
     """Return the partition of a row; see ``RowStore``.
 
-    A job's submission and its cancellation lie in one, whichever entry writes them, so
-    that a repeat at another entry finds the row. All else has one writer, the leader,
-    whose every write demands the leader's row, so it lies beside that row.
+    A job's submission and its cancellation share a partition, whichever entry writes
+    them, so that a request repeated at another entry finds the row. All other rows are
+    written by the leader alone. Each of its writes is conditional on the leader's row,
+    so they are in the same partition as that row.
     """
     if table != JOBS_TABLE:
         return COMMON_PARTITION
@@ -51,7 +52,7 @@
 
 
 def list_partitions(table: str) -> tuple[str, ...]:
-    """Return all partitions in which rows of a table lie."""
+    """Return all partitions that hold rows of a table."""
     if table != JOBS_TABLE:
         return (COMMON_PARTITION,)
     divided = tuple(_build_partition(one) for one in range(SUBMISSION_PARTITIONS))
@@ -68,7 +69,7 @@
 
 
 def split_key(key: str) -> tuple[str, bool]:
-    """Return the job of a row in the jobs table, and whether it cancels the job."""
+    """Return the job id in a key of the jobs table, and whether it cancels the job."""
     if key.endswith(CANCEL_SUFFIX):
         return key.removesuffix(CANCEL_SUFFIX), True
     return key, False
@@ -84,8 +85,8 @@
 def decode_job(key: str, value: bytes) -> Job:
     """Return the job of a row.
 
-    :param key: of the row, which is the job's id.
-    :raises ProtocolError: the row was not written by this project.
+    :param key: key of the row, which is the job's id.
+    :raises ProtocolError: the value is not a valid job, or belongs to another key.
     """
     try:
         document = orjson.loads(value)
@@ -94,7 +95,7 @@
         job = Job(**{**document, "steps": steps, "queue": queue})
         check_job(job)
         if job.job_id != key:
-            raise ValueError("the row has the key of another job")
+            raise ValueError("the row's key is the id of another job")
     except (ValueError, KeyError, TypeError) as error:
         raise ProtocolError(repr(error), step="jobs.decode_row") from error
     return job
--- a/pistachiodeal/jobs/runtime.py
+++ b/pistachiodeal/jobs/runtime.py
@@ -1,4 +1,4 @@
-"""What an agent needs of the runner beside it, as types."""
+"""Interface of an agent to the runner on its VM."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 
 
 class CallResult(StrEnum):
-    """What a runner's answer, or its absence, says of a call's effect."""
+    """What the answer of a runner, or the lack of one, says about a call's effect."""
 
     DONE = "done"
-    FENCED = "fenced"  # it has seen a higher fencing token
-    SUPERSEDED = "superseded"  # that run, or a later one, was there before
-    LATE = "late"  # the lease of the order is over
+    FENCED = "fenced"  # the runner has seen a higher fencing token
+    SUPERSEDED = "superseded"  # the runner already had this run or a later one
+    LATE = "late"  # the lease in the call has expired
     NO_ROOM = "no_room"
     NO_TICKET = "no_ticket"
     OTHER_INCARNATION = "other_incarnation"
-    REFUSED = "refused"  # nothing was done
-    ABSENT = "absent"  # nothing listens there
-    UNKNOWN = "unknown"  # it may have been done, or may be done later
-    UNREADABLE = "unreadable"  # the answer doesn't tell who gave it, or what it says
+    REFUSED = "refused"  # the call had no effect
+    ABSENT = "absent"  # nothing listens at the address
+    UNKNOWN = "unknown"  # the call may have taken effect, or may yet
+    UNREADABLE = "unreadable"  # the answer, or its sender, can't be decoded
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerHeartbeat:
-    """What a runner says of itself.
+    """A runner's heartbeat.
 
-    :param worker: its incarnation.
-    :param sequence: counts up, so that a late heartbeat can be told.
-    :param leaving_ms: least time left while it drains.
+    :param worker: the runner's incarnation.
+    :param sequence: increases with each heartbeat, so that late ones are detected.
+    :param leaving_ms: the least time that is left while the runner drains.
     """
 
     worker: str
@@ -47,10 +47,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Goodbye:
-    """A runner's last word before a planned end.
+    """A runner's message before a planned shutdown.
 
     :param runner: name that all its starts share.
-    :param worker: its incarnation, the same name where it doesn't say which.
+    :param worker: its incarnation, or the same name if the message names no start.
     """
 
     runner: str
@@ -61,8 +61,8 @@
 class Listing:
     """A runner's answer to a lease renewal.
 
-    :param clock_ms: the runner's clock at its answer.
-    :param detail: what is wrong with an answer that can't be read.
+    :param clock_ms: the runner's clock at its answer, milliseconds.
+    :param detail: what is wrong with an answer that can't be decoded.
     """
 
     result: CallResult
@@ -74,9 +74,9 @@
 
 @dataclass(frozen=True, slots=True)
 class StartCall:
-    """A start as the runner is told it.
+    """The arguments of a call that starts a run.
 
-    :param lease_end_ms: on the runner's clock.
+    :param lease_end_ms: end of the run's lease on the runner's clock, milliseconds.
     """
 
     worker: str
@@ -96,18 +96,21 @@
         """Start a run."""
 
     async def stop(self, worker: str, token: int, task: str, run: int) -> CallResult:
-        """Stop a run; one that is not there yet will be refused."""
+        """Stop a run; if it has not started yet, its start will be refused."""
 
     async def pace(
         self, worker: str, token: int, task: str, run: int, percent: int
     ) -> CallResult:
-        """Let a run work at a share of its speed."""
+        """Limit a run to a percentage of its full speed."""
 
     async def renew(
         self, worker: str, token: int, noted: int, lease_end_ms: int, wait_ms: int
     ) -> Listing:
-        """Renew the lease, acknowledge ends, and list what runs and has ended.
+        """Renew the lease, acknowledge ended runs, and list running and ended runs.
 
-        :param lease_end_ms: on the runner's clock; 0 leaves the lease as it is.
-        :param wait_ms: how long the answer may wait for an end.
+        :param noted: number of the last end that is acknowledged.
+        :param lease_end_ms: on the runner's clock, milliseconds; 0 leaves the lease
+            unchanged.
+        :param wait_ms: how long the runner may delay its answer until a run ends,
+            milliseconds.
         """
--- a/pistachiodeal/jobs/tables.py
+++ b/pistachiodeal/jobs/tables.py
@@ -1,4 +1,4 @@
-"""Reads jobs from the store's tables, wherever their rows lie."""
+"""Reads jobs from all partitions of the store's tables."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 
 
 async def read_tables(store: RowStore) -> tuple[RowPage, RowPage]:
-    """Return all submissions with their cancellations, and all progress.
+    """Return all submissions with their cancellations, and all progress rows.
 
-    Both are read at once, which is safe for the leader alone: nobody else's progress
-    can be written once it has the leader's row.
+    Both tables are read concurrently. This is consistent only for the leader: once it
+    holds the leader's row, no other process can write progress.
     """
     progress = partial(
         read_whole, store, PROGRESS_TABLE, list_partitions(PROGRESS_TABLE)
@@ -34,7 +34,7 @@
 
 
 async def read_submission(store: RowStore, job_id: str) -> RowPage:
-    """Return the rows of one job's submission and cancellation, if there are any."""
+    """Return the rows of one job's submission and cancellation, if they exist."""
     end = job_id + RANGE_END
     page = await store.read(JOBS_TABLE, job_id, end, 2)
     if page.rows:
