--- a/pistachiodeal/jobagent/__init__.py
+++ b/pistachiodeal/jobagent/__init__.py
@@ -1,1 +1,1 @@
-"""The agent of the users' platform: one beside each runner, its only caller."""
+"""The platform's agent: one runs beside each runner and is its only caller."""
--- a/pistachiodeal/jobagent/app.py
+++ b/pistachiodeal/jobagent/app.py
@@ -1,4 +1,4 @@
-"""Puts the agent together."""
+"""Builds the agent from its components and runs it."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class AgentApp:
-    """The parts of one agent."""
+    """The components of one agent."""
 
     def __init__(self, settings: DeploymentSettings, events: EventLog) -> None:
         self._settings = settings
@@ -57,7 +57,7 @@
         )
 
     async def run(self, signals: SignalWatch) -> None:
-        """Serve until a signal to stop; the runs go on under their lease."""
+        """Serve until a stop signal; the runs continue under their lease."""
         supervisor = Supervisor("agent")
         supervisor.add("heartbeats", self._runners.run)
         supervisor.add("renewal", self._renewal.run)
--- a/pistachiodeal/jobagent/authority.py
+++ b/pistachiodeal/jobagent/authority.py
@@ -1,4 +1,4 @@
-"""What an agent may do: until when leases run, and under which fencing token."""
+"""The leases that an agent may grant, and the fencing token that it uses."""
 
 from __future__ import annotations
 
@@ -7,21 +7,22 @@
 
 from pistachiodeal.wire.job_messages import TOKENS_GRANTED
 
-# How long runs outlive their agent. A killed agent is back, attached and heard its
-# runner's heartbeat after 6 s; a runner that vanished without a trace holds its tasks
-# back for as long.
+# How long runs may continue without their agent. A killed agent takes 6 s to restart,
+# attach to the leader and receive its runner's heartbeat. A longer lease would delay
+# the tasks of a runner that vanished without notice, which wait until it expires.
 LEASE_S = 8.0
-# The runner's clock may be this much slower than ours.
+# The slowest rate of the runner's clock relative to the agent's.
 SLOWEST_CLOCK = 0.98
 
 
 @dataclass(slots=True)
 class Lease:
-    """The lease of all runs on the worker, and both clocks.
+    """The lease of all runs on the worker, and the offset of the runner's clock.
 
-    :param longest_s: the runner cuts longer leases to this.
-    :param until: no lease that was ever asked for runs longer, boot clock.
-    :param clock_ms: the runner's clock at ``sampled_at`` of ours.
+    :param longest_s: the runner shortens longer leases to this, seconds.
+    :param until: latest end of all leases requested so far, seconds of the boot clock.
+    :param clock_ms: the runner's clock at ``sampled_at``, milliseconds.
+    :param sampled_at: when ``clock_ms`` was read, seconds of the boot clock.
     """
 
     longest_s: float = LEASE_S
@@ -30,57 +31,63 @@
     sampled_at: float = 0.0
 
     def sample(self, clock_ms: int, now: float) -> None:
-        """Note the runner's clock."""
+        """Record a reading of the runner's clock."""
         if clock_ms > self.clock_ms:
             self.clock_ms, self.sampled_at = clock_ms, now
 
     def extend(self, now: float, granted_until: float) -> int:
-        """Return the end of a new lease on the runner's clock, 0 for no extension."""
+        """Return the end of a new lease on the runner's clock, 0 if there is none."""
         until = min(now + min(LEASE_S, self.longest_s), granted_until)
         if not self.clock_ms or until <= now:
             return 0
         self.until = max(self.until, until)
-        # A slow clock reaches a given reading later; so the lease is asked for as if
-        # the runner's clock were the slowest allowed, and surely ends by ``until``.
+        # A slow clock reaches a given reading later. The end is computed for the
+        # slowest clock allowed, so that the lease has ended by ``until`` in any case.
         span_ms = (until - self.sampled_at) * 1000 * SLOWEST_CLOCK
         return self.clock_ms + int(span_ms)
 
 
 @dataclass(slots=True)
 class Authority:
-    """What the leader has given this agent.
-
-    :param granted: the lowest of the fencing tokens that it may use.
-    :param granted_until: leases may run until then, boot clock.
-    :param starts_until: orders of the newest directive may begin until then, boot
-        clock: what the leader knew when it decided may be out of date later.
-    :param starts: incarnations that were adopted under these tokens.
+    """What the leader permits this agent.
+
+    :param epoch: the highest epoch of a leader that has sent a directive.
+    :param granted: the lowest of the fencing tokens that the agent may use.
+    :param granted_until: leases may last until then, seconds of the boot clock.
+    :param starts_until: orders of the newest directive may be started until then,
+        seconds of the boot clock; after that, the knowledge on which the leader decided
+        may be out of date.
+    :param token_increments: how often the token was raised since the last grant, for
+        each incarnation that was adopted or verified.
     """
 
     epoch: int = 0
     granted: int = 0
     granted_until: float = 0.0
     starts_until: float = inf
-    starts: int = 0
+    token_increments: int = 0
 
     @property
     def token(self) -> int:
-        """Return the fencing token for calls now, 0 before the first.
+        """Return the fencing token for calls, 0 before the leader has granted one.
 
-        It rises with each incarnation: orders for an earlier one may still be on their
-        way, and a runner that has just started has seen no token yet.
+        It increases with each incarnation: orders for an earlier one may still be in
+        transit, and a runner that has just started has not seen any token.
         """
-        return self.granted and self.granted + min(self.starts, TOKENS_GRANTED - 1)
+        return self.granted and self.granted + min(
+            self.token_increments, TOKENS_GRANTED - 1
+        )
 
     def set_start_limit(self, sent_at: float, starts_ms: int) -> None:
-        """Take in until when the orders of a directive may begin.
+        """Set the time until which orders of a directive may be started.
 
-        :param sent_at: when the report that it answers was sent, boot clock.
-        :param starts_ms: counted from then, negative for no limit.
+        :param sent_at: when the report that the directive answers was sent, seconds of
+            the boot clock.
+        :param starts_ms: milliseconds after ``sent_at``, negative for no limit.
         """
         self.starts_until = sent_at + starts_ms / 1000 if starts_ms >= 0 else inf
 
-    def take_token(self, granted: int) -> None:
-        """Take in the lowest token that a directive grants."""
+    def set_token(self, granted: int) -> None:
+        """Set the lowest token that a directive grants, if it is higher than before."""
         if granted > self.granted:
-            self.granted, self.starts = granted, 0
+            self.granted, self.token_increments = granted, 0
--- a/pistachiodeal/jobagent/executor.py
+++ b/pistachiodeal/jobagent/executor.py
@@ -1,4 +1,4 @@
-"""Carries out the leader's orders at the runner, and settles what got no answer."""
+"""Executes the leader's orders at the runner, and resolves unanswered ones."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 log = Logger("executor")
 
-# A runner that refuses or doesn't answer is asked again this often.
+# Pause before a stop that was refused or not answered is sent again.
 RETRY_S = 0.15
-# Answers after which the runner certainly has not started, and won't start, the run.
+# Results that rule out that the runner has started, or will start, the run.
 NOT_STARTED = frozenset(
     (
         CallResult.FENCED,
@@ -34,7 +34,7 @@
 
 
 class Executor:
-    """Starts and stops runs."""
+    """Starts and stops runs at the runner."""
 
     def __init__(
         self,
@@ -46,11 +46,11 @@
         self._ledger = ledger
         self._runtime = runtime
         self._events = events
-        self._look = signals.look
+        self._refresh = signals.refresh
         self._report = signals.report
 
     async def carry_out(self, directive: Directive) -> None:
-        """Begin everything that a directive orders."""
+        """Begin to execute all orders of a directive."""
         ledger = self._ledger
         if directive.worker != ledger.worker:
             return
@@ -81,7 +81,7 @@
             await self._refuse(entry, "no lease can be given")
             return
         entry.sent = True
-        ledger.losses.note_start((order.task, order.run), now)
+        ledger.run_ages.record_start((order.task, order.run), now)
         result = await self._runtime.start(
             StartCall(
                 worker,
@@ -95,7 +95,7 @@
             )
         )
         if result in (CallResult.UNKNOWN, CallResult.ABSENT):
-            ledger.losses.note_silence(read_boot_clock())
+            ledger.run_ages.record_unanswered_call(read_boot_clock())
         self._events.emit(
             "run.started",
             task=order.task,
@@ -109,17 +109,17 @@
         elif result is CallResult.DONE:
             entry.started = True
             entry.settled_at = read_boot_clock()
-            await self._look.set()
+            await self._refresh.set()
         else:
             await self._stop(order.task, order.run)
 
     async def _stop(self, task: str, run: int) -> None:
-        """Stop a run until the runner has answered; it never starts after that."""
+        """Repeat a stop until the runner answers; the run can't start after that."""
         ledger = self._ledger
         worker = ledger.worker
         entry = ledger.orders.get((task, run))
         if entry is None:
-            # An earlier agent may have sent its start.
+            # A previous process of this agent may have sent its start.
             entry = ledger.orders[task, run] = Order(task, run, sent=True)
         while worker and ledger.worker == worker:
             result = await self._runtime.stop(worker, ledger.authority.token, task, run)
@@ -127,7 +127,7 @@
             if result in (CallResult.DONE, CallResult.SUPERSEDED):
                 entry.started = False
                 entry.settled_at = read_boot_clock()
-                await self._look.set()
+                await self._refresh.set()
                 return
             await curio.sleep(RETRY_S)
 
@@ -136,7 +136,7 @@
         await self._report.set()
 
     def _find_refusal(self, worker: str, order: RunOrder) -> str:
-        """Return why nothing may be started, empty if it may."""
+        """Return why a run may not be started, empty if it may."""
         ledger = self._ledger
         if ledger.worker != worker:
             return "the worker has changed"
@@ -147,12 +147,13 @@
             return "the leader's grant has run out"
         if now >= ledger.authority.starts_until:
             return "the leader's look at closed data centres is too old"
-        # An agent that stood still finds old orders first, and behind them what its
-        # runner has said meanwhile: that it drains, or that its room has shrunk.
+        # An agent that was suspended processes old orders before the heartbeats that
+        # its runner has sent since, which may say that it drains or has less capacity.
         if ledger.is_silent(now):
             return "the runner has not answered lately"
-        # The leader decided by what it had last heard. A runner that starts whatever it
-        # is told would be over its room, and its serving tasks would pay for it.
+        # The leader decided by the last capacity that it had received. A runner that
+        # doesn't check its capacity would be overcommitted, which slows down its
+        # serving tasks.
         if not ledger.has_room(order):
             return "the worker has no room left"
         return ""
--- a/pistachiodeal/jobagent/figures.py
+++ b/pistachiodeal/jobagent/figures.py
@@ -1,4 +1,4 @@
-"""Figures of the tasks at work, and how much filling work was beside them."""
+"""Samples the figures of running tasks: tail latencies and paces of filling tasks."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 RunKey = tuple[str, int]
 """Task and number of a run."""
 
-# Figures are read no closer than this: what a tail was in between is worked out from
-# the difference of two, which is noise when they are close.
+# Least time between two samples: the tail in between is computed from the difference of
+# two figures, which is mostly noise when they are closer.
 SAMPLE_S = 0.25
 
 
 class FigureSampler:
-    """Turns what a runner lists into tails of now and work of the same time.
+    """Computes present tail latencies, and work done in the same time, from listings.
 
-    :ivar histories: paces of the filling tasks at work.
-    :ivar listed_tails: tails of the serving tasks as they were listed last, ms.
+    :ivar histories: pace histories of the running filling tasks.
+    :ivar listed_tails: tails of the serving tasks as last listed, milliseconds.
     """
 
     def __init__(self) -> None:
@@ -34,33 +34,37 @@
     def sample(
         self,
         listed: Mapping[RunKey, RunningTask],
-        described: Mapping[RunKey, RunOrder],
+        specs: Mapping[RunKey, RunOrder],
         ordered: Mapping[RunKey, Order],
         now: float,
     ) -> dict[RunKey, RunningTask]:
-        """Return the tasks at work with their figures worked out.
+        """Return the running tasks with computed figures.
 
-        :param ordered: runs that this agent has started and that may be listed first.
+        :param listed: the running tasks as the runner lists them.
+        :param specs: the specifications of runs.
+        :param ordered: runs that this agent has started and that may be listed for the
+            first time.
+        :param now: time of the listing, seconds of the boot clock.
         """
         due = now - self._sampled_at >= SAMPLE_S
         self.histories = {
             key: self.histories.get(key) or _begin_history(ordered.get(key), now)
             for key in listed
-            if key in described and described[key].fills
+            if key in specs and specs[key].fills
         }
         self._tails = {
             key: self._tails.get(key) or TailFilter()
             for key in listed
-            if key in described and described[key].serves_ms
+            if key in specs and specs[key].serves_ms
         }
         self.listed_tails = {key: listed[key].figure for key in self._tails}
-        self._last = {key: self._work_out(key, listed[key], now, due) for key in listed}
+        self._last = {key: self._compute(key, listed[key], now, due) for key in listed}
         if due:
             self._sampled_at = now
         return dict(self._last)
 
-    def _work_out(
-        self, key: RunKey, one: RunningTask, now: float, due: bool
+    def _compute(
+        self, key: RunKey, task: RunningTask, now: float, due: bool
     ) -> RunningTask:
         last = self._last.get(key)
         if key in self.histories:
@@ -68,22 +72,23 @@
             if due:
                 worked = self.histories[key].average(self._sampled_at, now)
                 worked_milli = int(worked * 1000)
-            return replace(one, worked_milli=worked_milli)
+            return replace(task, worked_milli=worked_milli)
         if key in self._tails:
             figure = last.figure if last is not None else 0
             if due:
-                figure = int(self._tails[key].estimate(one.figure, now))
-            return replace(one, figure=figure)
-        return one
+                figure = int(self._tails[key].estimate(task.figure, now))
+            return replace(task, figure=figure)
+        return task
 
 
 def _begin_history(order: Order | None, now: float) -> PaceHistory:
-    """Return the paces of a run that is listed first now.
+    """Return the pace history of a run that is listed for the first time.
 
-    Work that began between two listings has disturbed its neighbours since then. Left
-    out of the first listing, it would have them blamed for what it does.
+    A run that began between two listings has slowed down its neighbours since its
+    start. If its work until the first listing were not counted, its neighbours would be
+    blamed for the slowdown.
 
-    :param order: what this agent knows of its start, None if it has not started it.
+    :param order: the order by which this agent started the run, None if it did not.
     """
     if order is None:
         return PaceHistory(now, fresh=False)
--- a/pistachiodeal/jobagent/heartbeats.py
+++ b/pistachiodeal/jobagent/heartbeats.py
@@ -1,4 +1,4 @@
-"""Takes the runner's heartbeats and its goodbye."""
+"""Handles the runner's heartbeats and its goodbye message."""
 
 from __future__ import annotations
 
@@ -26,16 +26,17 @@
 
 log = Logger("heartbeats")
 
-# A runner that is starting is asked this often, sooner than it sends another heartbeat.
+# Retries when a new incarnation doesn't answer: a runner that is still starting is
+# adopted before it sends its second heartbeat.
 VERIFY_RETRIES = 5
 VERIFY_PAUSE_S = 0.1
-DECIDED = (CallResult.DONE, CallResult.OTHER_INCARNATION, CallResult.FENCED)
+CONCLUSIVE = (CallResult.DONE, CallResult.OTHER_INCARNATION, CallResult.FENCED)
 
 Message = TypeVar("Message", WorkerHeartbeat, Goodbye)
 
 
 class Heartbeats:
-    """Handles what the runner on this VM sends."""
+    """Handles the requests of the runner on this VM."""
 
     def __init__(
         self,
@@ -54,7 +55,9 @@
     async def handle(self, request: WebRequest) -> WebResponse:
         """Answer a heartbeat or a goodbye."""
         if request.path.startswith(LEAVE_PATH):
-            await self._take_goodbye(self._decode(decode_goodbye, request, "goodbye"))
+            await self._process_goodbye(
+                self._decode(decode_goodbye, request, "goodbye")
+            )
             return build_json(200, {})
         if not request.path.startswith(BEAT_PATH):
             raise RequestError("no such path", code="not_found", status=404)
@@ -62,7 +65,7 @@
         return build_json(200, {})
 
     async def process_heartbeat(self, beat: WorkerHeartbeat) -> None:
-        """Take in one heartbeat."""
+        """Process one heartbeat."""
         ledger = self._ledger
         if beat.worker == ledger.worker:
             known = ledger.beat
@@ -74,11 +77,14 @@
         if not ledger.worker and not gone:
             await self._adopt(beat)
             return
-        if gone and ledger.history.awaits_hearing(beat.worker, read_boot_clock()):
-            # A runner that doesn't tell its starts apart may be back; a leader that has
-            # not heard of its end would wait for the runs that ended with it.
+        if gone and ledger.loss_history.awaits_acknowledgement(
+            beat.worker, read_boot_clock()
+        ):
+            # A runner that doesn't distinguish its starts may have restarted. A leader
+            # that has not been told of its end would wait for the runs that it lost.
             return
-        # A heartbeat that was held up by a cut may arrive after its sender's end.
+        # A heartbeat delayed by a network partition may arrive after its sender has
+        # ended.
         self._unverified[beat.worker] = beat
         if not self._verifying:
             await curio.spawn(self._verify, daemon=True)
@@ -92,10 +98,10 @@
     def _decode(
         self, decode: Callable[[str, bytes], Message], request: WebRequest, name: str
     ) -> Message:
-        """Return what a request says.
+        """Return the decoded message of a request.
 
-        :param name: what it is called in the log.
-        :raises RequestError: it can't be read.
+        :param name: name of the message in the log.
+        :raises RequestError: the request can't be decoded.
         """
         try:
             return decode(request.path, request.body)
@@ -123,7 +129,7 @@
             )
 
     async def _verify(self) -> None:
-        """Look into the heartbeats of incarnations that are not the known one."""
+        """Verify the senders of heartbeats that name other incarnations."""
         self._verifying = True
         try:
             while self._unverified:
@@ -136,9 +142,9 @@
         known = self._ledger.worker
         result = await self._renewal.verify(beat)
         for _ in range(VERIFY_RETRIES):
-            if result in DECIDED:
+            if result in CONCLUSIVE:
                 break
-            # A runner may send its first heartbeat before it listens.
+            # A runner may send its first heartbeat before it accepts calls.
             await curio.sleep(VERIFY_PAUSE_S)
             result = await self._renewal.verify(beat)
         if result is CallResult.DONE and self._ledger.worker in (known, ""):
@@ -153,13 +159,14 @@
             result=result.value,
         )
 
-    async def _take_goodbye(self, goodbye: Goodbye) -> None:
+    async def _process_goodbye(self, goodbye: Goodbye) -> None:
         ledger = self._ledger
-        # One that names no start may be of an earlier one; a runner drains before it
-        # leaves, and one that is gone is found out all the same.
+        # A goodbye that names no start may come from an earlier one. It counts only
+        # while the worker drains, as a runner does before it leaves; the end of a
+        # runner is detected without a goodbye too.
         leaving = ledger.draining and get_runner(ledger.worker) == goodbye.runner
-        unsaid = goodbye.worker == goodbye.runner
-        if goodbye.worker != ledger.worker and not (unsaid and leaving):
+        names_no_start = goodbye.worker == goodbye.runner
+        if goodbye.worker != ledger.worker and not (names_no_start and leaving):
             self._events.emit(
                 "goodbye.ignored",
                 runner=goodbye.runner,
--- a/pistachiodeal/jobagent/leader_link.py
+++ b/pistachiodeal/jobagent/leader_link.py
@@ -1,4 +1,4 @@
-"""The agent's link to the leader: finds it, reports, takes directives."""
+"""The agent's link to the leader: finds it, sends reports, receives directives."""
 
 from __future__ import annotations
 
@@ -21,19 +21,19 @@
 log = Logger("leader_link")
 
 REPORT_S = 0.4
-# Ends come in groups; a report for each one would cost more than it tells.
+# Delay that batches ends, which come in groups, into one report.
 REPORT_PAUSE_S = 0.015
 RETRY_S = 0.1
-# The store is asked who leads at most this often: it is shared by all processes.
-LOOK_S = 0.5
-# A leader that has just gone silent is asked last for this long: the handshake with it
-# would take 0.8 s each time, and its successor is known by the other entries.
-UNHEARD_S = 1.0
-# A leader grants 11 s from its last confirmed look at its row, and looks each 0.65 s.
-# Less than this means that the store turns it away; another may lead by now, whom
-# it does not hear of.
+# Least time between two reads of the leader's row, as all processes share the store.
+LEADER_READ_S = 0.5
+# For this long, a leader that has just stopped answering is tried last: the handshake
+# with it would take 0.8 s each time, and the other entries know its successor.
+UNREACHABLE_S = 1.0
+# A leader grants 11 s from its last confirmed read of its row, and reads it every 0.65
+# s. A shorter grant means that the store rejects its reads; another entry may lead by
+# now without its knowledge.
 MIN_GRANT_MS = 8_500
-SUCCESSOR_S = 0.5
+SUCCESSOR_POLL_S = 0.5
 
 
 class LeaderLink:
@@ -55,44 +55,44 @@
         self._events = peers.events
         self._report = signals.report
         self._fenced = signals.fenced
-        self._noted = signals.noted
+        self._ends_acked = signals.ends_acked
         self._beat = 0
         self._sent: dict[int, float] = {}
-        self._looked_at = 0.0
-        self._unheard = ""
-        self._unheard_until = 0.0
+        self._leader_read_at = 0.0
+        self._unreachable = ""
+        self._unreachable_until = 0.0
         self._grant_ms = 0
-        self._told = False
+        self._successor_known = False
 
     async def run(self) -> None:
-        """Stay attached for ever."""
+        """Stay attached to the leader, for ever."""
         while True:
             for address in await self._list_candidates():
                 if await self._attach(address):
                     break
-            if not self._told:
+            if not self._successor_known:
                 await curio.sleep(RETRY_S)
 
     async def _list_candidates(self) -> list[str]:
-        """Return where the leader may be, the likeliest address first."""
+        """Return the addresses where the leader may be, the most likely first."""
         now = read_boot_clock()
-        if self._told:
-            # The last leader has said who follows it. Asked by hundreds of agents at
-            # once the store would only say the same, and a slow one 0.4 s later.
-            self._told = False
-        elif now - self._looked_at >= LOOK_S:
-            self._looked_at = now
+        if self._successor_known:
+            # The previous leader has named its successor. Reads of the row by hundreds
+            # of agents at once would return the same, 0.4 s later from a slow store.
+            self._successor_known = False
+        elif now - self._leader_read_at >= LEADER_READ_S:
+            self._leader_read_at = now
             await self._rows.read()
         leader = self._directory.leader
         others = self._directory.list_others(leader)
         if not leader:
             return others
-        if leader == self._unheard and now < self._unheard_until:
+        if leader == self._unreachable and now < self._unreachable_until:
             return [*others, leader]
         return [leader, *others]
 
     async def _attach(self, address: str) -> bool:
-        """Try one address; tell whether a leader was there, or is known by now."""
+        """Try one address; return whether the leader was there, or is known now."""
         try:
             async with dial_peer(self._peers, address) as link:
                 notice = await link.receive()
@@ -100,22 +100,22 @@
                     self._directory.take_notice(notice)
                     if notice.address != address:
                         if is_heard(notice):
-                            self._unheard = ""
+                            self._unreachable = ""
                         return bool(notice.address)
                 await self._serve(link)
                 return True
         except (PistachiodealError, OSError) as error:
             log.debug("leader_link: {}", error)
             if address == self._directory.leader:
-                self._unheard = address
-                self._unheard_until = read_boot_clock() + UNHEARD_S
+                self._unreachable = address
+                self._unreachable_until = read_boot_clock() + UNREACHABLE_S
             return False
 
     async def _serve(self, link: Link) -> None:
         self._beat = 0
         self._sent.clear()
         self._fenced.clear()
-        self._ledger.forget_reports()
+        self._ledger.reset_reports()
         self._grant_ms = MIN_GRANT_MS
         self._events.emit("leader.attached", peer=link.address)
         try:
@@ -143,8 +143,8 @@
             message = await link.receive()
             if isinstance(message, LeaderNotice):
                 self._directory.take_notice(message)
-                self._told = self._directory.epoch > epoch
-                if self._told:
+                self._successor_known = self._directory.epoch > epoch
+                if self._successor_known:
                     return
             if not isinstance(message, Directive):
                 continue
@@ -155,18 +155,18 @@
             self._grant_ms = message.grant_ms
             for beat in [beat for beat in self._sent if beat < message.beat]:
                 del self._sent[beat]
-            await self._noted.set()
+            await self._ends_acked.set()
             await self._executor.carry_out(message)
 
     async def _watch_successor(self) -> None:
-        """Return once another entry is known to lead.
+        """Return when another entry is known to lead.
 
-        A leader that is cut off from the store and from all other entries goes on, and
-        an agent that stayed with it would get no work until its grant has run out.
+        A leader that is partitioned from the store and all other entries keeps its
+        links. An agent that stayed with it would get no work until its grant expires.
         """
         epoch = self._directory.epoch
         while self._directory.epoch == epoch:
-            await curio.sleep(SUCCESSOR_S)
+            await curio.sleep(SUCCESSOR_POLL_S)
             if self._grant_ms >= MIN_GRANT_MS:
                 continue
             for address in self._directory.list_others(self._directory.leader):
--- a/pistachiodeal/jobagent/ledger.py
+++ b/pistachiodeal/jobagent/ledger.py
@@ -1,4 +1,4 @@
-"""What an agent knows of its worker: incarnation, lease, runs, ends and orders."""
+"""State of an agent's worker: incarnation, lease, runs, ends and orders."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from pistachiodeal.events import EventLog
 from pistachiodeal.jobagent.authority import LEASE_S, Authority, Lease
 from pistachiodeal.jobagent.figures import FigureSampler, RunKey
-from pistachiodeal.jobagent.losses import LossHistory, LossWatch
+from pistachiodeal.jobagent.losses import LossHistory, RunAgeTracker
 from pistachiodeal.jobagent.orders import Order, list_outcomes
 from pistachiodeal.jobs.incarnations import get_runner
 from pistachiodeal.jobs.model import LossCause, OrderState
@@ -24,21 +24,27 @@
     WorkerReport,
 )
 
-# A runner that doesn't answer gets no longer lease: every call may still be carried
-# out, and the end of the last lease is what its tasks' next runs wait for.
+# The lease of a runner that has not answered for this long is not extended. Each call
+# may still take effect, and the next runs of its tasks wait for the end of its last
+# lease.
 SILENT_S = 1.5
-TEXTS_KEPT = 400
-# Incarnations that have ended; whoever answers under an older one is adopted and soon
-# found out.
-MOST_GONE = 64
-# Pairs of images; a worker has a dozen of either kind at once.
-PRESSES_KEPT = 1_000
+MAX_TEXTS = 400
+# Ended incarnations that are remembered. A sender that names an older one is adopted,
+# and dropped as soon as the runner answers for another incarnation.
+MAX_ENDED = 64
+# Pairs of images; a worker runs about a dozen images of either kind at once.
+MAX_PRESSES = 1_000
 
 
 class AgentLedger:
-    """The agent's memory; a restarted agent learns everything again.
+    """The agent's in-memory state; a restarted agent rebuilds it from its peers.
 
-    :param longest_lease_s: the runner cuts longer leases to this.
+    :param longest_lease_s: the runner shortens longer leases to this, seconds.
+    :ivar beat: the newest heartbeat of the worker, None while no worker is known.
+    :ivar listed: whether the worker has listed its runs since its adoption.
+    :ivar run_specs: specifications of runs, as the leader sent them.
+    :ivar acked_end: number of the last end that the leader has acknowledged.
+    :ivar presses: slowdown of serving images by filling images, as the leader sent it.
     """
 
     def __init__(self, events: EventLog, longest_lease_s: float = LEASE_S) -> None:
@@ -48,20 +54,20 @@
         self.lease = Lease(longest_lease_s)
         self.beat: WorkerHeartbeat | None = None
         self.listed = False
-        self.history = LossHistory()
+        self.loss_history = LossHistory()
         self.running: dict[RunKey, RunningTask] = {}
         self.ends: tuple[EndedTask, ...] = ()
         self.orders: dict[RunKey, Order] = {}
         self.run_specs: dict[RunKey, RunOrder] = {}
-        self.noted = 0
+        self.acked_end = 0
         self.answered_at = 0.0
         self.presses: dict[Pair, float] = {}
         self.figures = FigureSampler()
-        self.losses = LossWatch()
+        self.run_ages = RunAgeTracker()
         self._listing_ms = 0
         self._other_service = ""
         self._texts: dict[str, str] = {}
-        self._gone: deque[str] = deque(maxlen=MOST_GONE)
+        self._gone: deque[str] = deque(maxlen=MAX_ENDED)
 
     @property
     def worker(self) -> str:
@@ -70,27 +76,28 @@
 
     @property
     def draining(self) -> bool:
-        """Tell whether the worker is leaving."""
+        """Tell whether the worker is draining."""
         return self.beat is not None and self.beat.draining
 
     def is_gone(self, worker: str) -> bool:
-        """Tell whether an incarnation has ended, as far as is known."""
+        """Tell whether an incarnation is known to have ended."""
         return worker in self._gone
 
     def adopt(self, beat: WorkerHeartbeat) -> None:
-        """Take in a runner that has answered under this incarnation."""
+        """Adopt a runner's incarnation as the worker."""
         if self.worker and self.worker != beat.worker:
             self.drop_worker("another incarnation answers at its address")
-        self.history.take_back(beat.worker)
+        self.loss_history.discard(beat.worker)
         self.beat = beat
-        # Ends are counted from one by each incarnation: a number of the last one would
-        # acknowledge ends that nobody has seen, and their tasks would run again.
-        self.noted = 0
-        self.authority.starts += 1
-        # The first listing under the higher token tells what became of orders that had
-        # no answer: what it doesn't hold is refused from then on.
+        # Each incarnation numbers its ends from one: the number of the previous one
+        # would acknowledge ends that the leader has not received, and their tasks would
+        # run again.
+        self.acked_end = 0
+        self.authority.token_increments += 1
+        # The first listing under the higher token settles orders that got no answer:
+        # the runner refuses to start any run that this listing doesn't hold.
         now = read_boot_clock()
-        unsettled = self.history.take_unsettled()
+        unsettled = self.loss_history.pop_unsettled()
         for task, run in unsettled:
             self.orders[task, run] = Order(task, run, settled_at=now, sent=True)
         self._events.emit(
@@ -102,7 +109,7 @@
         )
 
     def update(self, beat: WorkerHeartbeat) -> bool:
-        """Take in a heartbeat of the same incarnation; tell whether it says news."""
+        """Apply a heartbeat of the same incarnation; return whether it has news."""
         known = self.beat
         if known is None:
             return False
@@ -116,9 +123,10 @@
             )
             return False
         if beat.service not in (known.service, self._other_service):
-            # A runner stays with its service for its whole life. Another writer may
-            # use its id; taken at its word, it would hide the worker from the leader.
-            # Said twice in a row, the first heartbeat was the foreign one.
+            # An incarnation never changes its service, so this heartbeat is from
+            # another sender that uses the same id. Accepted, it would hide the worker
+            # from the leader. If the next heartbeat names this service too, the first
+            # one was the foreign one.
             self._other_service = beat.service
             self._events.emit(
                 "heartbeat.foreign", worker=beat.worker, service=beat.service
@@ -129,27 +137,28 @@
         return (beat.draining, beat.capacity) != (known.draining, known.capacity)
 
     def is_silent(self, now: float) -> bool:
-        """Tell whether the runner has not answered lately; this agent may be why."""
+        """Tell whether the runner has not answered lately, also if the agent is why."""
         return now - self.answered_at >= SILENT_S
 
     def has_room(self, order: RunOrder) -> bool:
-        """Tell whether the runner has room for one more run, by its newest word.
+        """Tell whether the runner has capacity for one more run, by its last heartbeat.
 
-        What is being stopped counts until its end is listed. What the run itself does
-        not take may be short: a worker that shrinks has less than its runs reserve.
+        A run that is being stopped counts until its end is listed. Resources that the
+        new run doesn't use may be overcommitted: a worker whose capacity has shrunk may
+        have less than its runs reserve.
         """
         if self.beat is None:
             return False
         used = Resources()
-        for key in self._list_begun():
+        for key in self._list_active():
             if key in self.run_specs and key != (order.task, order.run):
                 used = used + _measure(self.run_specs[key])
         return _measure(order).fits_beside(used, self.beat.capacity)
 
     def drop_worker(self, why: str, cause: LossCause = LossCause.CRASHED) -> None:
-        """Forget the worker: none of its runs is at work any more.
+        """Drop the worker: none of its runs is running any more.
 
-        A silent incarnation may come back; any other can't.
+        Only an incarnation that was silent may be adopted again.
         """
         worker = self.worker
         if cause is LossCause.CRASHED and self.draining:
@@ -157,7 +166,7 @@
         if cause is not LossCause.SILENT:
             self._gone.append(worker)
         now = read_boot_clock()
-        loss = self.losses.build_loss(worker, cause, self._list_begun(), now)
+        loss = self.run_ages.build_loss(worker, cause, self._list_active(), now)
         self._events.emit(
             "worker.dropped",
             worker=worker,
@@ -171,20 +180,24 @@
                 for key, order in self.orders.items()
                 if order.unanswered and key not in self.running
             )
-        self.history.add(loss)
+        self.loss_history.add(loss)
         self.beat = None
         self.listed = False
         self.lease = Lease(self._longest_lease_s)
         self.running, self.ends = {}, ()
-        self.figures, self.losses = FigureSampler(), LossWatch()
+        self.figures, self.run_ages = FigureSampler(), RunAgeTracker()
         self.orders, self.run_specs = {}, {}
-        self.noted = self._listing_ms = 0
+        self.acked_end = self._listing_ms = 0
 
     def apply_listing(self, listing: Listing, sent_at: float, now: float) -> bool:
-        """Take in what the runner lists; tell whether an end or order is news.
+        """Apply a listing of the runner; return whether it has news for the leader.
 
-        Listings on different connections may overtake each other; the runner's clock
-        tells which is newer.
+        News are the worker's first listing, a new end or a settled order. Listings on
+        different connections may overtake each other, so the runner's clock decides
+        which is newer.
+
+        :param sent_at: when the listing was requested, seconds of the boot clock.
+        :param now: when it arrived, seconds of the boot clock.
         """
         self.answered_at = now
         self.lease.sample(listing.clock_ms, now)
@@ -200,71 +213,72 @@
         news = not self.listed
         self.listed = True
         self._listing_ms = listing.clock_ms
-        listed = {(one.task, one.run): one for one in listing.running}
+        listed = {(task.task, task.run): task for task in listing.running}
         self.running = self.figures.sample(listed, self.run_specs, self.orders, now)
-        self.losses.note_answer(self._list_begun())
+        self.run_ages.record_listing(self._list_active())
         known = {end.number for end in self.ends}
-        self.ends = tuple(end for end in listing.ends if end.number > self.noted)
+        self.ends = tuple(end for end in listing.ends if end.number > self.acked_end)
         news |= any(end.number not in known for end in self.ends)
         return self._settle(sent_at) or news
 
     def apply_directive(self, directive: Directive, sent_at: float | None) -> bool:
-        """Take in the leader's word; False for a leader that was replaced.
+        """Apply a directive; return False if its leader has been replaced.
 
-        :param sent_at: when the report that it answers was sent, None if unknown.
+        :param sent_at: when the report that the directive answers was sent, seconds of
+            the boot clock, None if unknown.
         """
         authority = self.authority
         if directive.epoch < authority.epoch:
             return False
         authority.epoch = directive.epoch
-        authority.take_token(directive.token)
+        authority.set_token(directive.token)
         if sent_at is not None:
             until = sent_at + directive.grant_ms / 1000
             authority.granted_until = max(authority.granted_until, until)
             authority.set_start_limit(sent_at, directive.starts_ms)
         self._drop_reported(directive.beat)
-        self.history.note_answer(directive.beat)
+        self.loss_history.acknowledge(directive.beat)
         if self.worker and directive.worker == self.worker:
-            self.noted = max(self.noted, directive.ends_noted)
-            self.ends = tuple(end for end in self.ends if end.number > self.noted)
-        for one in directive.presses:
-            self.presses[one.filling, one.serving] = one.press_milli / 1000
-        while len(self.presses) > PRESSES_KEPT:
+            self.acked_end = max(self.acked_end, directive.ends_noted)
+            self.ends = tuple(end for end in self.ends if end.number > self.acked_end)
+        for pair in directive.presses:
+            self.presses[pair.filling, pair.serving] = pair.press_milli / 1000
+        while len(self.presses) > MAX_PRESSES:
             del self.presses[next(iter(self.presses))]
         for text in directive.texts:
             self._texts[text.job] = text.text
-        while len(self._texts) > TEXTS_KEPT:
+        while len(self._texts) > MAX_TEXTS:
             del self._texts[next(iter(self._texts))]
         return True
 
-    def forget_reports(self) -> None:
-        """Note that reports are numbered from one again, on a new link."""
+    def reset_reports(self) -> None:
+        """Forget which reports were sent; a new link numbers them from one again."""
         for order in self.orders.values():
             order.reported_in = 0
-        self.history.forget_reports()
+        self.loss_history.reset_reports()
 
     def find_text(self, task: str) -> str:
-        """Return the text of a task's job."""
+        """Return the text of a task's job, empty if it is unknown."""
         return self._texts.get(task.partition(".")[0], "")
 
     def build_report(self, beat: int) -> WorkerReport:
-        """Return the worker as it is now."""
+        """Return a report of the worker's present state."""
         known = self.beat
         for order in self.orders.values():
             settled = order.state is not OrderState.PENDING
-            # The leader leaves a report without a listing aside; an outcome that was
-            # dropped after one would leave its task waiting for ever.
+            # The leader ignores outcomes in a report without a listing. If they were
+            # dropped after such a report, their tasks would wait for ever.
             if settled and self.listed and not order.reported_in:
                 order.reported_in = beat
         now = read_boot_clock()
-        self.history.expire_unsettled(now)
-        unsettled = [Order(*key) for key in self.history.list_unsettled()]
+        self.loss_history.expire_unsettled(now)
+        unsettled = [Order(*key) for key in self.loss_history.list_unsettled()]
         capacity = known.capacity if known else None
         return WorkerReport(
             beat,
             self.authority.epoch,
             self.worker,
-            self.history.report(beat, now),
+            self.loss_history.report(beat, now),
             known.service if known else "",
             self.listed,
             self.draining,
@@ -278,8 +292,8 @@
             tuple(list_outcomes([*self.orders.values(), *unsettled])),
         )
 
-    def _list_begun(self) -> list[RunKey]:
-        """Return the runs that are at work, or may be by now."""
+    def _list_active(self) -> list[RunKey]:
+        """Return the runs that are listed as running, or may have started since."""
         pending = (
             key
             for key, order in self.orders.items()
@@ -290,7 +304,7 @@
         return [*self.running, *pending]
 
     def _settle(self, sent_at: float) -> bool:
-        """Set orders against a listing that was asked for at ``sent_at``."""
+        """Settle orders by a listing; return whether one of them became void."""
         ended = {(end.task, end.run) for end in self.ends}
         news = False
         for key, order in list(self.orders.items()):
@@ -311,6 +325,6 @@
 
 
 def _measure(order: RunOrder) -> Resources:
-    """Return what a run reserves; what fills reserves no processor."""
+    """Return the resources that a run reserves; a filling run reserves no processor."""
     cpu_milli = 0 if order.fills else order.cpu_milli
     return Resources(cpu_milli, order.memory_mib, order.accelerators)
--- a/pistachiodeal/jobagent/losses.py
+++ b/pistachiodeal/jobagent/losses.py
@@ -1,7 +1,7 @@
-"""How the runner ended, and which runs it took with it.
+"""Ends of incarnations of the runner, with the runs that were lost with them.
 
-Each leader hears of it until it has answered: one may end before it has written what
-that means, and its successor has to hear it, too.
+A loss is reported to each leader until it has answered: a leader may end before it has
+written the consequences, so its successor must receive the report too.
 """
 
 from __future__ import annotations
@@ -14,14 +14,16 @@
 from pistachiodeal.jobs.model import LossCause
 from pistachiodeal.wire.job_messages import LostRun, WorkerLoss
 
-# Of a run whose start this agent has not seen.
+# Age of a run that this agent has not started.
 UNKNOWN_AGE_MS = -1
-# Longer than the lead is vacant, or than most cuts last.
-KEPT_S = 20.0
-# A worker that ends again and again is back after some seconds each time.
-MOST_KEPT = 8
-# How long a run whose order had no answer waits for the runner's next start, which may
-# still be made to begin it. Longer, and its task is missed on a worker that stays away.
+# How long losses are reported: longer than there is no leader after a failure, and than
+# most network partitions last.
+RETENTION_S = 20.0
+# Bounds the report of a worker that crashes again and again, every few seconds.
+MAX_LOSSES = 8
+# How long a run whose start got no answer is kept unsettled for the runner's next
+# start, which may still receive the call and start it. A longer time would delay the
+# task when the runner doesn't return.
 UNSETTLED_S = 5.0
 
 
@@ -29,10 +31,11 @@
 class Loss:
     """The end of one incarnation.
 
-    :param at: its first silence, seconds of the boot clock.
-    :param reported_in: the first report on this link that tells of it, 0 before.
-    :param heard: whether the leader has answered that report.
-    :param unsettled: runs that the next incarnation may still be made to begin.
+    :param at: when its first call went unanswered, seconds of the boot clock.
+    :param reported_in: number of the first report on this link that holds the loss, 0
+        before.
+    :param acknowledged: whether the leader has answered that report.
+    :param unsettled: runs that may still be started at the next incarnation.
     """
 
     worker: str
@@ -40,34 +43,36 @@
     at: float
     runs: tuple[LostRun, ...]
     reported_in: int = 0
-    heard: bool = False
+    acknowledged: bool = False
     unsettled: frozenset[RunKey] = frozenset()
 
 
 @dataclass(slots=True)
 class LossHistory:
-    """Earlier incarnations of the worker that ended lately."""
+    """Recent losses of earlier incarnations of the worker."""
 
-    _losses: deque[Loss] = field(default_factory=lambda: deque(maxlen=MOST_KEPT))
+    _losses: deque[Loss] = field(default_factory=lambda: deque(maxlen=MAX_LOSSES))
 
     def add(self, loss: Loss) -> None:
-        """Note an end."""
+        """Add the loss of an incarnation."""
         self._losses.append(loss)
 
-    def take_back(self, worker: str) -> None:
-        """Note that an incarnation that was silent answers again."""
+    def discard(self, worker: str) -> None:
+        """Remove the losses of an incarnation that answers again after a silence."""
         kept = [loss for loss in self._losses if loss.worker != worker]
-        self._losses = deque(kept, MOST_KEPT)
+        self._losses = deque(kept, MAX_LOSSES)
 
-    def awaits_hearing(self, worker: str, now: float) -> bool:
-        """Tell whether the leader has yet to hear that an incarnation ended."""
+    def awaits_acknowledgement(self, worker: str, now: float) -> bool:
+        """Tell whether the leader has yet to acknowledge the end of an incarnation."""
         return any(
-            loss.worker == worker and not loss.heard and now - loss.at < KEPT_S
+            loss.worker == worker
+            and not loss.acknowledged
+            and now - loss.at < RETENTION_S
             for loss in self._losses
         )
 
-    def take_unsettled(self) -> set[RunKey]:
-        """Return the runs that a new incarnation has to settle, and forget them."""
+    def pop_unsettled(self) -> set[RunKey]:
+        """Remove and return the runs that a new incarnation has to settle."""
         keys: set[RunKey] = set()
         for loss in self._losses:
             keys |= loss.unsettled
@@ -75,70 +80,72 @@
         return keys
 
     def expire_unsettled(self, now: float) -> None:
-        """Forget the runs that have waited too long for a new incarnation."""
+        """Give up unsettled runs that have waited too long for a new incarnation."""
         for loss in self._losses:
             if loss.unsettled and now - loss.at >= UNSETTLED_S:
-                # The leader has to hear once more of what it has kept until now.
+                # Reported once more, as the leader has kept these runs until now.
                 loss.unsettled = frozenset()
-                loss.reported_in, loss.heard = 0, False
+                loss.reported_in, loss.acknowledged = 0, False
 
     def list_unsettled(self) -> set[RunKey]:
-        """Return the runs that the leader may not give up yet."""
+        """Return the runs that the leader must not give up yet."""
         return {key for loss in self._losses for key in loss.unsettled}
 
     def report(self, beat: int, now: float) -> tuple[WorkerLoss, ...]:
-        """Return what the leader has to hear of in a report."""
-        told = []
+        """Return the losses that belong into a report."""
+        reported = []
         for loss in self._losses:
-            if loss.heard or now - loss.at >= KEPT_S:
+            if loss.acknowledged or now - loss.at >= RETENTION_S:
                 continue
             loss.reported_in = loss.reported_in or beat
             ago_ms = round((now - loss.at) * 1000)
-            told.append(WorkerLoss(loss.worker, loss.cause.value, ago_ms, loss.runs))
-        return tuple(told)
+            reported.append(
+                WorkerLoss(loss.worker, loss.cause.value, ago_ms, loss.runs)
+            )
+        return tuple(reported)
 
-    def note_answer(self, beat: int) -> None:
-        """Note that the leader has answered a report."""
+    def acknowledge(self, beat: int) -> None:
+        """Record that the leader has answered a report."""
         for loss in self._losses:
-            loss.heard |= 0 < loss.reported_in <= beat
+            loss.acknowledged |= 0 < loss.reported_in <= beat
 
-    def forget_reports(self) -> None:
-        """Note that there is a new link, perhaps to another leader."""
+    def reset_reports(self) -> None:
+        """Report all losses again, on a new link that may be to another leader."""
         for loss in self._losses:
-            loss.reported_in, loss.heard = 0, False
+            loss.reported_in, loss.acknowledged = 0, False
 
 
-class LossWatch:
-    """Keeps the times that tell how old each run was when the runner fell silent."""
+class RunAgeTracker:
+    """Tracks how old each run was when the runner stopped answering."""
 
     def __init__(self) -> None:
         self._started: dict[RunKey, float] = {}
         self._silent_since = 0.0
 
-    def note_start(self, key: RunKey, now: float) -> None:
-        """Note that a start was sent.
+    def record_start(self, key: RunKey, now: float) -> None:
+        """Record that a start was sent.
 
-        :param now: seconds of the boot clock, as everywhere here.
+        :param now: seconds of the boot clock, as in all methods of this class.
         """
         self._started[key] = now
 
-    def note_answer(self, keys: Iterable[RunKey]) -> None:
-        """Note that the runner has listed what it has; other runs are of no interest.
+    def record_listing(self, keys: Iterable[RunKey]) -> None:
+        """Record that the runner has listed its runs, and forget all other runs.
 
-        :param keys: runs that are at work, or on their way to the runner.
+        :param keys: runs that are running, or whose start is in transit.
         """
         self._silent_since = 0.0
         known = self._started
         self._started = {key: known[key] for key in keys if key in known}
 
-    def note_silence(self, now: float) -> None:
-        """Note that a call was not answered."""
+    def record_unanswered_call(self, now: float) -> None:
+        """Record that a call was not answered."""
         self._silent_since = self._silent_since or now
 
     def build_loss(
         self, worker: str, cause: LossCause, keys: Iterable[RunKey], now: float
     ) -> Loss:
-        """Return the runner's end with its runs, the youngest first."""
+        """Return the loss of an incarnation with its runs, the youngest first."""
         end = self._silent_since or now
         lost = [LostRun(*key, self._measure_age_ms(key, end)) for key in keys]
         lost.sort(key=lambda run: (run.age_ms < 0, run.age_ms))
--- a/pistachiodeal/jobagent/orders.py
+++ b/pistachiodeal/jobagent/orders.py
@@ -1,4 +1,4 @@
-"""Orders of the leader that the runner's listing has not settled yet."""
+"""Orders of the leader that no listing of the runner has settled yet."""
 
 from __future__ import annotations
 
@@ -11,12 +11,13 @@
 
 @dataclass(slots=True)
 class Order:
-    """A run that was ordered, or has to be settled, and is not listed.
+    """The state of a run that was ordered, or has to be settled, and is not listed.
 
-    :param settled_at: when the runner answered the last call about it, boot clock; a
-        listing asked for later than that tells what became of it.
-    :param sent: whether the runner may have been asked to start it.
-    :param reported_in: the report that carried its outcome, 0 before.
+    :param settled_at: when the runner answered the last call about the run, seconds of
+        the boot clock; a listing requested after that shows the outcome.
+    :param sent: whether a call to start the run may have been sent.
+    :param started: whether the runner has confirmed the start.
+    :param reported_in: number of the report that carried the outcome, 0 before.
     """
 
     task: str
@@ -30,13 +31,13 @@
 
     @property
     def unanswered(self) -> bool:
-        """Tell whether the runner may have been asked, and has never answered."""
+        """Tell whether a call may have been sent and the runner has never answered."""
         pending = self.state is OrderState.PENDING
         return self.sent and pending and not self.settled_at
 
 
 def list_outcomes(orders: Iterable[Order]) -> list[OrderOutcome]:
-    """Return what the leader is told of orders."""
+    """Return the outcomes of orders, as reported to the leader."""
     return [
         OrderOutcome(order.task, order.run, order.state.value, order.detail)
         for order in orders
--- a/pistachiodeal/jobagent/paces.py
+++ b/pistachiodeal/jobagent/paces.py
@@ -1,4 +1,4 @@
-"""Keeps filling tasks at the pace that their serving neighbours bear."""
+"""Limits the pace of filling tasks to protect the serving tasks beside them."""
 
 from __future__ import annotations
 
@@ -21,7 +21,8 @@
 class PaceController:
     """Applies a pace to the filling tasks of each image.
 
-    :param interference_s: a serving task may be over its aim for this long.
+    :param interference_s: how long a serving task may exceed its latency objective,
+        seconds.
     """
 
     def __init__(
@@ -38,14 +39,14 @@
         self._tail_watch = TailWatch(ledger, events)
 
     async def apply(self, now: float) -> None:
-        """Decide by the newest figures, and tell the runner what has changed.
+        """Decide the paces by the newest figures, and send those that have changed.
 
-        :param now: when they were listed, seconds of the boot clock.
+        :param now: when the figures were listed, seconds of the boot clock.
         """
-        self._forget_contradicted(now)
+        self._reset_contradicted(now)
         before = self._pacer.paces
         paces = self._pacer.decide(
-            self._list_tails(), self._count_fills(), self._find_press, now
+            self._list_tails(), self._measure_loads(), self._find_press, now
         )
         changed = {
             image: percent
@@ -54,17 +55,17 @@
         }
         if changed:
             self._events.emit("pace.changed", paces=changed)
-        self._tail_watch.note(self._pacer, now)
+        self._tail_watch.update(self._pacer, now)
         for key, history in list(self._ledger.figures.histories.items()):
             percent = paces[self._ledger.run_specs[key].image]
             if history.newest != percent:
                 history.note(percent, now)
                 await curio.spawn(self._pace, key, percent, daemon=True)
 
-    def _forget_contradicted(self, now: float) -> None:
-        """Forget paces that the runner can't have, so that they are told again.
+    def _reset_contradicted(self, now: float) -> None:
+        """Reset paces that measured use contradicts, so that they are sent again.
 
-        A call that got no answer may be carried out late, after a newer one.
+        A call that got no answer may take effect late, after a newer one.
         """
         ledger = self._ledger
         for key, history in ledger.figures.histories.items():
@@ -98,7 +99,7 @@
                 )
         return tails
 
-    def _count_fills(self) -> dict[str, FillingLoad]:
+    def _measure_loads(self) -> dict[str, FillingLoad]:
         loads: dict[str, FillingLoad] = {}
         for key, history in self._ledger.figures.histories.items():
             described = self._ledger.run_specs[key]
@@ -121,5 +122,5 @@
             ledger.worker, ledger.authority.token, task, run, percent
         )
         if result is not CallResult.DONE:
-            # What the runner does now is unknown; the next round tells it again.
+            # The pace of the run is unknown now; the next round sends it again.
             ledger.figures.histories.pop(key, None)
--- a/pistachiodeal/jobagent/signals.py
+++ b/pistachiodeal/jobagent/signals.py
@@ -1,4 +1,4 @@
-"""Events by which the parts of an agent wake each other."""
+"""Events by which the tasks of an agent wake each other."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 @dataclass(frozen=True, slots=True)
 class AgentSignals:
-    """What wakes the parts of an agent.
+    """The events shared by the tasks of an agent.
 
-    :param look: a listing is wanted at once.
-    :param report: there is news for the leader.
-    :param noted: the leader has said which ends are durable.
-    :param fenced: the runner has seen a higher fencing token; a new one comes with a
-        new link to the leader.
+    :param refresh: a listing of the runner is needed at once.
+    :param report: there is news to report to the leader.
+    :param ends_acked: the leader has answered a report, which may acknowledge ends.
+    :param fenced: the runner has seen a higher fencing token; the agent gets a new
+        token over a new link to the leader.
     """
 
-    look: curio.Event = field(default_factory=curio.Event)
+    refresh: curio.Event = field(default_factory=curio.Event)
     report: curio.Event = field(default_factory=curio.Event)
-    noted: curio.Event = field(default_factory=curio.Event)
+    ends_acked: curio.Event = field(default_factory=curio.Event)
     fenced: curio.Event = field(default_factory=curio.Event)
--- a/pistachiodeal/jobs/record.py
+++ b/pistachiodeal/jobs/record.py
@@ -123,7 +123,7 @@
         return self.step.size.cpu_milli / 1000 * self.expected_s
 
     def note_took(self, took_s: float) -> None:
-        """Record the run time of a task; it serves to estimate the step's other tasks."""
+        """Record a task's run time, used to estimate the step's other tasks."""
         self.timed_tasks += 1
         self.total_time_s += took_s
 
--- a/tests/unit/test_jobagent_ledger.py
+++ b/tests/unit/test_jobagent_ledger.py
@@ -50,7 +50,7 @@
     ledger.adopt(build_beat("new"))
     end = EndedTask(1, "0123456789abcdef.0.0.0", 1, "done", "")
     ledger.apply_listing(Listing(CallResult.DONE, 100, (), (end,)), 1.0, 1.0)
-    assert ledger.noted == 0
+    assert ledger.acked_end == 0
     assert ledger.build_report(1).ends == (end,)
 
 
@@ -65,7 +65,7 @@
     assert ledger.apply_directive(build_directive("w", epoch=2), 5.0)
     granted = ledger.authority.granted_until
     assert not ledger.apply_directive(build_directive("w", epoch=1, noted=9), 50.0)
-    assert ledger.noted == 0
+    assert ledger.acked_end == 0
     assert ledger.authority.granted_until == granted
 
 
@@ -126,7 +126,7 @@
     ledger = create_ledger()
     ledger.adopt(build_beat("new"))
     ledger.apply_directive(build_directive("old", noted=40), 0.0)
-    assert ledger.noted == 0
+    assert ledger.acked_end == 0
 
 
 def test_a_listing_that_was_asked_for_before_the_stop_settles_nothing():
--- a/tests/unit/test_jobagent_losses.py
+++ b/tests/unit/test_jobagent_losses.py
@@ -6,7 +6,7 @@
 
 from pistachiodeal.jobagent import ledger as ledger_module
 from pistachiodeal.jobagent.ledger import AgentLedger
-from pistachiodeal.jobagent.losses import KEPT_S, MOST_KEPT, UNSETTLED_S
+from pistachiodeal.jobagent.losses import MAX_LOSSES, RETENTION_S, UNSETTLED_S
 from pistachiodeal.jobagent.orders import Order
 from pistachiodeal.jobs.model import LossCause, OrderState
 from pistachiodeal.jobs.runtime import CallResult, Listing
@@ -28,7 +28,7 @@
 def begin(ledger: AgentLedger, task: str, at: float) -> None:
     """Note that the start of a task's first run was sent."""
     ledger.orders[task, 1] = Order(task, 1, sent=True)
-    ledger.losses.note_start((task, 1), at)
+    ledger.run_ages.record_start((task, 1), at)
 
 
 def list_runs(ledger: AgentLedger, clock_ms: int, at: float, *tasks: str) -> None:
@@ -47,8 +47,8 @@
     begin(ledger, OTHER, 5.0)
     list_runs(ledger, 100, 6.0, OTHER)
     begin(ledger, TASK, 10.0)
-    ledger.losses.note_silence(10.008)
-    ledger.losses.note_silence(10.3)
+    ledger.run_ages.record_unanswered_call(10.008)
+    ledger.run_ages.record_unanswered_call(10.3)
     set_clock(monkeypatch, 10.4)
     ledger.drop_worker("nothing listens at its address")
     (loss,) = ledger.build_report(1).losses
@@ -111,19 +111,19 @@
         assert [loss.worker for loss in ledger.build_report(beat).losses] == ["w"]
     ledger.apply_directive(replace(build_directive("next"), beat=1), 10.0)
     assert ledger.build_report(3).losses == ()
-    ledger.forget_reports()
-    set_clock(monkeypatch, 9.9 + KEPT_S)
+    ledger.reset_reports()
+    set_clock(monkeypatch, 9.9 + RETENTION_S)
     assert [loss.worker for loss in ledger.build_report(1).losses] == ["w"]
-    set_clock(monkeypatch, 10.1 + KEPT_S)
+    set_clock(monkeypatch, 10.1 + RETENTION_S)
     assert ledger.build_report(2).losses == ()
 
 
 def test_a_worker_that_ends_again_and_again_fills_no_report():
     ledger = create_ledger()
-    for life in range(3 * MOST_KEPT):
+    for life in range(3 * MAX_LOSSES):
         ledger.adopt(build_beat(f"w{life}"))
         ledger.drop_worker("nothing listens at its address")
-    assert len(ledger.build_report(1).losses) == MOST_KEPT
+    assert len(ledger.build_report(1).losses) == MAX_LOSSES
 
 
 def drop_unanswered(monkeypatch, worker: str) -> AgentLedger:
--- a/tests/unit/test_jobagent_renewal.py
+++ b/tests/unit/test_jobagent_renewal.py
@@ -72,7 +72,7 @@
         stage = build_stage(Listing(CallResult.FENCED))
         renewing = await curio.spawn(stage.renewal._renew, 0)
         await curio.sleep(0)
-        stage.ledger.authority.starts += 1
+        stage.ledger.authority.token_increments += 1
         assert not await renewing.join()
         assert not stage.signals.fenced.is_set()
         assert not await stage.renewal._renew(0)
