--- a/pistachiodeal/jobagent/leader_link.py
+++ b/pistachiodeal/jobagent/leader_link.py
@@ -21,7 +21,8 @@
 log = Logger("leader_link")
 
 REPORT_S = 0.4
-# Delay that batches ends, which come in groups, into one report.
+# Delay that batches ends into one report: they come in groups, and a report for each
+# one would cost more than it is worth.
 REPORT_PAUSE_S = 0.015
 RETRY_S = 0.1
 # Least time between two reads of the leader's row, as all processes share the store.
@@ -29,9 +30,9 @@
 # For this long, a leader that has just stopped answering is tried last: the handshake
 # with it would take 0.8 s each time, and the other entries know its successor.
 UNREACHABLE_S = 1.0
-# A leader grants 11 s from its last confirmed read of its row, and reads it every 0.65
-# s. A shorter grant means that the store rejects its reads; another entry may lead by
-# now without its knowledge.
+# A leader reads its row every 0.65 s, and grants 11 s from the last confirmed read. A
+# grant below this means that the store rejects its reads; another entry may lead by now
+# without its knowledge.
 MIN_GRANT_MS = 8_500
 SUCCESSOR_POLL_S = 0.5
 
--- a/pistachiodeal/jobagent/ledger.py
+++ b/pistachiodeal/jobagent/ledger.py
@@ -44,7 +44,8 @@
     :ivar listed: whether the worker has listed its runs since its adoption.
     :ivar run_specs: specifications of runs, as the leader sent them.
     :ivar acked_end: number of the last end that the leader has acknowledged.
-    :ivar presses: slowdown of serving images by filling images, as the leader sent it.
+    :ivar presses: latency slack that one task of a filling image takes from tasks of a
+        serving image, by pair, as the leader sent it.
     """
 
     def __init__(self, events: EventLog, longest_lease_s: float = LEASE_S) -> None:
--- a/pistachiodeal/jobpath/__init__.py
+++ b/pistachiodeal/jobpath/__init__.py
@@ -1,1 +1,1 @@
-"""Where jobs spend their time, from the structured logs of entries and agents."""
+"""Analyses in the logs of entries and agents where jobs spend their time."""
--- a/pistachiodeal/jobpath/lines.py
+++ b/pistachiodeal/jobpath/lines.py
@@ -1,4 +1,4 @@
-"""Structured log lines, as entries and agents write them."""
+"""Parses the structured log lines of entries and agents."""
 
 from __future__ import annotations
 
@@ -11,9 +11,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """One event of one process.
+    """One event in the log of a process.
 
-    :param at: time of day, seconds.
+    :param at: time of day, seconds since 1970.
+    :param fields: all fields of the line.
     """
 
     at: float
@@ -23,16 +24,16 @@
 
 
 class LineReader:
-    """Reads lines, whatever a collector has put before them.
+    """Reads log lines, with or without a prefix added by a log collector.
 
-    :ivar skipped: lines that hold no event.
+    :ivar skipped: number of lines that hold no event.
     """
 
     def __init__(self) -> None:
         self.skipped = 0
 
     def read(self, texts: Iterable[str]) -> Iterator[LogLine]:
-        """Return the events of a log, in its order."""
+        """Yield the events of a log, in order."""
         for text in texts:
             line = parse_line(text)
             if line is None:
@@ -42,7 +43,7 @@
 
 
 def parse_line(text: str) -> LogLine | None:
-    """Return the event that a line holds, None if there is none."""
+    """Return the event in a line, None if there is none."""
     begin = text.find("{")
     if begin < 0:
         return None
--- a/pistachiodeal/jobpath/paces.py
+++ b/pistachiodeal/jobpath/paces.py
@@ -1,4 +1,4 @@
-"""Paces of filling work over time, as agents log them."""
+"""Paces of filling tasks over time, as agents log them."""
 
 from __future__ import annotations
 
@@ -9,20 +9,23 @@
 
 
 class PaceTimeline:
-    """The pace of each filling image on each node."""
+    """The pace of each filling image on each node over time."""
 
     def __init__(self) -> None:
         self._times: dict[tuple[str, str], list[float]] = {}
         self._percents: dict[tuple[str, str], list[int]] = {}
 
-    def note(self, node: str, paces: Mapping[str, int], at: float) -> None:
-        """Take in paces that an agent has changed."""
+    def record(self, node: str, paces: Mapping[str, int], at: float) -> None:
+        """Record paces that an agent has changed."""
         for image, percent in paces.items():
             self._times.setdefault((node, image), []).append(at)
             self._percents.setdefault((node, image), []).append(percent)
 
     def measure(self, node: str, image: str, begin: float, end: float) -> float | None:
-        """Return the seconds of full speed in a span, None if no pace is known."""
+        """Return the work done in a period, None if no pace is known.
+
+        :returns: the period's length at full speed, seconds.
+        """
         times = self._times.get((node, image))
         if not times or end <= begin:
             return None
--- a/pistachiodeal/jobpath/parts.py
+++ b/pistachiodeal/jobpath/parts.py
@@ -1,4 +1,4 @@
-"""The parts of a job's way from its acceptance until it is shown as ended."""
+"""Divides a job's time from its acceptance until its end is shown into parts."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 PACED = "held back by its pace"
 SHOWN = "shown after its end"
 OTHER = "not told by any line"
-# Times of one chain come from several processes, whose clocks differ a little.
-CLOCK_S = 0.05
+# Tolerated clock skew between the processes whose logs are combined.
+MAX_CLOCK_SKEW_S = 0.05
 
 
-def find_chain(job: JobTrace) -> list[TaskTrace]:
-    """Return the tasks that decided when a job ended, the first of them first.
+def find_critical_path(job: JobTrace) -> list[TaskTrace]:
+    """Return the tasks that determined when a job ended, in order of time.
 
-    Before each comes the one whose end made it ready. Logs don't name what a step
-    starts after; the last end before it was ready is as good.
+    The predecessor of a task is the one whose end made it ready. Logs don't name the
+    dependencies of a step, so the last task that ended before it was ready is taken.
     """
     ended = [task for task in job.tasks.values() if task.finished_at]
     if not ended:
@@ -36,7 +36,8 @@
         before = [
             task
             for task in ended
-            if task.step != chain[0].step and task.finished_at <= ready_at + CLOCK_S
+            if task.step != chain[0].step
+            and task.finished_at <= ready_at + MAX_CLOCK_SKEW_S
         ]
         before = [task for task in before if task.finished_at < chain[0].finished_at]
         if not before:
@@ -44,20 +45,20 @@
         chain.insert(0, max(before, key=lambda task: task.finished_at))
 
 
-def split_path(job: JobTrace, paces: PaceTimeline) -> Mapping[str, float]:
-    """Return the seconds of each part of a job's way."""
+def measure_parts(job: JobTrace, paces: PaceTimeline) -> Mapping[str, float]:
+    """Return the seconds that a job spent in each part."""
     parts: defaultdict[str, float] = defaultdict(float)
     if job.accepted_at and job.known_at:
         parts[HEARD] = max(0.0, job.known_at - job.accepted_at)
-    chain = find_chain(job)
+    chain = find_critical_path(job)
     for task in chain:
         for run in _order_runs(task):
-            _split_run(job, task, run, paces, parts)
+            _add_run(job, task, run, paces, parts)
     if chain:
         parts[SHOWN] = max(0.0, job.shown_at - chain[-1].finished_at)
-    told_s = sum(parts.values())
-    if job.age_s > told_s:
-        parts[OTHER] = job.age_s - told_s
+    accounted_s = sum(parts.values())
+    if job.age_s > accounted_s:
+        parts[OTHER] = job.age_s - accounted_s
     return parts
 
 
@@ -66,7 +67,7 @@
     return sorted(runs, key=lambda run: run.placed_at)
 
 
-def _split_run(
+def _add_run(
     job: JobTrace,
     task: TaskTrace,
     run: RunTrace,
--- a/pistachiodeal/jobpath/summary.py
+++ b/pistachiodeal/jobpath/summary.py
@@ -1,4 +1,4 @@
-"""How long each part of a job's way takes, by queue."""
+"""Summarises how long jobs spend in each part, by queue."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 from dataclasses import dataclass
 
 from pistachiodeal.jobpath.paces import PaceTimeline
-from pistachiodeal.jobpath.parts import split_path
+from pistachiodeal.jobpath.parts import measure_parts
 from pistachiodeal.jobpath.traces import JobTrace, Tracer
 
 
 @dataclass(frozen=True, slots=True)
 class PartSummary:
-    """One part of the way, over all jobs of a queue.
+    """The times of one part, over all jobs of a queue.
 
-    :param late_share: of the time that late jobs took, what went into this part.
+    :param late_share: share of this part in the total time of late jobs.
     """
 
     part: str
@@ -28,10 +28,10 @@
 
 @dataclass(frozen=True, slots=True)
 class QueueSummary:
-    """The jobs of one queue that have ended.
+    """The ended jobs of one queue.
 
-    :param late: how many failed or took longer than their objective.
-    :param parts: the part that took most of the time of late jobs first.
+    :param late: how many jobs failed or took longer than their objective.
+    :param parts: ordered by their share in the time of late jobs, the largest first.
     """
 
     queue: str
@@ -41,19 +41,19 @@
 
 
 def summarise(tracer: Tracer) -> list[QueueSummary]:
-    """Return a summary of each queue that has jobs which ended."""
+    """Return a summary of each queue that has ended jobs."""
     by_queue: dict[str, list[JobTrace]] = defaultdict(list)
     for job in tracer.jobs.values():
         if job.state:
             by_queue[job.queue].append(job)
     return [
-        _summarise_queue(queue, those, tracer.paces)
-        for queue, those in sorted(by_queue.items())
+        _summarise_queue(queue, jobs, tracer.paces)
+        for queue, jobs in sorted(by_queue.items())
     ]
 
 
 def pick_percentile(values: Sequence[float], share: float) -> float:
-    """Return the value that a share of the values is not above; 0.0 of none."""
+    """Return the smallest value that a share of the values doesn't exceed, or 0.0."""
     if not values:
         return 0.0
     ordered = sorted(values)
@@ -63,26 +63,26 @@
 def _summarise_queue(
     queue: str, jobs: list[JobTrace], paces: PaceTimeline
 ) -> QueueSummary:
-    paths = [split_path(job, paces) for job in jobs]
+    job_parts = [measure_parts(job, paces) for job in jobs]
     late: dict[str, float] = defaultdict(float)
-    for job, path in zip(jobs, paths, strict=True):
-        for part, seconds in path.items():
+    for job, times in zip(jobs, job_parts, strict=True):
+        for part, seconds in times.items():
             late[part] += seconds if job.late else 0.0
     whole = sum(late.values())
     parts = [
         PartSummary(
             part,
-            *_measure([path.get(part, 0.0) for path in paths]),
+            *_measure([times.get(part, 0.0) for times in job_parts]),
             late[part] / whole if whole else 0.0,
         )
-        for part in {part for path in paths for part in path}
+        for part in {part for times in job_parts for part in times}
     ]
     parts.sort(key=lambda one: (-one.late_share, -one.median_ms, one.part))
     return QueueSummary(queue, len(jobs), sum(job.late for job in jobs), tuple(parts))
 
 
 def _measure(seconds: list[float]) -> tuple[int, int, int]:
-    """Return median, 95th and 99th percentile in ms."""
+    """Return median, 95th and 99th percentile, milliseconds."""
     median, p95, p99 = (
         round(pick_percentile(seconds, share) * 1000) for share in (0.5, 0.95, 0.99)
     )
--- a/pistachiodeal/jobpath/traces.py
+++ b/pistachiodeal/jobpath/traces.py
@@ -1,4 +1,4 @@
-"""What the logs say of each job: its tasks, their runs, and what kept them waiting."""
+"""Builds a trace of each job from logs: its tasks, their runs and causes of waits."""
 
 from __future__ import annotations
 
@@ -15,17 +15,19 @@
 
 FINAL = (JobState.COMPLETED, JobState.FAILED)
 LOST = "lost with its worker"
-# Fields of ``step.waits`` that name the step and not an obstacle.
+# Fields of ``step.waits`` that identify the step; all others count obstacles.
 WAIT_NAMES = frozenset(("t", "p", "event", "job", "step"))
 
 
 @dataclass(slots=True)
 class RunTrace:
-    """One run of a task; times of day in seconds, 0 where no line tells.
+    """One run of a task; times of day in seconds, 0 if no line holds them.
 
-    :ivar waited_s: from when the task was ready to the decision.
-    :ivar written_s: from the decision until it was durable and the order left.
-    :ivar why: why it was stopped, empty if it wasn't.
+    :ivar waited_s: time from when the task was ready until the run was placed, seconds.
+    :ivar written_s: time from the placement until it was durable and the order was
+        sent, seconds.
+    :ivar how: how the run ended.
+    :ivar why: why the run was stopped, empty if it wasn't.
     """
 
     place: str = ""
@@ -40,12 +42,12 @@
 
     @property
     def node(self) -> str:
-        """Return the node that it was on."""
+        """Return the node where it ran."""
         return split_place(self.place)[0]
 
     @property
     def ready_at(self) -> float:
-        """Return when its task was ready for it."""
+        """Return when the task was ready for this run."""
         return self.placed_at - self.waited_s
 
 
@@ -66,7 +68,7 @@
 
     @property
     def ready_at(self) -> float:
-        """Return when it was ready for its first run."""
+        """Return when the task was ready for its first run."""
         return min(run.ready_at for run in self.runs.values())
 
 
@@ -74,10 +76,11 @@
 class JobTrace:
     """One job.
 
-    :ivar images: what the tasks of each step run.
-    :ivar waits: for each step, when it had to wait and what kept it off most workers.
-    :ivar age_s: time from its acceptance until it was shown in its last state.
-    :ivar objective_s: it is late beyond this age.
+    :ivar images: image of the tasks of each step.
+    :ivar waits: by step, the times at which it had to wait and the obstacle that
+        excluded the most workers.
+    :ivar age_s: time from its acceptance until its final state was shown, seconds.
+    :ivar objective_s: age beyond which the job is late, seconds.
     """
 
     queue: str = ""
@@ -97,61 +100,61 @@
         return self.state == JobState.FAILED or self.age_s > self.objective_s
 
     def find_wait(self, step: str, before: float) -> str:
-        """Return what a step had waited for last, empty if no line says."""
+        """Return the last cause of a step's wait before a time, empty if unknown."""
         causes = [cause for at, cause in self.waits.get(step, []) if at <= before]
         return causes[-1] if causes else ""
 
 
 class Tracer:
-    """Builds traces from log lines.
+    """Builds job traces from log lines.
 
-    :ivar jobs: by job.
-    :ivar unreadable: lines of a known event whose fields are missing or foreign.
+    :ivar jobs: the traces, by job id.
+    :ivar unreadable: number of lines of a known event with missing or invalid fields.
     """
 
     def __init__(self) -> None:
         self.jobs: dict[str, JobTrace] = {}
         self.paces = PaceTimeline()
         self.unreadable = 0
-        self._takers: dict[str, Callable[[LogLine], None]] = {
-            "job.accepted": self._take_accepted,
-            "job.known": self._take_known,
-            "job.shown": self._take_shown,
-            "step.waits": self._take_waits,
-            "run.place": self._take_place,
-            "run.order": self._take_order,
-            "run.started": self._take_started,
-            "run.end": self._take_end,
-            "run.lost": self._take_lost,
-            "run.refused": self._take_refused,
-            "run.unsent": self._take_refused,
-            "pace.changed": self._take_paces,
+        self._handlers: dict[str, Callable[[LogLine], None]] = {
+            "job.accepted": self._add_accepted,
+            "job.known": self._add_known,
+            "job.shown": self._add_shown,
+            "step.waits": self._add_waits,
+            "run.place": self._add_place,
+            "run.order": self._add_order,
+            "run.started": self._add_started,
+            "run.end": self._add_end,
+            "run.lost": self._add_lost,
+            "run.refused": self._add_refused,
+            "run.unsent": self._add_refused,
+            "pace.changed": self._add_paces,
         }
 
     def add_lines(self, lines: Iterable[LogLine]) -> None:
-        """Take in lines; those of one job are in the order of their times."""
+        """Add lines; the lines of one job must be in the order of their times."""
         for line in lines:
-            taker = self._takers.get(line.event)
-            if taker is None:
+            handler = self._handlers.get(line.event)
+            if handler is None:
                 continue
             try:
-                taker(line)
+                handler(line)
             except (KeyError, TypeError, ValueError, AttributeError):
                 self.unreadable += 1
 
-    def _take_accepted(self, line: LogLine) -> None:
+    def _add_accepted(self, line: LogLine) -> None:
         fields = line.fields
         job = self._find_job(fields["job"])
         job.queue, job.accepted_at = fields["queue"], line.at
         job.images = [str(image) for _, _, image in fields["steps"]]
 
-    def _take_known(self, line: LogLine) -> None:
+    def _add_known(self, line: LogLine) -> None:
         job = self._find_job(line.fields["job"])
         job.queue = line.fields["queue"]
-        # Each leader hears of a job; the first is the one that it waited for.
+        # Each leader logs a job when it reads it; the job waited for the first one.
         job.known_at = job.known_at or line.at
 
-    def _take_shown(self, line: LogLine) -> None:
+    def _add_shown(self, line: LogLine) -> None:
         fields = line.fields
         if fields["state"] not in FINAL:
             return
@@ -160,7 +163,7 @@
         job.age_s = fields["age_ms"] / 1000
         job.objective_s = fields["objective_ms"] / 1000
 
-    def _take_waits(self, line: LogLine) -> None:
+    def _add_waits(self, line: LogLine) -> None:
         counts = {
             name: int(count)
             for name, count in line.fields.items()
@@ -170,21 +173,21 @@
         job = self._find_job(line.fields["job"])
         job.waits.setdefault(line.fields["step"], []).append((line.at, cause))
 
-    def _take_place(self, line: LogLine) -> None:
+    def _add_place(self, line: LogLine) -> None:
         run = self._find_run(line.fields)
         run.place, run.placed_at = line.fields["place"], line.at
         run.waited_s = line.fields["waited_ms"] / 1000
 
-    def _take_order(self, line: LogLine) -> None:
+    def _add_order(self, line: LogLine) -> None:
         run = self._find_run(line.fields)
         run.ordered_at = line.at
         run.written_s = line.fields["waited_ms"] / 1000
 
-    def _take_started(self, line: LogLine) -> None:
+    def _add_started(self, line: LogLine) -> None:
         if line.fields["result"] == CallResult.DONE:
             self._find_run(line.fields).started_at = line.at
 
-    def _take_end(self, line: LogLine) -> None:
+    def _add_end(self, line: LogLine) -> None:
         run = self._find_run(line.fields)
         run.finished_at, run.how, run.why = (
             line.at,
@@ -192,17 +195,17 @@
             line.fields["why"],
         )
 
-    def _take_lost(self, line: LogLine) -> None:
+    def _add_lost(self, line: LogLine) -> None:
         run = self._find_run(line.fields)
         run.finished_at, run.how = line.at, LOST
 
-    def _take_refused(self, line: LogLine) -> None:
+    def _add_refused(self, line: LogLine) -> None:
         run = self._find_run(line.fields)
         run.finished_at, run.how = line.at, "refused"
         run.why = str(line.fields.get("detail", "its order was never sent"))
 
-    def _take_paces(self, line: LogLine) -> None:
-        self.paces.note(line.process, line.fields["paces"], line.at)
+    def _add_paces(self, line: LogLine) -> None:
+        self.paces.record(line.process, line.fields["paces"], line.at)
 
     def _find_job(self, job_id: str) -> JobTrace:
         return self.jobs.setdefault(job_id, JobTrace())
@@ -210,7 +213,7 @@
     def _find_run(self, fields: Any) -> RunTrace:
         name = parse_task_name(fields["task"])
         if name is None:
-            raise ValueError("the task's name is foreign")
+            raise ValueError("invalid task name")
         tasks = self._find_job(name.job_id).tasks
         step = f"{name.occurrence}.{name.step}"
         task = tasks.setdefault(fields["task"], TaskTrace(step))
