--- a/tests/unit/test_foreign_writers.py
+++ b/tests/unit/test_foreign_writers.py
@@ -1,4 +1,4 @@
-"""Rows and heartbeats of another writer: they name no worker, and the others hold."""
+"""Tests of rows and messages of other writers, which must not harm valid ones."""
 
 from __future__ import annotations
 
@@ -77,33 +77,33 @@
             yield from list_paths(value, (*path, number))
 
 
-def spoil(document, path, value):
+def replace_value(document, path, value):
     """Return a copy of a document with another value at a path."""
     if not path:
         return value
     copy = dict(document) if isinstance(document, dict) else list(document)
-    copy[path[0]] = spoil(document[path[0]], path[1:], value)
+    copy[path[0]] = replace_value(document[path[0]], path[1:], value)
     return copy
 
 
 @st.composite
-def spoilt(draw, document):
-    """Return a document's bytes with one value replaced, or no JSON at all."""
+def corrupt(draw, document):
+    """Return a document's bytes with one value replaced, or arbitrary bytes."""
     if draw(st.booleans()):
         return draw(st.binary(max_size=40))
     path = draw(st.sampled_from(sorted(list_paths(document), key=repr)))
-    return orjson.dumps(spoil(document, path, draw(JSON)))
+    return orjson.dumps(replace_value(document, path, draw(JSON)))
 
 
 def read_job_row(value: bytes) -> None:
-    """Take a row in as the leader does."""
+    """Read a job row as the leader does."""
     job = decode_job(build_job(1).job_id, value)
     record = build_record(job)
     record.open_due(0.0)
 
 
 def read_progress_row(value: bytes) -> None:
-    """Take a progress row in as a new leader does, and write it again."""
+    """Read a progress row as a new leader does, and write it again."""
     record = build_record(build_job(1))
     apply_progress(record, value, 1)
     encode_progress(record)
@@ -112,7 +112,7 @@
 
 
 def build_progress() -> dict:
-    """Return the progress of a job with one run at work."""
+    """Return the progress of a job with one running task."""
     record = build_record(build_job(1))
     record.open_due(0.0)
     task = next(record.iterate_tasks())
@@ -121,7 +121,7 @@
 
 
 def read_listing(value: bytes) -> None:
-    """Take an answer of a runner in as the adapter does."""
+    """Decode an answer of a runner as the adapter does."""
     with suppress(orjson.JSONDecodeError):
         document = orjson.loads(value)
         if isinstance(document, dict):
@@ -142,27 +142,27 @@
 @pytest.mark.parametrize("document, read", READERS)
 @settings(deadline=None)
 @given(data=st.data())
-def test_a_reader_takes_what_makes_sense_or_says_that_it_cannot(document, read, data):
-    """Symptom: a leader ends in a round of decisions, and its successor ends too.
+def test_a_reader_accepts_a_document_or_raises_a_protocol_error(document, read, data):
+    """Guards against a row that makes each leader fail in a scheduling round.
 
-    Sequence: another writer leaves a row whose fields have other types; it is decoded
-    without a word, and fails where it is used. Cause: data classes check no types.
+    Another writer leaves a row whose fields have other types. Data classes check no
+    types, so it would be decoded without an error and fail where it is used.
     """
-    value = data.draw(spoilt(document))
+    value = data.draw(corrupt(document))
     with suppress(ProtocolError):
         read(value)
 
 
 @pytest.mark.parametrize("document, read", READERS)
-def test_the_unspoilt_document_is_read(document, read):
+def test_the_intact_document_is_read(document, read):
     read(orjson.dumps(document))
 
 
 def test_a_row_of_another_writer_hides_no_other():
-    """Symptom: no job is known after a foreign row came.
+    """Guards against jobs that are unknown after a foreign row.
 
-    Sequence: a page of the feed holds a row that can't be read before one that can.
-    Cause: an error that ended the reading of the page.
+    A page of the feed holds an unreadable row before a valid one, and the error ends
+    the reading of the page.
     """
     book = JobBook(create_quiet_log())
     feed = JobFeed(None, book, create_quiet_log(), lambda job: None, None)
@@ -180,16 +180,16 @@
     assert list(book.records) == [job.job_id]
 
 
-def test_a_row_under_another_jobs_key_is_no_job():
+def test_a_row_under_the_key_of_another_job_is_refused():
     with pytest.raises(ProtocolError):
         decode_job(build_job(1).job_id, encode_job(build_job(2)))
 
 
-def test_a_spoilt_leaders_row_can_be_taken_over():
-    """Symptom: nobody leads for ever.
+def test_a_corrupt_leader_row_can_be_replaced():
+    """Guards against a system without a leader for ever.
 
-    Sequence: another writer puts bytes into the leader's row. Cause to guard against:
-    reading it ends the election, each time.
+    Another writer puts arbitrary bytes into the leader's row, and each election fails
+    when it reads them.
     """
     state = RowsState()
     write = RowWrite(CONTROL_TABLE, LEADER_KEY, b"\xff")
@@ -213,7 +213,7 @@
     assert [authority.epoch for authority in taken] == [1]
 
 
-def test_a_value_that_is_no_base64_is_an_empty_row():
+def test_a_value_that_is_not_base64_is_an_empty_row():
     row = _decode_row({"key": "k", "value": "a", "schema_version": 3})
     assert row == StoredRow("k", b"", 3)
     with pytest.raises(ProtocolError):
@@ -229,10 +229,10 @@
 
 
 def test_a_heartbeat_of_another_writer_does_not_hide_the_worker():
-    """Symptom: a worker gets no task for one heartbeat's time and more.
+    """Guards against a worker that gets no task until its next heartbeat or longer.
 
-    Sequence: a heartbeat with the worker's id names another service. Cause: it was
-    taken for the worker's own, and no queue sends work to that service.
+    A heartbeat with the worker's id names another service. Accepted as the worker's
+    own, it would hide the worker, as no queue sends tasks to that service.
     """
     ledger = AgentLedger(create_quiet_log())
     ledger.adopt(build_beat(1, "desk"))
@@ -242,7 +242,7 @@
     assert ledger.build_report(2).service == "desk"
 
 
-def test_a_foreign_heartbeat_that_came_first_is_put_right():
+def test_a_foreign_heartbeat_that_came_first_is_corrected():
     ledger = AgentLedger(create_quiet_log())
     ledger.adopt(build_beat(1, "elsewhere"))
     ledger.update(build_beat(2, "desk"))
@@ -250,15 +250,15 @@
     assert ledger.build_report(1).service == "desk"
 
 
-def test_a_job_that_was_accepted_is_read_back_as_it_was():
+def test_an_accepted_job_is_read_back_unchanged():
     job = build_job(1)
     check_job(job)
     assert decode_job(job.job_id, encode_job(job)) == job
 
 
 @pytest.mark.parametrize("born", [None, "1783446900684", 1.5, True, -1])
-def test_a_start_that_is_no_whole_number_is_refused(born):
-    """A message that doesn't say which start of a runner it is from counts for none."""
+def test_a_start_that_is_not_a_whole_number_is_refused(born):
+    """A message that names no valid start of a runner is not attributed to any."""
     beat = orjson.dumps({**BEAT, "born": born})
     with pytest.raises(ProtocolError, match="no whole number"):
         decode_beat(BEAT_PATH + "i-1", beat)
@@ -269,8 +269,8 @@
     assert "no whole number" in listing.detail
 
 
-def test_a_runner_that_tells_no_start_goes_by_its_id():
-    """A platform that gives each start an id of its own loses all its workers."""
+def test_a_runner_that_names_no_start_is_identified_by_its_id():
+    """Guards against losing all workers of a platform with an id for each start."""
     beat, listed = (
         {key: value for key, value in document.items() if key != "born"}
         for document in (BEAT, LISTING)
@@ -281,8 +281,8 @@
     assert decode_goodbye(LEAVE_PATH + "i-1", b"").worker == worker
 
 
-def test_a_listing_without_its_start_is_of_no_start_that_is_known():
-    """One listing of another writer ends a worker and all that runs there."""
+def test_a_listing_without_a_start_is_unreadable():
+    """Guards against a foreign listing that drops a worker and all its runs."""
     listed = {key: value for key, value in LISTING.items() if key != "born"}
     listing = decode_listing("i-1@1783446900684", listed)
     assert listing.result is CallResult.UNREADABLE
@@ -292,7 +292,7 @@
 
 @pytest.mark.parametrize("fields", [[-1, "", 0, 0, ""], [1, "node/w1", 0, -2, ""]])
 def test_a_progress_row_with_a_negative_count_is_refused(fields):
-    """Guards against a task that a foreign row gives more attempts than it has."""
+    """Guards against a foreign row that gives a task more attempts than it has."""
     document = {**build_progress(), "tasks": {"0.0.0": fields}}
     with pytest.raises(ProtocolError):
         read_progress_row(orjson.dumps(document))
--- a/tests/unit/test_job_path.py
+++ b/tests/unit/test_job_path.py
@@ -1,4 +1,4 @@
-"""Where jobs spent their time, told from logs."""
+"""Tests of the analysis of where jobs spent their time."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from pistachiodeal import exit_codes
 from pistachiodeal.commands.cli import main
 from pistachiodeal.jobpath.lines import LineReader
-from pistachiodeal.jobpath.parts import find_chain, split_path
+from pistachiodeal.jobpath.parts import find_critical_path, measure_parts
 from pistachiodeal.jobpath.traces import Tracer
 
 JOB = "0000000000000001"
@@ -25,7 +25,7 @@
 def write_run(
     task: str, run: int, placed_at: float, ended_at: float, **fields
 ) -> list[str]:
-    """Return the lines of a run that waited for half a second."""
+    """Return the log lines of a run that waited for half a second."""
     named = {"task": task, "run": run, "place": f"{NODE}/w"}
     end = {"how": "done", "why": "", **fields}
     return [
@@ -37,7 +37,7 @@
 
 
 def write_day(*, objective_ms: int = 5_000) -> list[str]:
-    """Return the log of a job of two steps whose second one was held back."""
+    """Return the log of a job with two steps, the second one slowed by its pace."""
     steps = [(2, 1_000, "a"), (1, 1_000, "b")]
     return [
         "a line of another kind\n",
@@ -67,15 +67,15 @@
     return tracer
 
 
-def test_the_chain_is_of_the_tasks_that_the_end_waited_for():
+def test_the_critical_path_holds_the_tasks_that_determined_the_end():
     job = trace(write_day()).jobs[JOB]
-    assert find_chain(job) == [job.tasks[OTHER], job.tasks[LAST]]
+    assert find_critical_path(job) == [job.tasks[OTHER], job.tasks[LAST]]
 
 
 def test_the_parts_of_a_path_add_up_to_the_jobs_age():
     tracer = trace(write_day())
     job = tracer.jobs[JOB]
-    parts = split_path(job, tracer.paces)
+    parts = measure_parts(job, tracer.paces)
     assert sum(parts.values()) == pytest.approx(job.age_s)
     assert parts["heard by the leader"] == 0.5
     assert parts["waits: neighbours"] == 1.0
@@ -85,16 +85,16 @@
     assert parts["shown after its end"] == 0.25
 
 
-def test_a_job_without_agents_lines_is_told_all_the_same():
-    """Guards against a path that ends in an error where a log is not at hand."""
+def test_a_job_without_lines_of_agents_is_analysed():
+    """Guards against an error when the log of an agent is missing."""
     tracer = trace([line for line in write_day() if NODE not in line.split()[1]])
-    parts = split_path(tracer.jobs[JOB], tracer.paces)
+    parts = measure_parts(tracer.jobs[JOB], tracer.paces)
     assert sum(parts.values()) == pytest.approx(10.25)
     assert "held back by its pace" not in parts
 
 
-def test_foreign_lines_are_counted_and_left_aside():
-    """Guards against a log of another program that ends the command."""
+def test_foreign_lines_are_counted_and_ignored():
+    """Guards against a command that fails on the log of another program."""
     reader, tracer = LineReader(), Tracer()
     lines = [
         "{no json\n",
@@ -132,7 +132,7 @@
     assert {part["late_share"] for part in queue["parts"]} == {0.0}
 
 
-def test_logs_without_a_job_and_files_that_are_not_there_are_told(tmp_path, capsys):
+def test_logs_without_a_job_and_missing_files_are_reported(tmp_path, capsys):
     log = tmp_path / "empty.log"
     log.write_text("nothing\n")
     assert main(["job", "path", str(log)]) == exit_codes.NOT_FOUND
--- a/tests/unit/test_jobagent_executor.py
+++ b/tests/unit/test_jobagent_executor.py
@@ -1,4 +1,4 @@
-"""Orders at the runner: what an agent carries out, and what it refuses."""
+"""Tests of the executor: which orders an agent carries out and which it refuses."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclass
 class FakeRuntime:
-    """A runner that answers as it is told, and notes what it was asked."""
+    """A runner that gives a set answer and records the calls."""
 
     result: CallResult = CallResult.DONE
     starts: list[StartCall] = field(default_factory=list)
@@ -41,19 +41,19 @@
 
 @dataclass
 class Stage:
-    """An agent whose worker ``w`` is known and whose leader has granted it time."""
+    """An agent that has adopted worker ``w`` and holds a grant of its leader."""
 
     ledger: AgentLedger
     runtime: FakeRuntime
     executor: Executor
 
     async def order(self, *, worker: str = "w", run: int = 1) -> None:
-        """Take a directive with one start, and let it be carried out."""
+        """Execute a directive with one start, and wait until it has taken effect."""
         start = RunOrder(TASK, run, "", "", False, 0)
         await self._take((start,), (), worker)
 
     async def stop(self, run: int = 1) -> None:
-        """Take a directive with one stop."""
+        """Execute a directive with one stop."""
         await self._take((), (RunRef(TASK, run),), "w")
 
     async def _take(
@@ -76,10 +76,10 @@
 
 
 def test_an_order_for_another_incarnation_is_not_carried_out():
-    """Symptom: a run begins on a worker that the leader did not choose.
+    """Guards against a run that starts on a worker that the leader did not choose.
 
-    Sequence: the worker is reborn between the decision and the order. Cause: only the
-    address was compared.
+    The worker restarts between the decision and the order, and only its address is
+    compared.
     """
 
     async def main() -> None:
@@ -92,8 +92,9 @@
 
 
 def test_an_order_that_comes_twice_is_carried_out_once():
-    """Symptom: a start is repeated after its run has ended. Sequence: a new leader
-    sends an order again. Cause: each copy was taken for a new one.
+    """Guards against a start that is repeated after its run has ended.
+
+    A new leader sends an order again, and each copy is taken for a new order.
     """
 
     async def main() -> None:
@@ -106,8 +107,10 @@
 
 
 def test_a_draining_worker_starts_nothing():
-    """Symptom: a task ends with its worker. Sequence: the runner says that it drains;
-    an order of before arrives. Cause: the leader alone looked.
+    """Guards against a task that is started on a worker about to end.
+
+    An order sent before the runner reported that it drains arrives after that, and only
+    the leader checks for draining.
     """
 
     async def main() -> None:
@@ -121,10 +124,11 @@
     curio.run(main)
 
 
-def test_nothing_starts_once_the_grant_has_run_out():
-    """Symptom: a task runs twice. Sequence: an agent stands still past its grant with
-    an order in hand, and goes on; the tasks were placed elsewhere meanwhile. Cause: the
-    grant was looked at when the order came.
+def test_nothing_starts_after_the_grant_has_expired():
+    """Guards against a task that runs twice.
+
+    An agent is suspended with a pending order until its grant has expired, and the task
+    is placed elsewhere. The grant is checked only when the order arrives.
     """
 
     async def main() -> None:
@@ -140,10 +144,10 @@
 
 
 def test_an_order_does_not_outlive_its_incarnation():
-    """Symptom: a reborn worker starts what its last incarnation was told to.
+    """Guards against a restarted worker that starts runs of its last incarnation.
 
-    Sequence: an order is taken; before it is carried out the worker is reborn. Cause:
-    the incarnation was compared only when the order came.
+    The worker restarts after an order has arrived and before it is carried out, and the
+    incarnation is compared only on arrival.
     """
 
     async def main() -> None:
@@ -151,8 +155,8 @@
             start = RunOrder(TASK, 1, "", "", False, 0)
             directive = Directive(1, 1, 10_000, 7, "w", 0, (), (start,), (), ())
             await stage.executor.carry_out(directive)
-            reborn = replace(build_beat("w"), worker="reborn")
-            stage.ledger.beat = reborn
+            restarted = replace(build_beat("w"), worker="restarted")
+            stage.ledger.beat = restarted
             await curio.sleep(SETTLE_S)
             assert stage.runtime.starts == []
 
@@ -160,8 +164,9 @@
 
 
 def test_a_stop_is_repeated_until_the_runner_answers():
-    """Symptom: a run that was given up goes on. Sequence: the stop is refused for a
-    moment. Cause: it was sent once.
+    """Guards against a run that continues after the leader has given it up.
+
+    The runner refuses the stop for a moment, and the stop is sent only once.
     """
 
     async def main() -> None:
@@ -177,15 +182,17 @@
 
 
 def test_a_stop_ends_with_the_incarnation_that_it_is_for():
-    """Symptom: a reborn worker's run of the same number is stopped. Sequence: a stop
-    finds no answer; the worker is reborn. Cause: the stop went on for the address.
+    """Guards against a stop that ends a run of the next incarnation.
+
+    The worker restarts while a stop gets no answer, and the stop is repeated for the
+    same address.
     """
 
     async def main() -> None:
         async with build_stage() as stage:
             stage.runtime.result = CallResult.UNKNOWN
             await stage.stop()
-            stage.ledger.adopt(build_beat("reborn"))
+            stage.ledger.adopt(build_beat("restarted"))
             asked = len(stage.runtime.stops)
             await curio.sleep(3 * RETRY_S)
             assert len(stage.runtime.stops) == asked
--- a/tests/unit/test_jobagent_figures.py
+++ b/tests/unit/test_jobagent_figures.py
@@ -1,4 +1,4 @@
-"""Work of filling tasks, as an agent makes it out of listings."""
+"""Tests of the work of filling tasks, as an agent computes it from listings."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def sample_first(order: Order | None) -> int:
-    """Return the work of a run listed first at 10.5, after a listing at 10.0."""
+    """Return the work of a run first listed at 10.5 s, after a listing at 10.0 s."""
     sampler = FigureSampler()
     described = {KEY: RunOrder(*KEY, "", "", True, 0, "filling", 2_000)}
     ordered = {} if order is None else {KEY: order}
@@ -23,10 +23,10 @@
 
 @pytest.mark.parametrize(("settled_at", "worked"), [(10.0, 1_000), (10.25, 500)])
 def test_work_that_began_between_two_listings_counts(settled_at: float, worked: int):
-    """Guards against neighbours that are blamed for what new work does."""
+    """Guards against blaming a run's neighbours for the slowdown that it causes."""
     order = Order(*KEY, settled_at=settled_at, sent=True, started=True)
     assert sample_first(order) == worked
 
 
-def test_work_of_an_earlier_agent_counts_from_its_first_listing():
+def test_work_of_a_run_started_by_an_earlier_agent_counts_from_its_first_listing():
     assert sample_first(None) == 0
--- a/tests/unit/test_jobagent_heartbeats.py
+++ b/tests/unit/test_jobagent_heartbeats.py
@@ -1,4 +1,4 @@
-"""Which start of a runner an agent takes up, and how soon."""
+"""Tests of the adoption of incarnations on heartbeats."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass
 class FakeRenewal:
-    """Answers as one incarnation does, after some calls without an answer."""
+    """Answers for one incarnation, after a number of unanswered calls."""
 
     worker: str
     unanswered: int = 0
@@ -37,7 +37,7 @@
 
 
 def build_stage(renewal: FakeRenewal) -> tuple[Heartbeats, AgentLedger]:
-    """Return an agent that knows the start ``w@1``."""
+    """Return an agent that has adopted the incarnation ``w@1``."""
     events = create_quiet_log()
     ledger = AgentLedger(events)
     ledger.adopt(build_beat("w@1"))
@@ -52,7 +52,7 @@
 
 
 def test_a_start_that_listens_after_its_first_heartbeat_is_adopted_soon():
-    """Nothing runs on a worker that is back until its second heartbeat."""
+    """Guards against a restarted worker that stays idle until its second heartbeat."""
 
     async def main():
         renewal = FakeRenewal("w@2", unanswered=2)
@@ -63,8 +63,8 @@
     curio.run(main)
 
 
-def test_a_heartbeat_that_comes_while_another_is_looked_into_counts():
-    """The second of two quick restarts waits for its second heartbeat."""
+def test_a_heartbeat_that_arrives_while_another_is_verified_counts():
+    """Guards against a second quick restart that waits for its second heartbeat."""
 
     async def main():
         heartbeats, ledger = build_stage(FakeRenewal("w@3"))
@@ -77,8 +77,8 @@
     curio.run(main)
 
 
-def test_a_sender_that_never_answers_is_asked_only_a_few_times():
-    """An agent asks on for a runner that is gone, once for each heartbeat held up."""
+def test_a_sender_that_never_answers_is_called_only_a_few_times():
+    """Guards against endless calls to an ended runner after a delayed heartbeat."""
 
     async def main():
         renewal = FakeRenewal("w@1", unanswered=1_000)
@@ -91,8 +91,8 @@
     curio.run(main)
 
 
-def test_a_start_adopted_meanwhile_outlasts_an_older_look():
-    """The look at an earlier heartbeat ends the start that has been adopted since."""
+def test_a_start_adopted_meanwhile_is_not_replaced_by_an_older_verification():
+    """Guards against an earlier heartbeat that drops the incarnation adopted since."""
 
     async def main():
         renewal = FakeRenewal("w@2")
@@ -107,8 +107,8 @@
     curio.run(main)
 
 
-def test_a_worker_that_was_silent_is_adopted_without_its_leader():
-    """A worker that answers again stands idle until the leader has heard of its end."""
+def test_a_worker_that_was_silent_is_adopted_without_the_leader():
+    """Guards against a worker that answers again and idles until the leader knows."""
 
     async def main():
         heartbeats, ledger = build_stage(FakeRenewal("w@1"))
@@ -119,8 +119,8 @@
     curio.run(main)
 
 
-def test_a_name_whose_end_the_leader_has_not_heard_of_waits():
-    """The leader takes a runner that is back for one that was never gone."""
+def test_a_name_whose_end_the_leader_has_not_acknowledged_waits():
+    """Guards against a restarted runner that the leader takes for the earlier one."""
 
     async def main():
         renewal = FakeRenewal("w")
--- a/tests/unit/test_jobagent_ledger.py
+++ b/tests/unit/test_jobagent_ledger.py
@@ -1,4 +1,4 @@
-"""The agent's ledger: which worker it speaks of, and what it may acknowledge."""
+"""Tests of the agent's ledger: its worker, and what it may acknowledge."""
 
 from __future__ import annotations
 
@@ -34,14 +34,12 @@
 
 
 def test_an_end_is_not_acknowledged_by_the_number_of_an_earlier_incarnation():
-    """A task that had ended as done was started again.
-
-    Symptom: the first ends of a reborn worker never reached the leader; their tasks
-    were taken for stalled and started elsewhere.
-    Sequence: the worker is lost; a directive that was on its way names no worker and
-    the ends noted of the old one; a new incarnation is adopted and its run ends.
-    Cause: "no worker" was equal to "no worker", so the old number was taken over and
-    acknowledged the new incarnation's ends unseen.
+    """Guards against a completed task that is started again.
+
+    The worker is lost, and a directive in transit names no worker and the number of the
+    old one's last end. Since the agent has no worker either, the number is applied. It
+    acknowledges the first ends of the next incarnation, which never reach the leader;
+    their tasks count as stalled.
     """
     ledger = create_ledger()
     ledger.adopt(build_beat("old"))
@@ -55,10 +53,10 @@
 
 
 def test_a_directive_of_a_replaced_leader_changes_nothing():
-    """A replaced leader's orders were obeyed.
+    """Guards against two leaders that give orders to one worker.
 
-    Symptom: two leaders order one worker. Sequence: the agent follows epoch 2, then a
-    directive of epoch 1 arrives late. Cause: the epoch was not compared.
+    The agent follows epoch 2, then a directive of epoch 1 arrives late, and the epoch
+    is not compared.
     """
     ledger = create_ledger()
     ledger.adopt(build_beat("w"))
@@ -70,10 +68,10 @@
 
 
 def test_a_heartbeat_that_was_overtaken_changes_nothing():
-    """A draining worker was taken for one that stays.
+    """Guards against tasks that start on a draining worker.
 
-    Symptom: tasks start on a worker that leaves. Sequence: the heartbeat that says
-    draining overtakes an earlier one. Cause: the sequence was not compared.
+    The heartbeat that reports draining overtakes an earlier one, and the sequence
+    number is not compared.
     """
     ledger = create_ledger()
     ledger.adopt(build_beat("w", sequence=1))
@@ -82,11 +80,11 @@
     assert ledger.draining
 
 
-def test_an_older_listing_that_comes_late_is_left():
-    """An end vanished from the reports until the next listing.
+def test_an_older_listing_that_arrives_late_is_ignored():
+    """Guards against an end that is missing from reports until the next listing.
 
-    Sequence: a long poll and a look are on two connections; the older answer comes
-    last. Cause: listings were taken in the order of their arrival.
+    A long poll and a poll on demand use two connections, the older answer arrives last,
+    and listings are applied in the order of arrival.
     """
     ledger = create_ledger()
     ledger.adopt(build_beat("w"))
@@ -97,13 +95,11 @@
 
 
 def test_an_outcome_is_kept_until_a_report_with_a_listing_carries_it():
-    """A task was never started again after its order had been refused.
+    """Guards against a job that stays active for ever.
 
-    Symptom: a job stays active for ever; its order was sent and nothing was heard.
-    Sequence: a restarted agent attaches and gets an order before it has heard its
-    runner; it refuses; the refusal goes out in a report without a listing, which the
-    leader leaves aside; the answer to that report drops the refusal. Cause: the
-    outcome counted as told.
+    A restarted agent gets an order before its runner has answered, and refuses it. The
+    refusal goes out in a report without a listing, which the leader ignores. If the
+    answer to that report drops the refusal, the task is never started again.
     """
     ledger = create_ledger()
     ledger.adopt(build_beat("w"))
@@ -112,16 +108,16 @@
     ledger.build_report(1)
     ledger.apply_directive(replace(build_directive("w"), beat=1), 0.0)
     ledger.apply_listing(Listing(CallResult.DONE, 100), 1.0, 1.0)
-    assert [one.task for one in ledger.build_report(2).outcomes] == [task]
+    assert [outcome.task for outcome in ledger.build_report(2).outcomes] == [task]
     ledger.apply_directive(replace(build_directive("w"), beat=2), 0.0)
     assert ledger.build_report(3).outcomes == ()
 
 
 def test_a_directive_for_another_incarnation_acknowledges_nothing():
-    """Symptom: ends that nobody has seen are acknowledged, and their tasks run again.
+    """Guards against ends that are acknowledged unseen, so that their tasks run again.
 
-    Sequence: the worker is reborn; a directive for its last incarnation arrives late,
-    with that one's number. Cause: numbers count from one in each incarnation.
+    The worker restarts, and a directive for its last incarnation arrives late, with
+    that one's number. Each incarnation numbers its ends from one.
     """
     ledger = create_ledger()
     ledger.adopt(build_beat("new"))
@@ -129,12 +125,12 @@
     assert ledger.acked_end == 0
 
 
-def test_a_listing_that_was_asked_for_before_the_stop_settles_nothing():
-    """Symptom: a task runs twice.
+def test_a_listing_requested_before_the_stop_settles_nothing():
+    """Guards against a task that runs twice.
 
-    Sequence: a start gets no answer; a listing is asked for, which doesn't show it; the
-    start is carried out; a stop is answered. Cause: the listing of before the stop was
-    taken as a proof that the run isn't there, while the stop has yet to end it.
+    A start gets no answer, and a listing requested then doesn't show the run. The start
+    takes effect afterwards, and a stop is answered. The listing from before the stop
+    doesn't prove that the run isn't there, as the stop has yet to end it.
     """
     ledger = create_ledger()
     ledger.adopt(build_beat("w"))
@@ -147,8 +143,9 @@
 
 
 def test_an_outcome_is_kept_until_its_own_report_is_answered():
-    """Symptom: a job stays active for ever. Sequence: an outcome leaves in the third
-    report; the answer to the second one arrives. Cause: any answer counted.
+    """Guards against a job that stays active for ever.
+
+    An outcome is sent in the third report, and the answer to the second one drops it.
     """
     ledger = create_ledger()
     ledger.adopt(build_beat("w"))
@@ -163,8 +160,10 @@
 
 
 def test_a_lease_never_outlives_the_grant():
-    """Symptom: a task runs twice. Sequence: the leader's grant ends in a second; the
-    agent renews for eight. Cause: the successor waits for the grant alone.
+    """Guards against a task that runs twice.
+
+    The leader's grant ends in a second, and the agent renews the lease for eight. The
+    next leader waits only for the end of the grant.
     """
     lease = Lease()
     lease.sample(1_000, 10.0)
--- a/tests/unit/test_jobagent_losses.py
+++ b/tests/unit/test_jobagent_losses.py
@@ -1,4 +1,4 @@
-"""What an agent tells of a worker that has ended."""
+"""Tests of what an agent reports about a worker that has ended."""
 
 from __future__ import annotations
 
@@ -26,21 +26,23 @@
 
 
 def begin(ledger: AgentLedger, task: str, at: float) -> None:
-    """Note that the start of a task's first run was sent."""
+    """Record that the start of a task's first run was sent."""
     ledger.orders[task, 1] = Order(task, 1, sent=True)
     ledger.run_ages.record_start((task, 1), at)
 
 
 def list_runs(ledger: AgentLedger, clock_ms: int, at: float, *tasks: str) -> None:
-    """Take a listing of runs at work."""
+    """Apply a listing of running tasks."""
     running = tuple(RunningTask(task, 1, "", 1, 0) for task in tasks)
     ledger.apply_listing(Listing(CallResult.DONE, clock_ms, running), at, at)
 
 
-def test_a_crash_is_told_with_the_age_of_each_run(monkeypatch):
-    """Nobody could tell who had ended a worker: the leader heard that it was gone, and
-    not that one run was 8 ms old and the other 5 s. The age counts to the first call
-    that was not answered, and not to the moment at which the agent is sure.
+def test_a_crash_is_reported_with_the_age_of_each_run(monkeypatch):
+    """Guards against a crash that can't be attributed to a run.
+
+    Without the ages, the leader doesn't know that one run was 8 ms old and the other
+    5 s. The age counts until the first unanswered call, not until the agent gives the
+    worker up.
     """
     ledger = create_ledger()
     ledger.adopt(build_beat("w"))
@@ -58,7 +60,7 @@
 
 
 def test_a_run_that_an_earlier_agent_started_has_no_age(monkeypatch):
-    """After an agent's restart a run of minutes would look as if it had just begun."""
+    """Guards against a long run that counts as new after an agent's restart."""
     ledger = create_ledger()
     ledger.adopt(build_beat("w"))
     list_runs(ledger, 100, 6.0, TASK)
@@ -67,8 +69,8 @@
     assert [run.age_ms for run in ledger.build_report(1).losses[0].runs] == [-1]
 
 
-def test_orders_that_were_refused_or_not_sent_are_no_lost_runs():
-    """Ten starts were refused by a runner that was gone; none of them had ended it."""
+def test_orders_that_were_refused_or_not_sent_are_not_lost_runs():
+    """Guards against blaming runs that an ended runner had refused to start."""
     ledger = create_ledger()
     ledger.adopt(build_beat("w"))
     ledger.orders[TASK, 1] = Order(TASK, 1, OrderState.REFUSED, "absent", sent=True)
@@ -77,8 +79,8 @@
     assert ledger.build_report(1).losses[0].runs == ()
 
 
-def test_a_worker_that_had_said_it_would_leave_has_not_crashed():
-    """A planned end without the goodbye was counted against what ran there."""
+def test_a_worker_that_had_announced_its_end_has_not_crashed():
+    """Guards against blaming runs for a planned end without a goodbye message."""
     ledger = create_ledger()
     ledger.adopt(build_beat("w"))
     ledger.update(build_beat("w", draining=True, sequence=2))
@@ -86,9 +88,11 @@
     assert ledger.build_report(1).losses[0].cause == "left"
 
 
-def test_a_silent_worker_that_answers_again_is_not_told_as_lost():
-    """A worker was given up as its leases had run out behind a cut, and came back. Told
-    as lost for some time longer, it would lose its new runs with each report.
+def test_a_silent_worker_that_answers_again_is_not_reported_as_lost():
+    """Guards against a worker that loses its new runs with each report.
+
+    The worker was given up when its leases expired during a network partition, and
+    answers again while its loss is still reported.
     """
     ledger = create_ledger()
     ledger.adopt(build_beat("w"))
@@ -98,9 +102,11 @@
     assert ledger.build_report(2).losses == ()
 
 
-def test_each_leader_hears_of_a_loss_until_it_has_answered(monkeypatch):
-    """A leader ended between hearing of a crash and writing it. Told only once, the
-    crash would have counted for nothing.
+def test_a_loss_is_reported_to_each_leader_until_it_has_answered(monkeypatch):
+    """Guards against a crash that is forgotten.
+
+    A leader ends after it has received the report of a crash and before it has written
+    it, and the crash is reported only once.
     """
     ledger = create_ledger()
     ledger.adopt(build_beat("w"))
@@ -118,16 +124,16 @@
     assert ledger.build_report(2).losses == ()
 
 
-def test_a_worker_that_ends_again_and_again_fills_no_report():
+def test_the_losses_in_a_report_are_limited():
     ledger = create_ledger()
-    for life in range(3 * MAX_LOSSES):
-        ledger.adopt(build_beat(f"w{life}"))
+    for number in range(3 * MAX_LOSSES):
+        ledger.adopt(build_beat(f"w{number}"))
         ledger.drop_worker("nothing listens at its address")
     assert len(ledger.build_report(1).losses) == MAX_LOSSES
 
 
 def drop_unanswered(monkeypatch, worker: str) -> AgentLedger:
-    """Return the ledger of an agent that lost a worker with an order on its way."""
+    """Return the ledger of an agent that lost a worker with an unanswered order."""
     ledger = create_ledger()
     ledger.adopt(build_beat(worker))
     begin(ledger, TASK, 1.0)
@@ -140,8 +146,8 @@
     return [(one.task, one.outcome) for one in ledger.build_report(beat).outcomes]
 
 
-def test_an_order_without_an_answer_is_kept_for_the_next_start(monkeypatch):
-    """The leader gives the run up, and the runner's next start begins it."""
+def test_an_unanswered_order_is_kept_for_the_next_start(monkeypatch):
+    """Guards against a run that the leader gives up and the next incarnation starts."""
     ledger = drop_unanswered(monkeypatch, "w@1")
     assert list_outcomes(ledger, 1) == [(TASK, "pending")]
     set_clock(monkeypatch, 3.0)
@@ -153,8 +159,8 @@
     assert list_outcomes(ledger, 4) == [(TASK, "void")]
 
 
-def test_the_leader_hears_again_of_a_worker_that_stays_away(monkeypatch):
-    """A task waits for ever for a runner that never comes back."""
+def test_the_loss_of_a_worker_that_stays_away_is_reported_again(monkeypatch):
+    """Guards against a task that waits for ever for a runner that never restarts."""
     ledger = drop_unanswered(monkeypatch, "w@1")
     ledger.build_report(1)
     ledger.apply_directive(build_directive("", epoch=1), None)
@@ -166,12 +172,12 @@
 
 
 def test_a_runner_with_an_id_for_each_start_settles_nothing(monkeypatch):
-    """Its orders name the start that is gone; their tasks need not wait."""
+    """Its orders name the ended incarnation, so their tasks need not wait."""
     assert list_outcomes(drop_unanswered(monkeypatch, "w"), 1) == []
 
 
 def test_each_start_is_called_under_a_higher_token():
-    """An order for an earlier start is carried out after the new one was listed."""
+    """Guards against an order for an earlier start that the new one carries out."""
     ledger = create_ledger()
     ledger.apply_directive(build_directive(""), None)
     ledger.adopt(build_beat("w@1"))
--- a/tests/unit/test_jobagent_paces.py
+++ b/tests/unit/test_jobagent_paces.py
@@ -1,4 +1,4 @@
-"""Paces of filling tasks, as an agent tells them to its runner."""
+"""Tests of the paces of filling tasks that an agent sends to its runner."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
         return CallResult.DONE
 
 
-def play_first_listing(*, ordered: bool) -> list[int]:
-    """Return the paces told after an agent's first listing of a filling task."""
+def apply_first_listing(*, ordered: bool) -> list[int]:
+    """Return the paces sent after an agent's first listing of a filling task."""
     ledger = AgentLedger(create_quiet_log())
     runtime = FakeRuntime()
     ledger.run_specs[TASK, 1] = RunOrder(TASK, 1, "", "", True, 0, "filling")
@@ -46,24 +46,22 @@
     return runtime.paces
 
 
-def test_a_restarted_agent_tells_the_pace_of_what_it_finds():
-    """A filling task stood still for ever.
+def test_a_restarted_agent_sends_the_pace_of_runs_that_it_finds():
+    """Guards against a filling task that never makes progress.
 
-    Symptom: a task at work that makes no progress beside calm neighbours.
-    Sequence: its agent paces it down to zero and is killed; the next agent finds it,
-    decides on full speed, and says nothing.
-    Cause: a run was taken to be at full speed when it was first seen.
+    Its agent sets its pace to zero and is killed. The next agent decides on full speed,
+    and sends nothing, as it assumes that a run it first lists is at full speed.
     """
-    assert play_first_listing(ordered=False) == [100]
+    assert apply_first_listing(ordered=False) == [100]
 
 
-def test_a_run_that_has_just_begun_needs_no_word():
-    """A start is at full speed; a call for each would double the calls."""
-    assert play_first_listing(ordered=True) == []
+def test_no_pace_is_sent_for_a_run_that_has_just_started():
+    """A run starts at full speed; a call for each start would double the calls."""
+    assert apply_first_listing(ordered=True) == []
 
 
 def test_use_beyond_a_pace_shows_that_the_runner_does_not_have_it():
-    """Guards against work that goes on while its agent believes that it stands."""
+    """Guards against a task that runs while its agent assumes that it is stopped."""
     history = PaceHistory(10.0)
     history.note(0, 10.0)
     assert not history.allows(0.9, 12.0)
@@ -71,15 +69,15 @@
 
 
 def test_a_figure_from_before_a_pace_contradicts_nothing():
-    """Guards against paces that are told again since a figure is older than they."""
+    """Guards against paces that are sent again because a figure is older."""
     history = PaceHistory(10.0)
     history.note(0, 10.0)
     for late_s in (0.0, 0.1, 0.3, 0.45):
         assert history.allows(1.05, 10.0 + late_s)
 
 
-def test_a_figure_that_fades_after_a_task_stands_contradicts_nothing():
-    """Guards against paces that are told again at every listing."""
+def test_a_figure_that_decays_after_a_task_is_stopped_contradicts_nothing():
+    """Guards against paces that are sent again at each listing."""
     history = PaceHistory(10.0)
     history.note(0, 10.0)
     for beat in range(10):
--- a/tests/unit/test_jobagent_renewal.py
+++ b/tests/unit/test_jobagent_renewal.py
@@ -1,4 +1,4 @@
-"""Calls of an agent that keep the lease and look at its runner."""
+"""Tests of lease renewal and of the verification of incarnations."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass
 class FakeRuntime:
-    """Answers each renewal as it is told; the tokens of the calls are kept."""
+    """Gives a set answer to each renewal, and records the tokens of the calls."""
 
     listing: Listing = field(default_factory=lambda: Listing(CallResult.DONE, 100))
     tokens: list[int] = field(default_factory=list)
@@ -33,7 +33,7 @@
 
 @dataclass
 class Stage:
-    """An agent whose worker ``w@1`` is known and whose leader has granted it time."""
+    """An agent that has adopted worker ``w@1`` and holds a grant of its leader."""
 
     ledger: AgentLedger
     runtime: FakeRuntime
@@ -52,8 +52,8 @@
     return Stage(ledger, runtime, signals, renewal)
 
 
-def test_a_start_is_looked_into_under_a_token_of_its_own():
-    """An order for the earlier start is carried out after the look at the next one."""
+def test_a_start_is_verified_under_a_token_of_its_own():
+    """Guards against an order for an earlier start that takes effect after it."""
 
     async def main():
         stage = build_stage(Listing(CallResult.DONE, 100))
@@ -65,8 +65,8 @@
     curio.run(main)
 
 
-def test_a_call_that_another_one_has_overtaken_ends_no_link():
-    """An agent leaves its leader because of its own higher token."""
+def test_a_call_that_another_one_has_overtaken_does_not_end_the_link():
+    """Guards against an agent that leaves its leader because of its own token."""
 
     async def main():
         stage = build_stage(Listing(CallResult.FENCED))
@@ -81,8 +81,8 @@
     curio.run(main)
 
 
-def test_a_listing_that_cannot_be_read_ends_no_worker():
-    """One answer of another writer loses all that runs there."""
+def test_an_unreadable_listing_does_not_drop_the_worker():
+    """Guards against losing all runs of a worker by one foreign answer."""
 
     async def main():
         stage = build_stage(Listing(CallResult.UNREADABLE, detail="born is missing"))
@@ -92,8 +92,8 @@
     curio.run(main)
 
 
-def test_a_worker_adopted_meanwhile_outlasts_an_older_answer():
-    """An answer of an earlier start, on its way until now, ends the present one."""
+def test_a_worker_adopted_meanwhile_is_not_dropped_by_an_older_answer():
+    """Guards against a delayed answer for an earlier start that drops the worker."""
 
     async def main():
         stage = build_stage(Listing(CallResult.OTHER_INCARNATION))
--- a/tests/unit/test_shrinking_workers.py
+++ b/tests/unit/test_shrinking_workers.py
@@ -1,4 +1,4 @@
-"""Workers whose room shrinks and grows while tasks run."""
+"""Tests of workers whose capacity shrinks and grows while tasks run."""
 
 from __future__ import annotations
 
@@ -34,10 +34,11 @@
     )
 
 
-def test_an_order_on_its_way_while_the_room_shrinks_is_refused():
-    """A runner that starts whatever it is told was brought over its room. The leader
-    had ordered three tasks by what it had last heard; the runner's heartbeat came to
-    its agent before they did, and the agent passed all of them on.
+def test_an_order_in_transit_while_the_capacity_shrinks_is_refused():
+    """Guards against overcommitting a runner that doesn't check its capacity.
+
+    The leader orders three tasks by the last capacity that it received. The heartbeat
+    with a smaller one reaches the agent before the orders, and the agent must check it.
     """
 
     async def main():
@@ -50,16 +51,18 @@
             await curio.sleep(SETTLE_S)
             started = [call.task for call in stage.runtime.starts]
             assert started == [order.task for order in orders[:2]]
-            details = [one.detail for one in stage.ledger.orders.values()]
+            details = [order.detail for order in stage.ledger.orders.values()]
             assert details == ["", "", "the worker has no room left"]
 
     curio.run(main)
 
 
-def test_what_takes_nothing_that_is_short_is_started():
-    """Filling work, which reserves no processor, was refused by a worker whose serving
-    tasks reserve more processors than it has left; the leader placed it there again and
-    again, three times a second.
+def test_a_run_that_needs_no_overcommitted_resource_is_started():
+    """Guards against a filling task that is refused and placed again without end.
+
+    Filling tasks reserve no processor. A worker refused one because its serving tasks
+    reserve more processors than it has left, and the leader placed it there again three
+    times a second.
     """
 
     async def main():
@@ -82,9 +85,11 @@
     curio.run(main)
 
 
-def test_an_order_that_waited_while_its_agent_stood_still_is_refused():
-    """An agent stood still for five seconds, while its runner's room shrank. The order
-    that had come before was the first thing it did; the heartbeat still lay unread.
+def test_an_order_that_waited_while_its_agent_was_suspended_is_refused():
+    """Guards against a start by a capacity that is out of date.
+
+    An agent is suspended for five seconds while its runner's capacity shrinks. It
+    processes the order that had arrived before the heartbeat, which is still unread.
     """
 
     async def main():
@@ -92,24 +97,25 @@
             stage.ledger.answered_at -= 5.0
             await stage.order()
             assert not stage.runtime.starts
-            details = [one.detail for one in stage.ledger.orders.values()]
+            details = [order.detail for order in stage.ledger.orders.values()]
             assert details == ["the runner has not answered lately"]
 
     curio.run(main)
 
 
-def test_a_smaller_room_is_told_at_once():
-    """The leader went on ordering for 0.4 s, until the next report was due."""
+def test_a_smaller_capacity_is_reported_at_once():
+    """Guards against orders for 0.4 s more, until the next regular report."""
     ledger = create_ledger()
     ledger.adopt(build_beat("w"))
     assert ledger.update(replace(build_beat("w", sequence=2), capacity=SMALL))
     assert not ledger.update(replace(build_beat("w", sequence=3), capacity=SMALL))
 
 
-def test_a_worker_that_has_too_little_memory_gives_up_what_costs_least(leader):
-    """Memory that is gone cannot be shared: the machine ends a task of its own choice,
-    a serving one as likely as any. So the one that loses least is stopped, and counts
-    until its end is listed. Processors are shared, and nobody goes for them.
+def test_a_worker_with_too_little_memory_stops_the_run_that_costs_least(leader):
+    """Guards against an out-of-memory kill, which may hit a serving task.
+
+    The run that loses least is stopped, and counts until its end is listed. Processors
+    are shared, so no run is stopped for want of them.
     """
     serving = Step(1, Resources(1_000, 30_000, 0), 60.0, lasts=True, serves_ms=100)
     keeper = leader.find(leader.add(1, serving))
@@ -124,7 +130,7 @@
     leader.book.place(young, 1, worker.place, lambda: None)
     leader.report(number)
     leader.wait(0.5)
-    # It has begun last of all and would be the cheapest, and it lasts.
+    # It has started last and would cost least, but it runs until it is cancelled.
     guest = leader.find(
         leader.add(5, Step(1, Resources(0, 3_000, 0), 60.0, lasts=True))
     )
@@ -151,8 +157,8 @@
     assert leader.find_node(late) == number
 
 
-def test_no_start_brings_a_runner_over_a_room_that_shrinks_and_grows():
-    """The whole way: leader, agents and runners that guard nothing."""
+def test_no_start_exceeds_a_capacity_that_shrinks_and_grows():
+    """End to end: leader, agents, and runners that don't check their capacity."""
 
     async def main():
         async with run_cluster(agents=2, work_s=0.4) as cluster:
--- a/tests/unit/test_tail_watch.py
+++ b/tests/unit/test_tail_watch.py
@@ -1,4 +1,4 @@
-"""Lines about serving tasks over their aim."""
+"""Tests of the log lines about serving tasks that exceed their objective."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 FILLING = "0000000000000002.0.0.0"
 
 
-class KeptLog(EventLog):
-    """Keeps the events with their fields."""
+class RecordingLog(EventLog):
+    """Records events with their fields."""
 
     def __init__(self) -> None:
         super().__init__(-1, "agent")
@@ -28,28 +28,31 @@
         self.events.append((event, fields))
 
     def find(self, event: str) -> list[dict[str, Any]]:
-        """Return the fields of the events of one kind."""
+        """Return the fields of the events of one name."""
         return [fields for name, fields in self.events if name == event]
 
 
 class FakeRuntime:
-    """Takes every pace."""
+    """Accepts each pace."""
 
     async def pace(self, worker, token, task, run, percent) -> CallResult:
         return CallResult.DONE
 
 
-def play_tails(tails_ms: list[int], *, listed_s: float = 0.5) -> KeptLog:
-    """Return the log of an agent whose serving task, with an aim of 50 ms, lists these.
+def apply_listings(tails_ms: list[int], *, listed_s: float = 0.5) -> RecordingLog:
+    """Return the log of an agent whose serving task lists these tail latencies.
 
-    One filling task of an image that is believed harmless works beside it.
+    The objective is 50 ms. One filling task of an image with a press of 0 runs beside
+    it.
+
+    :param listed_s: time between two listings, seconds.
     """
-    events = KeptLog()
+    events = RecordingLog()
     ledger = AgentLedger(create_quiet_log())
     ledger.run_specs[SERVING, 1] = RunOrder(SERVING, 1, "", "", False, 50, "s")
     ledger.run_specs[FILLING, 1] = RunOrder(FILLING, 1, "", "", True, 0, "f", 2_000)
     ledger.presses["f", "s"] = 0.0
-    keeper = PaceController(ledger, FakeRuntime(), events, 4.0)
+    controller = PaceController(ledger, FakeRuntime(), events, 4.0)
 
     async def main() -> None:
         for number, tail_ms in enumerate(tails_ms):
@@ -60,15 +63,15 @@
             )
             clock_ms = 1_000 + 400 * number
             ledger.apply_listing(Listing(CallResult.DONE, clock_ms, running), now, now)
-            await keeper.apply(now)
+            await controller.apply(now)
 
     curio.run(main)
     return events
 
 
-def test_a_serving_task_over_its_aim_leaves_lines_that_tell_why():
-    """Guards against a serving task that is slow for seconds and leaves no line."""
-    events = play_tails([30, 60, 62, 61, 64, 63, 61, 30])
+def test_a_long_violation_is_logged_with_its_circumstances():
+    """Guards against a serving task that is slow for seconds without a log line."""
+    events = apply_listings([30, 60, 62, 61, 64, 63, 61, 30])
     first, *_ = events.find("tail.over")
     assert (first["task"], first["aim_ms"], first["listed_ms"]) == (SERVING, 50, 61)
     assert first["over_ms"] == 1_000
@@ -80,14 +83,14 @@
     assert (last["over_ms"], last["worst_ms"]) == (3_000, 64)
 
 
-def test_a_peak_of_the_load_leaves_no_line():
-    """Guards against lines by the dozen on a worker that keeps its aims."""
-    events = play_tails([30, 60, 30, 55, 51, 30] * 20)
+def test_a_load_peak_is_not_logged():
+    """Guards against dozens of lines on a worker that meets its objectives."""
+    events = apply_listings([30, 60, 30, 55, 51, 30] * 20)
     assert not events.find("tail.over")
     assert not events.find("tail.within")
 
 
-def test_a_long_time_over_the_aim_leaves_a_line_a_second():
-    """Guards against a line for each listing."""
-    events = play_tails([60] * 80, listed_s=0.125)
+def test_a_long_violation_is_logged_once_a_second():
+    """Guards against a log line for each listing."""
+    events = apply_listings([60] * 80, listed_s=0.125)
     assert 8 <= len(events.find("tail.over")) <= 10
