--- a/pistachiodeal/jobagent/leader_link.py
+++ b/pistachiodeal/jobagent/leader_link.py
@@ -93,7 +93,7 @@
         return [leader, *others]
 
     async def _attach(self, address: str) -> bool:
-        """Try one address; return whether the leader was there, or is known now."""
+        """Try one address; return whether it leads, or the leader is known by now."""
         try:
             async with dial_peer(self._peers, address) as link:
                 notice = await link.receive()
--- a/pistachiodeal/jobagent/ledger.py
+++ b/pistachiodeal/jobagent/ledger.py
@@ -77,11 +77,11 @@
 
     @property
     def draining(self) -> bool:
-        """Tell whether the worker is draining."""
+        """Return whether the worker is draining."""
         return self.beat is not None and self.beat.draining
 
     def is_gone(self, worker: str) -> bool:
-        """Tell whether an incarnation is known to have ended."""
+        """Return whether an incarnation is known to have ended."""
         return worker in self._gone
 
     def adopt(self, beat: WorkerHeartbeat) -> None:
@@ -138,11 +138,14 @@
         return (beat.draining, beat.capacity) != (known.draining, known.capacity)
 
     def is_silent(self, now: float) -> bool:
-        """Tell whether the runner has not answered lately, also if the agent is why."""
+        """Return whether the runner has not answered lately.
+
+        The reason may be this agent, when it was suspended.
+        """
         return now - self.answered_at >= SILENT_S
 
     def has_room(self, order: RunOrder) -> bool:
-        """Tell whether the runner has capacity for one more run, by its last heartbeat.
+        """Return whether the runner has room for one more run, by its last heartbeat.
 
         A run that is being stopped counts until its end is listed. Resources that the
         new run doesn't use may be overcommitted: a worker whose capacity has shrunk may
--- a/pistachiodeal/jobagent/losses.py
+++ b/pistachiodeal/jobagent/losses.py
@@ -16,8 +16,8 @@
 
 # Age of a run that this agent has not started.
 UNKNOWN_AGE_MS = -1
-# How long losses are reported: longer than there is no leader after a failure, and than
-# most network partitions last.
+# How long losses are reported: longer than it takes until a failed leader is replaced,
+# and than most network partitions last.
 RETENTION_S = 20.0
 # Bounds the report of a worker that crashes again and again, every few seconds.
 MAX_LOSSES = 8
@@ -63,7 +63,7 @@
         self._losses = deque(kept, MAX_LOSSES)
 
     def awaits_acknowledgement(self, worker: str, now: float) -> bool:
-        """Tell whether the leader has yet to acknowledge the end of an incarnation."""
+        """Return whether the leader has yet to acknowledge an incarnation's end."""
         return any(
             loss.worker == worker
             and not loss.acknowledged
@@ -92,7 +92,7 @@
         return {key for loss in self._losses for key in loss.unsettled}
 
     def report(self, beat: int, now: float) -> tuple[WorkerLoss, ...]:
-        """Return the losses that belong into a report."""
+        """Return the losses to include in a report."""
         reported = []
         for loss in self._losses:
             if loss.acknowledged or now - loss.at >= RETENTION_S:
--- a/pistachiodeal/jobagent/orders.py
+++ b/pistachiodeal/jobagent/orders.py
@@ -31,7 +31,7 @@
 
     @property
     def unanswered(self) -> bool:
-        """Tell whether a call may have been sent and the runner has never answered."""
+        """Return whether a call may have been sent and was never answered."""
         pending = self.state is OrderState.PENDING
         return self.sent and pending and not self.settled_at
 
--- a/pistachiodeal/jobpath/traces.py
+++ b/pistachiodeal/jobpath/traces.py
@@ -96,7 +96,7 @@
 
     @property
     def late(self) -> bool:
-        """Tell whether it failed, or took longer than its objective."""
+        """Return whether it failed, or took longer than its objective."""
         return self.state == JobState.FAILED or self.age_s > self.objective_s
 
     def find_wait(self, step: str, before: float) -> str:
--- a/pistachiodeal/jobs/model.py
+++ b/pistachiodeal/jobs/model.py
@@ -20,7 +20,7 @@
 
     @property
     def final(self) -> bool:
-        """Tell whether the state is terminal."""
+        """Return whether the state is terminal."""
         return self in FINAL_STATES
 
 
--- a/pistachiodeal/jobs/record.py
+++ b/pistachiodeal/jobs/record.py
@@ -74,7 +74,7 @@
 
     @property
     def waits(self) -> bool:
-        """Tell whether the task has to be placed."""
+        """Return whether the task has to be placed."""
         return not self.done and not self.place
 
 
@@ -105,7 +105,7 @@
 
     @property
     def done(self) -> bool:
-        """Tell whether all tasks are done."""
+        """Return whether all tasks are done."""
         return self.remaining == 0
 
     @property
--- a/tests/unit/test_foreign_writers.py
+++ b/tests/unit/test_foreign_writers.py
@@ -142,7 +142,7 @@
 @pytest.mark.parametrize("document, read", READERS)
 @settings(deadline=None)
 @given(data=st.data())
-def test_a_reader_accepts_a_document_or_raises_a_protocol_error(document, read, data):
+def test_a_reader_takes_what_makes_sense_or_says_that_it_cannot(document, read, data):
     """Guards against a row that makes each leader fail in a scheduling round.
 
     Another writer leaves a row whose fields have other types. Data classes check no
--- a/tests/unit/test_shrinking_workers.py
+++ b/tests/unit/test_shrinking_workers.py
@@ -51,7 +51,7 @@
             await curio.sleep(SETTLE_S)
             started = [call.task for call in stage.runtime.starts]
             assert started == [order.task for order in orders[:2]]
-            details = [order.detail for order in stage.ledger.orders.values()]
+            details = [one.detail for one in stage.ledger.orders.values()]
             assert details == ["", "", "the worker has no room left"]
 
     curio.run(main)
@@ -97,7 +97,7 @@
             stage.ledger.answered_at -= 5.0
             await stage.order()
             assert not stage.runtime.starts
-            details = [order.detail for order in stage.ledger.orders.values()]
+            details = [one.detail for one in stage.ledger.orders.values()]
             assert details == ["the runner has not answered lately"]
 
     curio.run(main)
