--- a/pistachiodeal/jobagent/paces.py
+++ b/pistachiodeal/jobagent/paces.py
@@ -46,7 +46,7 @@
         self._reset_contradicted(now)
         before = self._pacer.paces
         paces = self._pacer.decide(
-            self._list_tails(), self._measure_loads(), self._find_press, now
+            self._list_tails(), self._measure_loads(), self._find_interference, now
         )
         changed = {
             image: percent
@@ -112,7 +112,7 @@
             )
         return loads
 
-    def _find_press(self, filling: str, serving: str) -> float:
+    def _find_interference(self, filling: str, serving: str) -> float:
         return self._ledger.presses.get((filling, serving), FIRST_PRESS)
 
     async def _pace(self, key: RunKey, percent: int) -> None:
--- a/tests/unit/test_closed_data_centres.py
+++ b/tests/unit/test_closed_data_centres.py
@@ -25,7 +25,7 @@
 )
 from tests.standins.rows import MemoryRows, RowsState
 from tests.unit.test_job_cluster import wait_for
-from tests.unit.test_jobagent_executor import build_stage
+from tests.unit.test_jobagent_executor import build_harness
 from tests.unit.test_leader_planner import QUEUE, Cluster
 from tests.unit.test_leader_sessions import NODE, Stage
 
@@ -267,7 +267,7 @@
     """Guards against starts by an order that was held up on its way."""
 
     async def main():
-        async with build_stage() as stage:
+        async with build_harness() as stage:
             stage.ledger.authority.set_start_limit(read_boot_clock(), starts_ms)
             await stage.order()
             assert len(stage.runtime.starts) == expected
--- a/tests/unit/test_jobagent_executor.py
+++ b/tests/unit/test_jobagent_executor.py
@@ -40,7 +40,7 @@
 
 
 @dataclass
-class Stage:
+class AgentHarness:
     """An agent that has adopted worker ``w`` and holds a grant of its leader."""
 
     ledger: AgentLedger
@@ -65,14 +65,14 @@
 
 
 @asynccontextmanager
-async def build_stage() -> AsyncIterator[Stage]:
+async def build_harness() -> AsyncIterator[AgentHarness]:
     ledger, runtime = AgentLedger(create_quiet_log()), FakeRuntime()
     ledger.adopt(build_beat("w"))
     now = read_boot_clock()
     ledger.authority.granted_until = now + 10.0
     ledger.apply_listing(Listing(CallResult.DONE, 1_000), now, now)
     executor = Executor(ledger, runtime, create_quiet_log(), AgentSignals())
-    yield Stage(ledger, runtime, executor)
+    yield AgentHarness(ledger, runtime, executor)
 
 
 def test_an_order_for_another_incarnation_is_not_carried_out():
@@ -83,10 +83,10 @@
     """
 
     async def main() -> None:
-        async with build_stage() as stage:
-            await stage.order(worker="earlier")
-            assert stage.runtime.starts == []
-            assert stage.ledger.orders == {}
+        async with build_harness() as harness:
+            await harness.order(worker="earlier")
+            assert harness.runtime.starts == []
+            assert harness.ledger.orders == {}
 
     curio.run(main)
 
@@ -98,10 +98,10 @@
     """
 
     async def main() -> None:
-        async with build_stage() as stage:
-            await stage.order()
-            await stage.order()
-            assert len(stage.runtime.starts) == 1
+        async with build_harness() as harness:
+            await harness.order()
+            await harness.order()
+            assert len(harness.runtime.starts) == 1
 
     curio.run(main)
 
@@ -114,11 +114,11 @@
     """
 
     async def main() -> None:
-        async with build_stage() as stage:
-            stage.ledger.beat = replace(build_beat("w"), draining=True)
-            await stage.order()
-            assert stage.runtime.starts == []
-            [order] = stage.ledger.orders.values()
+        async with build_harness() as harness:
+            harness.ledger.beat = replace(build_beat("w"), draining=True)
+            await harness.order()
+            assert harness.runtime.starts == []
+            [order] = harness.ledger.orders.values()
             assert order.state is OrderState.REFUSED
 
     curio.run(main)
@@ -132,11 +132,11 @@
     """
 
     async def main() -> None:
-        async with build_stage() as stage:
-            stage.ledger.authority.granted_until = read_boot_clock() - 0.1
-            await stage.order()
-            assert stage.runtime.starts == []
-            [order] = stage.ledger.orders.values()
+        async with build_harness() as harness:
+            harness.ledger.authority.granted_until = read_boot_clock() - 0.1
+            await harness.order()
+            assert harness.runtime.starts == []
+            [order] = harness.ledger.orders.values()
             assert order.state is OrderState.REFUSED
             assert order.detail == "the leader's grant has run out"
 
@@ -151,14 +151,14 @@
     """
 
     async def main() -> None:
-        async with build_stage() as stage:
+        async with build_harness() as harness:
             start = RunOrder(TASK, 1, "", "", False, 0)
             directive = Directive(1, 1, 10_000, 7, "w", 0, (), (start,), (), ())
-            await stage.executor.carry_out(directive)
+            await harness.executor.carry_out(directive)
             restarted = replace(build_beat("w"), worker="restarted")
-            stage.ledger.beat = restarted
+            harness.ledger.beat = restarted
             await curio.sleep(SETTLE_S)
-            assert stage.runtime.starts == []
+            assert harness.runtime.starts == []
 
     curio.run(main)
 
@@ -170,13 +170,13 @@
     """
 
     async def main() -> None:
-        async with build_stage() as stage:
-            stage.runtime.result = CallResult.UNKNOWN
-            await stage.stop()
-            stage.runtime.result = CallResult.DONE
+        async with build_harness() as harness:
+            harness.runtime.result = CallResult.UNKNOWN
+            await harness.stop()
+            harness.runtime.result = CallResult.DONE
             await curio.sleep(2 * RETRY_S)
-            assert len(stage.runtime.stops) >= 2
-            assert stage.ledger.orders[TASK, 1].settled_at > 0
+            assert len(harness.runtime.stops) >= 2
+            assert harness.ledger.orders[TASK, 1].settled_at > 0
 
     curio.run(main)
 
@@ -189,12 +189,12 @@
     """
 
     async def main() -> None:
-        async with build_stage() as stage:
-            stage.runtime.result = CallResult.UNKNOWN
-            await stage.stop()
-            stage.ledger.adopt(build_beat("restarted"))
-            asked = len(stage.runtime.stops)
+        async with build_harness() as harness:
+            harness.runtime.result = CallResult.UNKNOWN
+            await harness.stop()
+            harness.ledger.adopt(build_beat("restarted"))
+            asked = len(harness.runtime.stops)
             await curio.sleep(3 * RETRY_S)
-            assert len(stage.runtime.stops) == asked
+            assert len(harness.runtime.stops) == asked
 
     curio.run(main)
--- a/tests/unit/test_jobagent_heartbeats.py
+++ b/tests/unit/test_jobagent_heartbeats.py
@@ -36,7 +36,7 @@
         return CallResult.DONE
 
 
-def build_stage(renewal: FakeRenewal) -> tuple[Heartbeats, AgentLedger]:
+def build_harness(renewal: FakeRenewal) -> tuple[Heartbeats, AgentLedger]:
     """Return an agent that has adopted the incarnation ``w@1``."""
     events = create_quiet_log()
     ledger = AgentLedger(events)
@@ -56,7 +56,7 @@
 
     async def main():
         renewal = FakeRenewal("w@2", unanswered=2)
-        heartbeats, ledger = build_stage(renewal)
+        heartbeats, ledger = build_harness(renewal)
         await heartbeats.process_heartbeat(build_beat("w@2"))
         await wait_for_worker(ledger, "w@2")
 
@@ -67,7 +67,7 @@
     """Guards against a second quick restart that waits for its second heartbeat."""
 
     async def main():
-        heartbeats, ledger = build_stage(FakeRenewal("w@3"))
+        heartbeats, ledger = build_harness(FakeRenewal("w@3"))
         for worker in ("w@2", "w@3", "w@0"):
             await heartbeats.process_heartbeat(build_beat(worker))
         await wait_for_worker(ledger, "w@3")
@@ -82,7 +82,7 @@
 
     async def main():
         renewal = FakeRenewal("w@1", unanswered=1_000)
-        heartbeats, ledger = build_stage(renewal)
+        heartbeats, ledger = build_harness(renewal)
         await heartbeats.process_heartbeat(build_beat("w@0"))
         await curio.sleep(2 * SOON_S)
         assert ledger.worker == "w@1"
@@ -96,7 +96,7 @@
 
     async def main():
         renewal = FakeRenewal("w@2")
-        heartbeats, ledger = build_stage(renewal)
+        heartbeats, ledger = build_harness(renewal)
         await heartbeats.process_heartbeat(build_beat("w@2"))
         await curio.sleep(0.01)
         ledger.adopt(build_beat("w@3"))
@@ -111,7 +111,7 @@
     """Guards against a worker that answers again and idles until the leader knows."""
 
     async def main():
-        heartbeats, ledger = build_stage(FakeRenewal("w@1"))
+        heartbeats, ledger = build_harness(FakeRenewal("w@1"))
         ledger.drop_worker("it is silent", LossCause.SILENT)
         await heartbeats.process_heartbeat(build_beat("w@1"))
         assert ledger.worker == "w@1"
@@ -124,7 +124,7 @@
 
     async def main():
         renewal = FakeRenewal("w")
-        heartbeats, ledger = build_stage(renewal)
+        heartbeats, ledger = build_harness(renewal)
         ledger.adopt(build_beat("w"))
         ledger.drop_worker("nothing listens at its address")
         await heartbeats.process_heartbeat(build_beat("w"))
--- a/tests/unit/test_jobagent_renewal.py
+++ b/tests/unit/test_jobagent_renewal.py
@@ -32,7 +32,7 @@
 
 
 @dataclass
-class Stage:
+class AgentHarness:
     """An agent that has adopted worker ``w@1`` and holds a grant of its leader."""
 
     ledger: AgentLedger
@@ -41,7 +41,7 @@
     renewal: Renewal
 
 
-def build_stage(listing: Listing) -> Stage:
+def build_harness(listing: Listing) -> AgentHarness:
     events = create_quiet_log()
     ledger = AgentLedger(events)
     ledger.apply_directive(build_directive("w@1"), read_boot_clock())
@@ -49,18 +49,18 @@
     runtime, signals = FakeRuntime(listing), AgentSignals()
     paces = PaceController(ledger, runtime, events, 4.0)
     renewal = Renewal(ledger, runtime, paces, events, signals)
-    return Stage(ledger, runtime, signals, renewal)
+    return AgentHarness(ledger, runtime, signals, renewal)
 
 
 def test_a_start_is_verified_under_a_token_of_its_own():
     """Guards against an order for an earlier start that takes effect after it."""
 
     async def main():
-        stage = build_stage(Listing(CallResult.DONE, 100))
-        before = stage.ledger.authority.token
-        await stage.renewal.verify(build_beat("w@2"))
-        assert stage.runtime.tokens == [before + 1]
-        assert stage.ledger.authority.token == before + 1
+        harness = build_harness(Listing(CallResult.DONE, 100))
+        before = harness.ledger.authority.token
+        await harness.renewal.verify(build_beat("w@2"))
+        assert harness.runtime.tokens == [before + 1]
+        assert harness.ledger.authority.token == before + 1
 
     curio.run(main)
 
@@ -69,14 +69,14 @@
     """Guards against an agent that leaves its leader because of its own token."""
 
     async def main():
-        stage = build_stage(Listing(CallResult.FENCED))
-        renewing = await curio.spawn(stage.renewal._renew, 0)
+        harness = build_harness(Listing(CallResult.FENCED))
+        renewing = await curio.spawn(harness.renewal._renew, 0)
         await curio.sleep(0)
-        stage.ledger.authority.token_increments += 1
+        harness.ledger.authority.token_increments += 1
         assert not await renewing.join()
-        assert not stage.signals.fenced.is_set()
-        assert not await stage.renewal._renew(0)
-        assert stage.signals.fenced.is_set()
+        assert not harness.signals.fenced.is_set()
+        assert not await harness.renewal._renew(0)
+        assert harness.signals.fenced.is_set()
 
     curio.run(main)
 
@@ -85,9 +85,11 @@
     """Guards against losing all runs of a worker by one foreign answer."""
 
     async def main():
-        stage = build_stage(Listing(CallResult.UNREADABLE, detail="born is missing"))
-        assert not await stage.renewal._renew(0)
-        assert stage.ledger.worker == "w@1"
+        harness = build_harness(
+            Listing(CallResult.UNREADABLE, detail="born is missing")
+        )
+        assert not await harness.renewal._renew(0)
+        assert harness.ledger.worker == "w@1"
 
     curio.run(main)
 
@@ -96,11 +98,11 @@
     """Guards against a delayed answer for an earlier start that drops the worker."""
 
     async def main():
-        stage = build_stage(Listing(CallResult.OTHER_INCARNATION))
-        renewing = await curio.spawn(stage.renewal._renew, 0)
+        harness = build_harness(Listing(CallResult.OTHER_INCARNATION))
+        renewing = await curio.spawn(harness.renewal._renew, 0)
         await curio.sleep(0)
-        stage.ledger.adopt(build_beat("w@2"))
+        harness.ledger.adopt(build_beat("w@2"))
         await renewing.join()
-        assert stage.ledger.worker == "w@2"
+        assert harness.ledger.worker == "w@2"
 
     curio.run(main)
--- a/tests/unit/test_shrinking_workers.py
+++ b/tests/unit/test_shrinking_workers.py
@@ -15,7 +15,7 @@
 from tests.standins.job_cluster import build_job, run_cluster
 from tests.standins.job_runner import ROOM, ROOM_TOLD_S
 from tests.unit.test_job_cluster import check, wait_until_begun
-from tests.unit.test_jobagent_executor import SETTLE_S, build_stage
+from tests.unit.test_jobagent_executor import SETTLE_S, build_harness
 from tests.unit.test_jobagent_ledger import build_beat, create_ledger
 from tests.unit.test_leader_crashes import Stage, place
 
@@ -42,16 +42,16 @@
     """
 
     async def main():
-        async with build_stage() as stage:
+        async with build_harness() as harness:
             smaller = replace(build_beat("w", sequence=2), capacity=SMALL)
-            stage.ledger.update(smaller)
+            harness.ledger.update(smaller)
             orders = tuple(build_order(index) for index in range(3))
             directive = Directive(1, 1, 10_000, 7, "w", 0, (), orders, (), ())
-            await stage.executor.carry_out(directive)
+            await harness.executor.carry_out(directive)
             await curio.sleep(SETTLE_S)
-            started = [call.task for call in stage.runtime.starts]
+            started = [call.task for call in harness.runtime.starts]
             assert started == [order.task for order in orders[:2]]
-            details = [one.detail for one in stage.ledger.orders.values()]
+            details = [one.detail for one in harness.ledger.orders.values()]
             assert details == ["", "", "the worker has no room left"]
 
     curio.run(main)
@@ -66,21 +66,23 @@
     """
 
     async def main():
-        async with build_stage() as stage:
+        async with build_harness() as harness:
             smaller = Resources(500, 8_000, 0)
-            stage.ledger.update(replace(build_beat("w", sequence=2), capacity=smaller))
+            harness.ledger.update(
+                replace(build_beat("w", sequence=2), capacity=smaller)
+            )
             serving = replace(build_order(0), serves_ms=100)
-            stage.ledger.run_specs[serving.task, 1] = serving
+            harness.ledger.run_specs[serving.task, 1] = serving
             running = RunningTask(serving.task, 1, "", 100, 5)
             now = read_boot_clock()
-            stage.ledger.apply_listing(
+            harness.ledger.apply_listing(
                 Listing(CallResult.DONE, 2_000, (running,)), now, now
             )
             filling = replace(build_order(1), fills=True)
             directive = Directive(1, 1, 10_000, 7, "w", 0, (), (filling,), (), ())
-            await stage.executor.carry_out(directive)
+            await harness.executor.carry_out(directive)
             await curio.sleep(SETTLE_S)
-            assert [call.task for call in stage.runtime.starts] == [filling.task]
+            assert [call.task for call in harness.runtime.starts] == [filling.task]
 
     curio.run(main)
 
@@ -93,11 +95,11 @@
     """
 
     async def main():
-        async with build_stage() as stage:
-            stage.ledger.answered_at -= 5.0
-            await stage.order()
-            assert not stage.runtime.starts
-            details = [one.detail for one in stage.ledger.orders.values()]
+        async with build_harness() as harness:
+            harness.ledger.answered_at -= 5.0
+            await harness.order()
+            assert not harness.runtime.starts
+            details = [one.detail for one in harness.ledger.orders.values()]
             assert details == ["the runner has not answered lately"]
 
     curio.run(main)
