--- a/pistachiodeal/jobagent/paces.py
+++ b/pistachiodeal/jobagent/paces.py
@@ -1,4 +1,4 @@
-"""Keeps filling tasks at the pace that their serving neighbours bear."""
+"""Limits the pace of filling tasks to protect the serving tasks beside them."""
 
 from __future__ import annotations
 
@@ -21,10 +21,11 @@
 from pistachiodeal.scheduling.tails import PaceHistory, ServingTail
 
 
-class PaceKeeper:
+class PaceController:
     """Applies a pace to the filling tasks of each image.
 
-    :param interference_s: a serving task may be over its aim for this long.
+    :param interference_s: how long a serving task may exceed its latency objective,
+        seconds.
     """
 
     def __init__(
@@ -41,14 +42,14 @@
         self._tail_watch = TailWatch(ledger, events)
 
     async def apply(self, now: float) -> None:
-        """Decide by the newest figures, and tell the runner what has changed.
+        """Decide the paces by the newest figures, and send those that have changed.
 
-        :param now: when they were listed, seconds of the boot clock.
+        :param now: when the figures were listed, seconds of the boot clock.
         """
-        self._forget_contradicted(now)
+        self._reset_contradicted(now)
         before = self._pacer.paces
         paces = self._pacer.decide(
-            self._list_tails(), self._count_fills(), self._find_press, now
+            self._list_tails(), self._measure_loads(), self._find_interference, now
         )
         changed = {
             image: percent
@@ -57,22 +58,22 @@
         }
         if changed:
             self._events.emit("pace.changed", paces=changed)
-        self._tail_watch.note(self._pacer, now)
+        self._tail_watch.update(self._pacer, now)
         for key, history in list(self._ledger.figures.histories.items()):
-            percent = paces[self._ledger.described[key].image]
+            percent = paces[self._ledger.run_specs[key].image]
             if history.newest != percent:
                 history.note(percent, now)
                 await curio.spawn(self._pace, key, percent, daemon=True)
 
-    def _forget_contradicted(self, now: float) -> None:
-        """Forget paces that the runner can't have, so that they are told again.
+    def _reset_contradicted(self, now: float) -> None:
+        """Reset paces that measured use contradicts, so that they are sent again.
 
-        A call that got no answer may be carried out late, after a newer one.
+        A call that got no answer may take effect late, after a newer one.
         """
         ledger = self._ledger
         for key, history in ledger.figures.histories.items():
             used_milli = ledger.running[key].figure
-            asked_milli = ledger.described[key].cpu_milli
+            asked_milli = ledger.run_specs[key].cpu_milli
             if not asked_milli or history.is_consistent(used_milli / asked_milli, now):
                 continue
             self._events.emit(
@@ -88,7 +89,7 @@
     def _list_tails(self) -> list[ServingTail]:
         tails = []
         for key, running in self._ledger.running.items():
-            described = self._ledger.described.get(key)
+            described = self._ledger.run_specs.get(key)
             if described is not None and described.serves_ms:
                 tails.append(
                     ServingTail(
@@ -101,10 +102,10 @@
                 )
         return tails
 
-    def _count_fills(self) -> dict[str, FillingLoad]:
+    def _measure_loads(self) -> dict[str, FillingLoad]:
         loads: dict[str, FillingLoad] = {}
         for key, history in self._ledger.figures.histories.items():
-            described = self._ledger.described[key]
+            described = self._ledger.run_specs[key]
             running = self._ledger.running[key]
             load = loads.setdefault(described.image, FillingLoad())
             load.count += 1
@@ -114,7 +115,7 @@
             )
         return loads
 
-    def _find_press(self, filling: str, serving: str) -> float:
+    def _find_interference(self, filling: str, serving: str) -> float:
         return self._ledger.presses.get((filling, serving), DEFAULT_INTERFERENCE)
 
     async def _pace(self, key: RunKey, percent: int) -> None:
@@ -124,5 +125,5 @@
             ledger.worker, ledger.authority.token, task, run, percent
         )
         if result is not CallResult.DONE:
-            # What the runner does now is unknown; the next round tells it again.
+            # The pace of the run is unknown now; the next round sends it again.
             ledger.figures.histories.pop(key, None)
--- a/pistachiodeal/leader/descheduler.py
+++ b/pistachiodeal/leader/descheduler.py
@@ -86,10 +86,12 @@
         if not task.running or task.stopping or task.step.lasts:
             return False
         if task.step.fills and task.worked < STALL_PACE:
-            task.moved_at = task.seen_at
+            task.progressed_at = task.seen_at
             return False
         expected_s = self._registry.get_expected_s(task)
-        return task.seen_at - task.moved_at > max(STALL_S, expected_s * STALL_SHARE)
+        return task.seen_at - task.progressed_at > max(
+            STALL_S, expected_s * STALL_SHARE
+        )
 
     def _stop_on_draining_workers(self, now: float) -> None:
         for worker in self._fleet.workers.values():
--- a/pistachiodeal/leader/estimator.py
+++ b/pistachiodeal/leader/estimator.py
@@ -25,12 +25,12 @@
         """Set the expected task times of an occurrence's steps."""
         queue = record.job.queue.name
         for step in steps:
-            if step.timed:
-                step.expected_s = step.took_s / step.timed
+            if step.timed_tasks:
+                step.expected_s = step.total_time_s / step.timed_tasks
             else:
                 declared_s = step.step.estimate_s
                 step.expected_s = self._durations.predict_s(queue, declared_s)
-        record.take_expectations(steps)
+        record.update_estimates(steps)
 
     def observe_duration(self, record: JobRecord, task: Task, took_s: float) -> None:
         """Learn from a completed task how long similar tasks take."""
--- a/pistachiodeal/leader/leadership.py
+++ b/pistachiodeal/leader/leadership.py
@@ -158,7 +158,7 @@
     def find_state(self, job_id: str) -> JobState | None:
         """Return the durable state of a job, None if it is unknown or not loaded."""
         record = self._registry.records.get(job_id) if self._loaded else None
-        return record.shown if record is not None else None
+        return record.durable_state if record is not None else None
 
     def announce(self, key: str) -> None:
         """Expect a durable row of the jobs table; see :meth:`JobFeed.announce`."""
--- a/pistachiodeal/leader/registry.py
+++ b/pistachiodeal/leader/registry.py
@@ -139,7 +139,7 @@
         task.running, task.percent, task.stopping = False, 0, ""
         task.worked = task.slow_since = 0.0
         task.seen_at = 0.0
-        task.placed_at = task.moved_at = now
+        task.placed_at = task.progressed_at = now
         self._runs.setdefault(place, {})[str(task.name)] = task
         self._bump_generation(place)
         record = self._records[task.name.job_id]
@@ -243,7 +243,7 @@
         return [
             record
             for record in self._records.values()
-            if record.shown.final
+            if record.durable_state.final
             and record.finished_at
             and now - record.finished_at > kept_s
         ]
@@ -318,15 +318,15 @@
         if callback is not None:
             callbacks.append(callback)
         state = record.state
-        if state is not record.shown:
+        if state is not record.durable_state:
             callbacks.append(lambda: self._publish_state(record, state))
 
     def _publish_state(self, record: JobRecord, state: JobState) -> None:
-        if record.shown is not state and not record.shown.final:
-            record.shown = state
+        if record.durable_state is not state and not record.durable_state.final:
+            record.durable_state = state
             queue = record.job.queue
             objective_s = compute_objective_s(
-                record.chain_s, queue.stretch, queue.aim_s
+                record.critical_path_s, queue.stretch, queue.aim_s
             )
             self._events.emit(
                 "job.shown",
--- a/tests/unit/test_jobagent_executor.py
+++ b/tests/unit/test_jobagent_executor.py
@@ -1,4 +1,4 @@
-"""Orders at the runner: what an agent carries out, and what it refuses."""
+"""Tests of the executor: which orders an agent carries out and which it refuses."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclass
 class FakeRuntime:
-    """A runner that answers as it is told, and notes what it was asked."""
+    """A runner that gives a set answer and records the calls."""
 
     result: CallResult = CallResult.DONE
     starts: list[StartCall] = field(default_factory=list)
@@ -40,20 +40,20 @@
 
 
 @dataclass
-class Stage:
-    """An agent whose worker ``w`` is known and whose leader has granted it time."""
+class AgentHarness:
+    """An agent that has adopted worker ``w`` and holds a grant of its leader."""
 
     ledger: AgentLedger
     runtime: FakeRuntime
     executor: Executor
 
     async def order(self, *, worker: str = "w", run: int = 1) -> None:
-        """Take a directive with one start, and let it be carried out."""
+        """Execute a directive with one start, and wait until it has taken effect."""
         start = RunOrder(TASK, run, "", "", False, 0)
         await self._take((start,), (), worker)
 
     async def stop(self, run: int = 1) -> None:
-        """Take a directive with one stop."""
+        """Execute a directive with one stop."""
         await self._take((), (RunRef(TASK, run),), "w")
 
     async def _take(
@@ -65,74 +65,78 @@
 
 
 @asynccontextmanager
-async def build_stage() -> AsyncIterator[Stage]:
+async def build_harness() -> AsyncIterator[AgentHarness]:
     ledger, runtime = AgentLedger(create_quiet_log()), FakeRuntime()
     ledger.adopt(build_beat("w"))
     now = read_boot_clock()
     ledger.authority.granted_until = now + 10.0
-    ledger.take_listing(Listing(CallResult.DONE, 1_000), now, now)
+    ledger.apply_listing(Listing(CallResult.DONE, 1_000), now, now)
     executor = Executor(ledger, runtime, create_quiet_log(), AgentSignals())
-    yield Stage(ledger, runtime, executor)
+    yield AgentHarness(ledger, runtime, executor)
 
 
 def test_an_order_for_another_incarnation_is_not_carried_out():
-    """Symptom: a run begins on a worker that the leader did not choose.
+    """Guards against a run that starts on a worker that the leader did not choose.
 
-    Sequence: the worker is reborn between the decision and the order. Cause: only the
-    address was compared.
+    The worker restarts between the decision and the order, and only its address is
+    compared.
     """
 
     async def main() -> None:
-        async with build_stage() as stage:
-            await stage.order(worker="earlier")
-            assert stage.runtime.starts == []
-            assert stage.ledger.orders == {}
+        async with build_harness() as harness:
+            await harness.order(worker="earlier")
+            assert harness.runtime.starts == []
+            assert harness.ledger.orders == {}
 
     curio.run(main)
 
 
 def test_an_order_that_comes_twice_is_carried_out_once():
-    """Symptom: a start is repeated after its run has ended. Sequence: a new leader
-    sends an order again. Cause: each copy was taken for a new one.
+    """Guards against a start that is repeated after its run has ended.
+
+    A new leader sends an order again, and each copy is taken for a new order.
     """
 
     async def main() -> None:
-        async with build_stage() as stage:
-            await stage.order()
-            await stage.order()
-            assert len(stage.runtime.starts) == 1
+        async with build_harness() as harness:
+            await harness.order()
+            await harness.order()
+            assert len(harness.runtime.starts) == 1
 
     curio.run(main)
 
 
 def test_a_draining_worker_starts_nothing():
-    """Symptom: a task ends with its worker. Sequence: the runner says that it drains;
-    an order of before arrives. Cause: the leader alone looked.
+    """Guards against a task that is started on a worker about to end.
+
+    An order sent before the runner reported that it drains arrives after that, and only
+    the leader checks for draining.
     """
 
     async def main() -> None:
-        async with build_stage() as stage:
-            stage.ledger.beat = replace(build_beat("w"), draining=True)
-            await stage.order()
-            assert stage.runtime.starts == []
-            [order] = stage.ledger.orders.values()
+        async with build_harness() as harness:
+            harness.ledger.beat = replace(build_beat("w"), draining=True)
+            await harness.order()
+            assert harness.runtime.starts == []
+            [order] = harness.ledger.orders.values()
             assert order.state is OrderState.REFUSED
 
     curio.run(main)
 
 
-def test_nothing_starts_once_the_grant_has_run_out():
-    """Symptom: a task runs twice. Sequence: an agent stands still past its grant with
-    an order in hand, and goes on; the tasks were placed elsewhere meanwhile. Cause: the
-    grant was looked at when the order came.
+def test_nothing_starts_after_the_grant_has_expired():
+    """Guards against a task that runs twice.
+
+    An agent is suspended with a pending order until its grant has expired, and the task
+    is placed elsewhere. The grant is checked only when the order arrives.
     """
 
     async def main() -> None:
-        async with build_stage() as stage:
-            stage.ledger.authority.granted_until = read_boot_clock() - 0.1
-            await stage.order()
-            assert stage.runtime.starts == []
-            [order] = stage.ledger.orders.values()
+        async with build_harness() as harness:
+            harness.ledger.authority.granted_until = read_boot_clock() - 0.1
+            await harness.order()
+            assert harness.runtime.starts == []
+            [order] = harness.ledger.orders.values()
             assert order.state is OrderState.REFUSED
             assert order.detail == "the leader's grant has run out"
 
@@ -140,54 +144,57 @@
 
 
 def test_an_order_does_not_outlive_its_incarnation():
-    """Symptom: a reborn worker starts what its last incarnation was told to.
+    """Guards against a restarted worker that starts runs of its last incarnation.
 
-    Sequence: an order is taken; before it is carried out the worker is reborn. Cause:
-    the incarnation was compared only when the order came.
+    The worker restarts after an order has arrived and before it is carried out, and the
+    incarnation is compared only on arrival.
     """
 
     async def main() -> None:
-        async with build_stage() as stage:
+        async with build_harness() as harness:
             start = RunOrder(TASK, 1, "", "", False, 0)
             directive = Directive(1, 1, 10_000, 7, "w", 0, (), (start,), (), ())
-            await stage.executor.carry_out(directive)
-            reborn = replace(build_beat("w"), worker="reborn")
-            stage.ledger.beat = reborn
+            await harness.executor.carry_out(directive)
+            restarted = replace(build_beat("w"), worker="restarted")
+            harness.ledger.beat = restarted
             await curio.sleep(SETTLE_S)
-            assert stage.runtime.starts == []
+            assert harness.runtime.starts == []
 
     curio.run(main)
 
 
 def test_a_stop_is_repeated_until_the_runner_answers():
-    """Symptom: a run that was given up goes on. Sequence: the stop is refused for a
-    moment. Cause: it was sent once.
+    """Guards against a run that continues after the leader has given it up.
+
+    The runner refuses the stop for a moment, and the stop is sent only once.
     """
 
     async def main() -> None:
-        async with build_stage() as stage:
-            stage.runtime.result = CallResult.UNKNOWN
-            await stage.stop()
-            stage.runtime.result = CallResult.DONE
+        async with build_harness() as harness:
+            harness.runtime.result = CallResult.UNKNOWN
+            await harness.stop()
+            harness.runtime.result = CallResult.DONE
             await curio.sleep(2 * RETRY_S)
-            assert len(stage.runtime.stops) >= 2
-            assert stage.ledger.orders[TASK, 1].settled_at > 0
+            assert len(harness.runtime.stops) >= 2
+            assert harness.ledger.orders[TASK, 1].settled_at > 0
 
     curio.run(main)
 
 
 def test_a_stop_ends_with_the_incarnation_that_it_is_for():
-    """Symptom: a reborn worker's run of the same number is stopped. Sequence: a stop
-    finds no answer; the worker is reborn. Cause: the stop went on for the address.
+    """Guards against a stop that ends a run of the next incarnation.
+
+    The worker restarts while a stop gets no answer, and the stop is repeated for the
+    same address.
     """
 
     async def main() -> None:
-        async with build_stage() as stage:
-            stage.runtime.result = CallResult.UNKNOWN
-            await stage.stop()
-            stage.ledger.adopt(build_beat("reborn"))
-            asked = len(stage.runtime.stops)
+        async with build_harness() as harness:
+            harness.runtime.result = CallResult.UNKNOWN
+            await harness.stop()
+            harness.ledger.adopt(build_beat("restarted"))
+            asked = len(harness.runtime.stops)
             await curio.sleep(3 * RETRY_S)
-            assert len(stage.runtime.stops) == asked
+            assert len(harness.runtime.stops) == asked
 
     curio.run(main)
--- a/tests/unit/test_jobagent_renewal.py
+++ b/tests/unit/test_jobagent_renewal.py
@@ -1,4 +1,4 @@
-"""Calls of an agent that keep the lease and look at its runner."""
+"""Tests of lease renewal and of the verification of incarnations."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from pistachiodeal.clock import read_boot_clock
 from pistachiodeal.jobagent.ledger import AgentLedger
-from pistachiodeal.jobagent.paces import PaceKeeper
+from pistachiodeal.jobagent.paces import PaceController
 from pistachiodeal.jobagent.renewal import Renewal
 from pistachiodeal.jobagent.signals import AgentSignals
 from pistachiodeal.jobs.runtime import CallResult, Listing
@@ -18,7 +18,7 @@
 
 @dataclass
 class FakeRuntime:
-    """Answers each renewal as it is told; the tokens of the calls are kept."""
+    """Gives a set answer to each renewal, and records the tokens of the calls."""
 
     listing: Listing = field(default_factory=lambda: Listing(CallResult.DONE, 100))
     tokens: list[int] = field(default_factory=list)
@@ -32,8 +32,8 @@
 
 
 @dataclass
-class Stage:
-    """An agent whose worker ``w@1`` is known and whose leader has granted it time."""
+class AgentHarness:
+    """An agent that has adopted worker ``w@1`` and holds a grant of its leader."""
 
     ledger: AgentLedger
     runtime: FakeRuntime
@@ -41,66 +41,68 @@
     renewal: Renewal
 
 
-def build_stage(listing: Listing) -> Stage:
+def build_harness(listing: Listing) -> AgentHarness:
     events = create_quiet_log()
     ledger = AgentLedger(events)
-    ledger.take_directive(build_directive("w@1"), read_boot_clock())
+    ledger.apply_directive(build_directive("w@1"), read_boot_clock())
     ledger.adopt(build_beat("w@1"))
     runtime, signals = FakeRuntime(listing), AgentSignals()
-    paces = PaceKeeper(ledger, runtime, events, 4.0)
+    paces = PaceController(ledger, runtime, events, 4.0)
     renewal = Renewal(ledger, runtime, paces, events, signals)
-    return Stage(ledger, runtime, signals, renewal)
+    return AgentHarness(ledger, runtime, signals, renewal)
 
 
-def test_a_start_is_looked_into_under_a_token_of_its_own():
-    """An order for the earlier start is carried out after the look at the next one."""
+def test_a_start_is_verified_under_a_token_of_its_own():
+    """Guards against an order for an earlier start that takes effect after it."""
 
     async def main():
-        stage = build_stage(Listing(CallResult.DONE, 100))
-        before = stage.ledger.authority.token
-        await stage.renewal.verify(build_beat("w@2"))
-        assert stage.runtime.tokens == [before + 1]
-        assert stage.ledger.authority.token == before + 1
+        harness = build_harness(Listing(CallResult.DONE, 100))
+        before = harness.ledger.authority.token
+        await harness.renewal.verify(build_beat("w@2"))
+        assert harness.runtime.tokens == [before + 1]
+        assert harness.ledger.authority.token == before + 1
 
     curio.run(main)
 
 
-def test_a_call_that_another_one_has_overtaken_ends_no_link():
-    """An agent leaves its leader because of its own higher token."""
+def test_a_call_that_another_one_has_overtaken_does_not_end_the_link():
+    """Guards against an agent that leaves its leader because of its own token."""
 
     async def main():
-        stage = build_stage(Listing(CallResult.FENCED))
-        renewing = await curio.spawn(stage.renewal._renew, 0)
+        harness = build_harness(Listing(CallResult.FENCED))
+        renewing = await curio.spawn(harness.renewal._renew, 0)
         await curio.sleep(0)
-        stage.ledger.authority.starts += 1
+        harness.ledger.authority.token_increments += 1
         assert not await renewing.join()
-        assert not stage.signals.fenced.is_set()
-        assert not await stage.renewal._renew(0)
-        assert stage.signals.fenced.is_set()
+        assert not harness.signals.fenced.is_set()
+        assert not await harness.renewal._renew(0)
+        assert harness.signals.fenced.is_set()
 
     curio.run(main)
 
 
-def test_a_listing_that_cannot_be_read_ends_no_worker():
-    """One answer of another writer loses all that runs there."""
+def test_an_unreadable_listing_does_not_drop_the_worker():
+    """Guards against losing all runs of a worker by one foreign answer."""
 
     async def main():
-        stage = build_stage(Listing(CallResult.UNREADABLE, detail="born is missing"))
-        assert not await stage.renewal._renew(0)
-        assert stage.ledger.worker == "w@1"
+        harness = build_harness(
+            Listing(CallResult.UNREADABLE, detail="born is missing")
+        )
+        assert not await harness.renewal._renew(0)
+        assert harness.ledger.worker == "w@1"
 
     curio.run(main)
 
 
-def test_a_worker_adopted_meanwhile_outlasts_an_older_answer():
-    """An answer of an earlier start, on its way until now, ends the present one."""
+def test_a_worker_adopted_meanwhile_is_not_dropped_by_an_older_answer():
+    """Guards against a delayed answer for an earlier start that drops the worker."""
 
     async def main():
-        stage = build_stage(Listing(CallResult.OTHER_INCARNATION))
-        renewing = await curio.spawn(stage.renewal._renew, 0)
+        harness = build_harness(Listing(CallResult.OTHER_INCARNATION))
+        renewing = await curio.spawn(harness.renewal._renew, 0)
         await curio.sleep(0)
-        stage.ledger.adopt(build_beat("w@2"))
+        harness.ledger.adopt(build_beat("w@2"))
         await renewing.join()
-        assert stage.ledger.worker == "w@2"
+        assert harness.ledger.worker == "w@2"
 
     curio.run(main)
--- a/tests/unit/test_leader_reconcile.py
+++ b/tests/unit/test_leader_reconcile.py
@@ -184,7 +184,7 @@
         harness.registry, harness.fleet, harness.reconciler, LimitSettings()
     )
     harness.report(running=[RunningTask(TASK, 1, "", 10, 0, pace_milli)])
-    harness.task.moved_at -= listed_s
+    harness.task.progressed_at -= listed_s
     # Being held back by its pace is another reason, which has its own test.
     harness.task.slow_since = read_boot_clock()
     descheduler.run(read_boot_clock())
