--- a/pistachiodeal/jobentry/acceptance.py
+++ b/pistachiodeal/jobentry/acceptance.py
@@ -34,11 +34,11 @@
 # With less time than this a write is not begun. Callers that come back have little more
 # left: with all of the margin kept, their inserts would be sent and answered "unknown"
 # in the same millisecond.
-SHORTEST_WAIT_S = 0.02
+MIN_WRITE_TIME_S = 0.02
 # A store that is away is asked again this often, and first after a short while: one
 # that refuses writes for their rate and answers reads would be written to in a loop.
-PROBE_S = 0.2
-FIRST_PROBE_S = 0.05
+PROBE_INTERVAL_S = 0.2
+FIRST_PROBE_DELAY_S = 0.05
 
 
 class Acceptance:
@@ -58,8 +58,8 @@
         self._queue = InsertQueue()
         self._unsettled: list[Insert] = []
         self._down_since = 0.0
-        self._lost = curio.Event()
-        self._dice = random.Random()
+        self._store_lost = curio.Event()
+        self._random = random.Random()
 
     async def insert(self, key: str, value: bytes, budget_s: float) -> None:
         """Insert a row that may be there already; return when it is durable.
@@ -70,14 +70,14 @@
         if self._down_since:
             raise self._build_refusal("the store is away")
         wait_s = budget_s - min(ANSWER_MARGIN_S, budget_s / 2)
-        if wait_s < SHORTEST_WAIT_S:
+        if wait_s < MIN_WRITE_TIME_S:
             raise self._build_refusal("its caller leaves no time for a write")
         insert = Insert(key, value)
         await self._queue.put(insert)
         async with curio.ignore_after(wait_s):
             await insert.done.wait()
         if not insert.done.is_set():
-            insert.given_up = True
+            insert.abandoned = True
             insert.error = self._build_failure(
                 insert, "the store gave no answer in time"
             )
@@ -88,14 +88,14 @@
         """Write for ever."""
         async with curio.TaskGroup() as group:
             for _ in range(WRITERS):
-                await group.spawn(self._keep_writing)
-            await group.spawn(self._keep_probing)
+                await group.spawn(self._run_writer)
+            await group.spawn(self._run_probe)
 
-    async def _keep_writing(self) -> None:
+    async def _run_writer(self) -> None:
         while True:
             partition, batch = await self._queue.take()
             while batch:
-                batch = await self._write([one for one in batch if not one.given_up])
+                batch = await self._write([one for one in batch if not one.abandoned])
             await self._queue.finish(partition)
 
     async def _write(self, batch: list[Insert]) -> list[Insert]:
@@ -103,30 +103,30 @@
         if not batch:
             return []
         if self._down_since:
-            await self._put_off(batch, "the store is away")
+            await self._defer_or_refuse(batch, "the store is away")
             return []
         for insert in batch:
             insert.tries += 1
         try:
             result = await self._store.commit(_build(batch))
         except StoreUncertainError as error:
-            await self._note_down(error)
-            await self._put_off(batch, str(error))
+            await self._mark_down(error)
+            await self._defer_or_refuse(batch, str(error))
             return []
         except StoreError as error:
             # Nothing was done by this try.
             for insert in batch:
                 insert.tries -= 1
-            await self._note_down(error)
-            await self._put_off(batch, str(error))
+            await self._mark_down(error)
+            await self._defer_or_refuse(batch, str(error))
             return []
         if result.committed:
             for insert in batch:
                 await insert.done.set()
             return []
-        return await self._take_conflict(batch, result)
+        return await self._resolve_conflict(batch, result)
 
-    async def _take_conflict(
+    async def _resolve_conflict(
         self, batch: list[Insert], result: TransactionResult
     ) -> list[Insert]:
         # One row that is there already fails the whole transaction. It is a repeat of
@@ -140,7 +140,7 @@
                 again.append(insert)
         return again
 
-    async def _put_off(self, batch: list[Insert], detail: str) -> None:
+    async def _defer_or_refuse(self, batch: list[Insert], detail: str) -> None:
         """Keep what may have taken effect for later; refuse what certainly has not."""
         for insert in batch:
             if insert.tries:
@@ -149,16 +149,16 @@
                 insert.error = self._build_failure(insert, detail)
                 await insert.done.set()
 
-    async def _keep_probing(self) -> None:
+    async def _run_probe(self) -> None:
         """Find out when the store is back, and then settle what has no answer."""
         while True:
-            await self._lost.wait()
-            await curio.sleep(FIRST_PROBE_S)
+            await self._store_lost.wait()
+            await curio.sleep(FIRST_PROBE_DELAY_S)
             if not await probe_store(self._store):
-                await curio.sleep(PROBE_S)
+                await curio.sleep(PROBE_INTERVAL_S)
                 continue
             away_s = read_boot_clock() - self._down_since
-            self._lost.clear()
+            self._store_lost.clear()
             self._down_since = 0.0
             unsettled, self._unsettled = self._unsettled, []
             self._events.emit(
@@ -167,12 +167,12 @@
             for insert in unsettled:
                 await self._queue.put(insert)
 
-    async def _note_down(self, error: StoreError) -> None:
+    async def _mark_down(self, error: StoreError) -> None:
         if self._down_since:
             return
         self._down_since = read_boot_clock()
         self._events.emit("store.lost", cause=str(error))
-        await self._lost.set()
+        await self._store_lost.set()
 
     def _build_failure(self, insert: Insert, detail: str) -> RequestError:
         if not insert.tries:
@@ -192,7 +192,7 @@
             detail,
             code="store_unavailable",
             status=503,
-            retry_after=choose_retry_after_s(away_s, self._dice),
+            retry_after=choose_retry_after_s(away_s, self._random),
             step="jobs.accept",
         )
 
--- a/pistachiodeal/jobentry/api.py
+++ b/pistachiodeal/jobentry/api.py
@@ -7,13 +7,13 @@
 from pistachiodeal.events import EventLog
 from pistachiodeal.exceptions import Outcome, RequestError, StoreError
 from pistachiodeal.jobentry.acceptance import Acceptance
-from pistachiodeal.jobentry.configuration import ConfigurationKeeper
+from pistachiodeal.jobentry.configuration import ConfigurationWatcher
 from pistachiodeal.jobentry.states import JobStates
 from pistachiodeal.jobs.model import Queue
 from pistachiodeal.jobs.rows import CANCEL_VALUE, build_cancel_key, encode_job
 from pistachiodeal.platform.callers import (
-    build_pending,
-    build_state,
+    build_pending_response,
+    build_state_response,
     parse_job,
     read_budget_s,
     read_host,
@@ -31,7 +31,7 @@
 
     def __init__(
         self,
-        configuration: ConfigurationKeeper,
+        configuration: ConfigurationWatcher,
         acceptance: Acceptance,
         states: JobStates,
         events: EventLog,
@@ -98,11 +98,11 @@
                 step="jobs",
             )
         if not job_id:
-            return build_pending(await self._states.count_pending(queue))
+            return build_pending_response(await self._states.count_pending(queue))
         state = await self._states.find_state(job_id)
         if state is None:
             return self._build_unknown(job_id, "state")
-        return build_state(state)
+        return build_state_response(state)
 
     async def _submit(
         self, queue: Queue, job_id: str, request: WebRequest
--- a/pistachiodeal/jobentry/app.py
+++ b/pistachiodeal/jobentry/app.py
@@ -9,7 +9,7 @@
 from pistachiodeal.events import EventLog
 from pistachiodeal.jobentry.acceptance import Acceptance
 from pistachiodeal.jobentry.api import CallerApi
-from pistachiodeal.jobentry.configuration import ConfigurationKeeper
+from pistachiodeal.jobentry.configuration import ConfigurationWatcher
 from pistachiodeal.jobentry.handover import HandOver
 from pistachiodeal.jobentry.relay import RelayedRows, build_dispatcher
 from pistachiodeal.jobentry.seat import Seat
@@ -18,7 +18,7 @@
 from pistachiodeal.leader.election import Election
 from pistachiodeal.leader.fitness import compute_fitness
 from pistachiodeal.peers import build_metrics, create_peer_context
-from pistachiodeal.platform.advice import create_advice
+from pistachiodeal.platform.advice import create_adviser
 from pistachiodeal.platform.rows import create_rows
 from pistachiodeal.reload import wait_for_stop
 from pistachiodeal.signals import SignalWatch
@@ -30,11 +30,11 @@
 
 # The balancer asks for readiness once a second and takes two misses; until then it
 # goes on sending new connections, which a closed listener would turn away.
-LEAVE_ROTATION_S = 2.4
+BALANCER_DELAY_S = 2.4
 # Kept of the grace period for the end of the process itself, which then cuts nobody
 # off: 0.6 s where twice as many processes are busy as there are cores.
-END_S = 0.9
-LEAST_DRAIN_S = 1.0
+PROCESS_EXIT_S = 0.9
+MIN_DRAIN_S = 1.0
 # Requests of callers arrive within milliseconds of each other; the configuration's own
 # limit is applied when a body is parsed.
 BODY_BYTES = 262_144
@@ -51,19 +51,19 @@
         peers = create_peer_context(settings, ENTRY_ROLE, events)
         peers.directory.note_entry(settings.peer_address)
         relayed = RelayedRows(store, self._find_leader_link, events)
-        self._configuration = ConfigurationKeeper(relayed, events)
-        self._seat = Seat(
+        self._configuration = ConfigurationWatcher(relayed, events)
+        self._peer_server = Seat(
             store,
             peers,
             self._configuration.refresh,
             settings.limits,
-            create_advice(settings.advice) if settings.advice else None,
+            create_adviser(settings.advice) if settings.advice else None,
         )
         fitness = compute_fitness(settings.processor.cores, settings.link_mbps)
-        self._election = Election(store, peers, self._seat.lead, fitness=fitness)
-        self._handover = HandOver(self._seat, self._election, events, fitness)
+        self._election = Election(store, peers, self._peer_server.lead, fitness=fitness)
+        self._handover = HandOver(self._peer_server, self._election, events, fitness)
         self._acceptance = Acceptance(relayed, events)
-        states = JobStates(relayed, self._seat, self._election)
+        states = JobStates(relayed, self._peer_server, self._election)
         self._election.set_answer_handler(build_dispatcher(relayed, states.take_answer))
         api = CallerApi(
             self._configuration,
@@ -83,17 +83,17 @@
             self._answer_metrics,
             WebLimits(),
         )
-        self._leaving = False
-        left_s = settings.limits.grace_s - LEAVE_ROTATION_S - END_S
-        self._drain_s = max(LEAST_DRAIN_S, left_s)
+        self._stopping = False
+        left_s = settings.limits.grace_s - BALANCER_DELAY_S - PROCESS_EXIT_S
+        self._drain_s = max(MIN_DRAIN_S, left_s)
 
     async def run(self, signals: SignalWatch) -> None:
         """Serve until a signal to stop."""
         supervisor = Supervisor("entry")
         supervisor.add("configuration", self._configuration.run)
-        supervisor.add("configuration look", self._configuration.look)
+        supervisor.add("configuration look", self._configuration.poll)
         supervisor.add("acceptance", self._acceptance.run)
-        supervisor.add("peers", self._seat.listen)
+        supervisor.add("peers", self._peer_server.listen)
         supervisor.add("readiness", self._readiness.run)
         supervisor.add("metrics", self._metrics.run)
         supervisor.add("callers", self._callers.run)
@@ -103,32 +103,32 @@
         running = await curio.spawn(supervisor.run)
         electing = await curio.spawn(election.run)
         await wait_for_stop(signals, self._settings, self._events)
-        await self._leave(electing)
+        await self._shut_down(electing)
         await supervisor.stop()
         await running.join()
 
     def _find_leader_link(self) -> Link | None:
         return self._election.link
 
-    async def _leave(self, electing: curio.Task) -> None:
-        self._leaving = True
+    async def _shut_down(self, electing: curio.Task) -> None:
+        self._stopping = True
         self._events.emit("process.stopping")
         # Callers' connections drain meanwhile: a store that is slow holds up only the
         # lead, and the process still ends within its grace period.
-        giving = await curio.spawn(self._give_lead, electing)
-        await curio.sleep(LEAVE_ROTATION_S)
+        handing_over = await curio.spawn(self._hand_over, electing)
+        await curio.sleep(BALANCER_DELAY_S)
         drained = await self._callers.drain(self._drain_s)
-        await giving.cancel()
+        await handing_over.cancel()
         await electing.cancel()
         self._events.emit("process.stopped", drained=drained)
 
-    async def _give_lead(self, electing: curio.Task) -> None:
+    async def _hand_over(self, electing: curio.Task) -> None:
         if not await self._handover.leave():
             await electing.cancel()
             await self._election.resign()
 
     async def _answer_ready(self, request: WebRequest) -> WebResponse:
-        ready = not self._leaving and self._configuration.current is not None
+        ready = not self._stopping and self._configuration.current is not None
         return WebResponse(200 if ready else 503)
 
     async def _answer_metrics(self, request: WebRequest) -> WebResponse:
--- a/pistachiodeal/jobentry/configuration.py
+++ b/pistachiodeal/jobentry/configuration.py
@@ -27,10 +27,10 @@
 RETRY_S = 0.15
 # A feed can be cut off without a word while its history is dropped; a look at the row
 # this often keeps a change within the second or two in which it has to be in force.
-LOOK_S = 0.7
+POLL_INTERVAL_S = 0.7
 
 
-class ConfigurationKeeper:
+class ConfigurationWatcher:
     """Follows the configuration; never goes back to an older one."""
 
     def __init__(self, store: RowStore, events: EventLog) -> None:
@@ -66,10 +66,10 @@
                 log.debug("configuration: cannot follow it: {}", error)
                 await curio.sleep(RETRY_S)
 
-    async def look(self) -> None:
+    async def poll(self) -> None:
         """Read the row itself, now and then."""
         while True:
-            await curio.sleep(LOOK_S)
+            await curio.sleep(POLL_INTERVAL_S)
             try:
                 await self._read()
             except StoreError as error:
@@ -79,15 +79,15 @@
         if not self._version:
             self._version = await self._read()
         page = await self._store.follow(CONFIG_TABLE, self._version, FEED_WAIT_S)
-        self._take(page.rows)
+        self._apply_rows(page.rows)
         self._version = max(self._version, page.version)
 
     async def _read(self) -> int:
         page = await read_row(self._store, CONFIG_TABLE, CONFIG_KEY)
-        self._take(page.rows)
+        self._apply_rows(page.rows)
         return page.version
 
-    def _take(self, rows: tuple[StoredRow, ...]) -> None:
+    def _apply_rows(self, rows: tuple[StoredRow, ...]) -> None:
         for row in rows:
             if row.key != CONFIG_KEY or row.removed:
                 continue
--- a/pistachiodeal/jobentry/handover.py
+++ b/pistachiodeal/jobentry/handover.py
@@ -20,10 +20,10 @@
 log = Logger("handover")
 
 # How often a weak leader looks for a fitter follower.
-WATCH_S = 1.0
+CHECK_INTERVAL_S = 1.0
 # A successor has to read its row and to dial this process, which is slow where the
 # store is; one that doesn't in this time is gone, and the row says so to others.
-ANSWER_S = 1.5
+SUCCESSOR_TIMEOUT_S = 1.5
 POLL_S = 0.01
 
 
@@ -34,9 +34,9 @@
     """
 
     def __init__(
-        self, seat: Seat, election: Election, events: EventLog, fitness: float
+        self, peer_server: Seat, election: Election, events: EventLog, fitness: float
     ) -> None:
-        self._seat = seat
+        self._peer_server = peer_server
         self._election = election
         self._events = events
         self._fitness = fitness
@@ -48,26 +48,26 @@
         times as much only follow.
         """
         while True:
-            await curio.sleep(WATCH_S)
-            leadership = self._seat.leadership
-            follower = self._seat.find_fittest()
+            await curio.sleep(CHECK_INTERVAL_S)
+            leadership = self._peer_server.leadership
+            follower = self._peer_server.find_fittest()
             if leadership is None or follower is None or not leadership.calm:
                 continue
             fitter = follower.holder.fitness >= MUCH_FITTER * self._fitness
             if is_weak(self._fitness) and fitter:
-                await self.give("a fitter entry follows")
+                await self.transfer_leadership("a fitter entry follows")
 
     async def leave(self) -> bool:
         """Stop leading, and never lead again; False if nobody could take over."""
         await self._election.retire()
-        if self._seat.leadership is None:
+        if self._peer_server.leadership is None:
             return True
-        return await self.give("this entry is stopping")
+        return await self.transfer_leadership("this entry is stopping")
 
-    async def give(self, why: str) -> bool:
+    async def transfer_leadership(self, why: str) -> bool:
         """Hand over to the fittest follower; tell whether it was done."""
-        leadership = self._seat.leadership
-        follower = self._seat.find_fittest()
+        leadership = self._peer_server.leadership
+        follower = self._peer_server.find_fittest()
         if leadership is None or follower is None:
             return False
         leadership.pause()
@@ -78,12 +78,12 @@
         self._events.emit(
             "leader.handed_over", epoch=epoch, to=follower.holder.node, why=why
         )
-        await self._seat.appoint(follower, epoch)
-        await curio.ignore_after(ANSWER_S, self._wait_for_successor)
-        await self._seat.make_way(epoch)
+        await self._peer_server.appoint(follower, epoch)
+        await curio.ignore_after(SUCCESSOR_TIMEOUT_S, self._wait_for_successor)
+        await self._peer_server.make_way(epoch)
         return True
 
     async def _wait_for_successor(self) -> None:
         """Wait until the successor has told this process that it leads."""
-        while self._seat.leadership is not None:
+        while self._peer_server.leadership is not None:
             await curio.sleep(POLL_S)
--- a/pistachiodeal/jobentry/insert_queue.py
+++ b/pistachiodeal/jobentry/insert_queue.py
@@ -16,7 +16,7 @@
 from pistachiodeal.jobs.rows import JOBS_TABLE, find_partition
 
 # Each insert is a condition and a write, and a transaction takes 100 entries.
-INSERTS_A_TRANSACTION = 40
+MAX_INSERTS_PER_TRANSACTION = 40
 
 
 @dataclass(slots=True, eq=False)
@@ -24,13 +24,13 @@
     """One row on its way.
 
     :param tries: tries that were sent; one without an answer may still take effect.
-    :param given_up: its caller has been answered; it is not to be sent any more.
+    :param abandoned: its caller has been answered; it is not to be sent any more.
     """
 
     key: str
     value: bytes
     tries: int = 0
-    given_up: bool = False
+    abandoned: bool = False
     error: RequestError | None = None
     done: curio.Event = field(default_factory=curio.Event)
 
@@ -57,8 +57,8 @@
         """Wait for a batch; return it with its partition, for :meth:`finish`."""
         partition = await self._ready.get()
         waiting = self._waiting[partition]
-        batch = waiting[:INSERTS_A_TRANSACTION]
-        del waiting[:INSERTS_A_TRANSACTION]
+        batch = waiting[:MAX_INSERTS_PER_TRANSACTION]
+        del waiting[:MAX_INSERTS_PER_TRANSACTION]
         return partition, batch
 
     async def finish(self, partition: str) -> None:
--- a/pistachiodeal/jobentry/relay.py
+++ b/pistachiodeal/jobentry/relay.py
@@ -25,7 +25,7 @@
     StoreUncertainError,
 )
 from pistachiodeal.jobentry.probe import probe_store
-from pistachiodeal.store.patience import LONGEST_S
+from pistachiodeal.store.patience import MAX_TIMEOUT_S
 from pistachiodeal.store.row_store import (
     RowCondition,
     RowPage,
@@ -48,12 +48,12 @@
 log = Logger("relay")
 
 # The leader waits for the store a little less than this, also for one that is slow.
-ANSWER_TIMEOUT_S = LONGEST_S + 0.3
+ANSWER_TIMEOUT_S = MAX_TIMEOUT_S + 0.3
 # A store that turns this process away is asked again this often.
-PROBE_S = 0.3
+PROBE_INTERVAL_S = 0.3
 # Calls that a leader makes for others at a time; more are refused. Each takes some
 # 5 ms of an answering store.
-MOST_RELAYED = 32
+MAX_RELAYED_CALLS = 32
 STEP = "relay"
 
 RelayCall = RelayCommit | RelayRead
@@ -76,16 +76,16 @@
 
     async def take(self, link: Link, call: RelayCall) -> None:
         """Begin a call; its answer follows on the link."""
-        if self._running >= MOST_RELAYED:
+        if self._running >= MAX_RELAYED_CALLS:
             self._events.emit("relay.refused", peer=link.address, running=self._running)
             await self._send(link, _build_failure(call, _Failure.REFUSED))
             return
         self._running += 1
-        await curio.spawn(self._make, link, call, daemon=True)
+        await curio.spawn(self._run, link, call, daemon=True)
 
-    async def _make(self, link: Link, call: RelayCall) -> None:
+    async def _run(self, link: Link, call: RelayCall) -> None:
         try:
-            answer = await self._call(call)
+            answer = await self._call_store(call)
         except StoreUncertainError as error:
             log.debug("relay: no answer of the store: {}", error)
             answer = _build_failure(call, _Failure.UNCERTAIN)
@@ -96,7 +96,7 @@
             self._running -= 1
         await self._send(link, answer)
 
-    async def _call(self, call: RelayCall) -> RelayAnswer:
+    async def _call_store(self, call: RelayCall) -> RelayAnswer:
         if isinstance(call, RelayRead):
             page = await self._store.read(
                 call.table, call.start, call.end, call.limit, call.partition
@@ -140,18 +140,18 @@
 
     async def commit(self, transaction: Transaction) -> TransactionResult:
         """Apply a transaction; see ``RowStore``."""
-        link = self._find_detour()
+        link = self._find_relay_link()
         if link is None:
             try:
                 return await self._store.commit(transaction)
             except StoreUncertainError as error:
                 # It may still be carried out. Whoever sends it again sees by the rows
                 # whether it was; that is not for this class to decide.
-                await self._note_away(error)
+                await self._mark_away(error)
                 raise
             except StoreError as error:
-                await self._note_away(error)
-                link = self._find_detour()
+                await self._mark_away(error)
+                link = self._find_relay_link()
                 if link is None:
                     raise
         answer = await self._ask(link, lambda number: _pack_commit(number, transaction))
@@ -167,13 +167,13 @@
         partition: str = "",
     ) -> RowPage:
         """Return a range of rows; see ``RowStore``."""
-        link = self._find_detour()
+        link = self._find_relay_link()
         if link is None:
             try:
                 return await self._store.read(table, start, end, limit, partition)
             except StoreError as error:
-                await self._note_away(error)
-                link = self._find_detour()
+                await self._mark_away(error)
+                link = self._find_relay_link()
                 if link is None:
                     raise
         answer = await self._ask(
@@ -187,7 +187,7 @@
         """Return what has changed; never relayed, as it would hold the leader up."""
         return await self._store.follow(table, after, wait_s)
 
-    def _find_detour(self) -> Link | None:
+    def _find_relay_link(self) -> Link | None:
         return self._find_link() if self._away_since else None
 
     async def _ask(self, link: Link, build: Callable[[int], RelayCall]) -> RelayAnswer:
@@ -212,7 +212,7 @@
             raise StoreUnavailableError("refused", step=STEP, peer=link.address)
         return answer
 
-    async def _note_away(self, error: StoreError) -> None:
+    async def _mark_away(self, error: StoreError) -> None:
         if self._away_since:
             return
         self._away_since = read_boot_clock()
@@ -222,7 +222,7 @@
     async def _probe(self) -> None:
         """Ask the store itself until it answers."""
         while True:
-            await curio.sleep(PROBE_S)
+            await curio.sleep(PROBE_INTERVAL_S)
             if not await probe_store(self._store):
                 continue
             away_s = read_boot_clock() - self._away_since
--- a/pistachiodeal/jobentry/seat.py
+++ b/pistachiodeal/jobentry/seat.py
@@ -40,11 +40,11 @@
 
 log = Logger("seat")
 
-NOTICE_S = 0.25
+NOTICE_INTERVAL_S = 0.25
 # Nobody waits longer for a link that takes no more bytes when the lead goes over.
-TELL_S = 0.2
-LOAD_POLL_S = 0.03
-LOAD_WAIT_S = 3.0
+BROADCAST_TIMEOUT_S = 0.2
+LOAD_POLL_INTERVAL_S = 0.03
+LOAD_TIMEOUT_S = 3.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -107,7 +107,7 @@
         leadership = self._leadership
         if leadership is None:
             return
-        await self._tell_all()
+        await self._broadcast_notice()
         await leadership.step_down(epoch)
 
     async def lead(self, authority: Authority) -> None:
@@ -158,10 +158,10 @@
         waited_s = 0.0
         while not leadership.loaded:
             # Set against an empty book, all runs of a worker would look like strays.
-            if waited_s > LOAD_WAIT_S or self._leadership is not leadership:
+            if waited_s > LOAD_TIMEOUT_S or self._leadership is not leadership:
                 return
-            await curio.sleep(LOAD_POLL_S)
-            waited_s += LOAD_POLL_S
+            await curio.sleep(LOAD_POLL_INTERVAL_S)
+            waited_s += LOAD_POLL_INTERVAL_S
         self._links.add(link)
         try:
             await leadership.sessions.serve(link)
@@ -171,19 +171,19 @@
     async def _serve_entry(self, link: Link) -> None:
         await link.send(self._build_notice())
         if self._leadership is None:
-            await self._take_news(link)
+            await self._receive_notices(link)
             return
         self._links.add(link)
-        notifier = await curio.spawn(self._notify, link, daemon=True)
+        notifier = await curio.spawn(self._send_notices, link, daemon=True)
         try:
             while True:
                 message = await link.receive()
                 if isinstance(message, LeaderNotice):
-                    await self._take_notice(message)
+                    await self._handle_notice(message)
                 elif isinstance(message, EntryState):
-                    self._take_state(link, message)
+                    self._handle_entry_state(link, message)
                 elif isinstance(message, JobQuery):
-                    await self._answer(link, message)
+                    await self._answer_query(link, message)
                 elif isinstance(message, JobNotice) and self._leadership is not None:
                     self._leadership.announce(message.key)
                 elif isinstance(message, RelayCommit | RelayRead):
@@ -193,20 +193,20 @@
             self._followers.pop(link, None)
             await notifier.cancel()
 
-    async def _take_news(self, link: Link) -> None:
+    async def _receive_notices(self, link: Link) -> None:
         """Hear who leads from an entry that has dialled; others only ask, and leave."""
         while self._leadership is None:
             message = await link.receive()
             if isinstance(message, LeaderNotice):
-                await self._take_notice(message)
+                await self._handle_notice(message)
 
-    async def _take_notice(self, notice: LeaderNotice) -> None:
+    async def _handle_notice(self, notice: LeaderNotice) -> None:
         self._directory.take_notice(notice)
         leadership = self._leadership
         if leadership is not None and notice.epoch > leadership.epoch:
             await self.make_way(notice.epoch)
 
-    def _take_state(self, link: Link, state: EntryState) -> None:
+    def _handle_entry_state(self, link: Link, state: EntryState) -> None:
         peer = link.peer
         self._directory.note_entry(state.address)
         self._followers[link] = Follower(
@@ -219,30 +219,33 @@
             ),
         )
 
-    async def _tell_all(self) -> None:
+    async def _broadcast_notice(self) -> None:
         """Tell agents and entries who leads now, so that nobody has to search."""
         notice = self._directory.build_notice()
 
-        async def tell(link: Link) -> None:
+        async def send(link: Link) -> None:
             try:
                 await link.send(notice)
             except PistachiodealError as error:
                 log.debug("seat: a link ended: {}", error)
 
-        async with curio.ignore_after(TELL_S), curio.TaskGroup(wait=all) as group:
+        async with (
+            curio.ignore_after(BROADCAST_TIMEOUT_S),
+            curio.TaskGroup(wait=all) as group,
+        ):
             for link in list(self._links):
-                await group.spawn(tell, link)
+                await group.spawn(send, link)
 
-    async def _notify(self, link: Link) -> None:
-        told = 0
+    async def _send_notices(self, link: Link) -> None:
+        sent_revision = 0
         try:
             while not link.closed:
                 # The list of entries goes out when it has changed. With each notice,
                 # the bytes would grow by the square of the number of entries.
-                news = self._directory.revision != told
-                told = self._directory.revision
-                await link.send(self._build_notice(with_entries=news))
-                await curio.sleep(NOTICE_S)
+                changed = self._directory.revision != sent_revision
+                sent_revision = self._directory.revision
+                await link.send(self._build_notice(with_entries=changed))
+                await curio.sleep(NOTICE_INTERVAL_S)
         except PistachiodealError as error:
             log.debug("seat: a link ended: {}", error)
 
@@ -253,7 +256,7 @@
             age_ms = int(leadership.store_age_s * 1000)
         return self._directory.build_notice(age_ms, with_entries=with_entries)
 
-    async def _answer(self, link: Link, query: JobQuery) -> None:
+    async def _answer_query(self, link: Link, query: JobQuery) -> None:
         leadership = self._leadership
         if leadership is None or not leadership.loaded:
             return
--- a/pistachiodeal/jobentry/states.py
+++ b/pistachiodeal/jobentry/states.py
@@ -21,16 +21,16 @@
 # The leader answers from memory within a few ms; after this the store is asked.
 QUERY_TIMEOUT_S = 0.4
 # A count may be two seconds old.
-COUNT_KEPT_S = 1.5
+COUNT_MAX_AGE_S = 1.5
 RETRY_AFTER_S = 1.0
 
 
 class JobStates:
     """Finds states of jobs and counts of queues."""
 
-    def __init__(self, store: RowStore, seat: Seat, election: Election) -> None:
+    def __init__(self, store: RowStore, peer_server: Seat, election: Election) -> None:
         self._store = store
-        self._seat = seat
+        self._peer_server = peer_server
         self._election = election
         self._waiting: dict[int, curio.Queue] = {}
         self._request_id = 0
@@ -44,7 +44,7 @@
 
     async def announce(self, key: str) -> None:
         """Tell the leader of a durable row; the feed tells it too."""
-        leadership = self._seat.leadership
+        leadership = self._peer_server.leadership
         if leadership is not None:
             leadership.announce(key)
             return
@@ -61,7 +61,7 @@
 
         :raises RequestError: neither the leader nor the store answers.
         """
-        leadership = self._seat.leadership
+        leadership = self._peer_server.leadership
         state = leadership.find_state(job_id) if leadership else None
         if state is not None:
             return state
@@ -84,7 +84,7 @@
 
         :raises RequestError: the leader gives no answer and gave none lately.
         """
-        leadership = self._seat.leadership
+        leadership = self._peer_server.leadership
         if leadership is not None and leadership.loaded:
             return leadership.book.count_pending(queue.name)
         now = read_boot_clock()
@@ -93,7 +93,7 @@
             self._counts[queue.name] = (now, answer.pending)
             return answer.pending
         counted_at, count = self._counts.get(queue.name, (0.0, 0))
-        if now - counted_at < COUNT_KEPT_S:
+        if now - counted_at < COUNT_MAX_AGE_S:
             return count
         raise _build_refusal("nobody leads")
 
--- a/pistachiodeal/platform/advice.py
+++ b/pistachiodeal/platform/advice.py
@@ -19,7 +19,7 @@
 CONNECTIONS = 2
 
 
-class PlatformAdvice:
+class PlatformAdviser:
     """Calls to the service; see ``Adviser``."""
 
     def __init__(self, client: WebClient) -> None:
@@ -48,9 +48,9 @@
             raise AdviceError(repr(error), step="advice.decode", peer=peer) from None
 
 
-def create_advice(address: str) -> PlatformAdvice:
+def create_adviser(address: str) -> PlatformAdviser:
     """Return a client of the service at ``ip:port``."""
-    return PlatformAdvice(create_client(address, connections=CONNECTIONS))
+    return PlatformAdviser(create_client(address, connections=CONNECTIONS))
 
 
 def _decode(document: dict[str, Any], asked: dict[str, str]) -> Advice:
--- a/pistachiodeal/platform/callers.py
+++ b/pistachiodeal/platform/callers.py
@@ -57,12 +57,12 @@
     return job
 
 
-def build_state(state: JobState) -> WebResponse:
+def build_state_response(state: JobState) -> WebResponse:
     """Return the answer that tells a job's state."""
     return build_json(200, {"state": state.value})
 
 
-def build_pending(count: int) -> WebResponse:
+def build_pending_response(count: int) -> WebResponse:
     """Return the answer that tells how many jobs of a queue have not begun."""
     return build_json(200, {"pending_jobs": count})
 
--- a/pistachiodeal/platform/rows.py
+++ b/pistachiodeal/platform/rows.py
@@ -46,7 +46,7 @@
     def __init__(self, client: WebClient, find_partition: FindPartition) -> None:
         self._client = client
         self._find_partition = find_partition
-        self._patience = Patience()
+        self._adaptive_timeout = Patience()
 
     async def commit(self, transaction: Transaction) -> TransactionResult:
         """Apply a transaction; see ``RowStore``."""
@@ -101,7 +101,7 @@
         :param wait_s: how long the store may hold the answer back, seconds.
         """
         peer = self._client.address
-        timeout = wait_s + self._patience.limit_s
+        timeout = wait_s + self._adaptive_timeout.timeout_s
         began_at = read_boot_clock()
         try:
             response = await self._client.call(
@@ -117,7 +117,7 @@
                 ) from None
             raise StoreUncertainError(error.detail, step=step, peer=peer) from None
         if not wait_s:
-            self._patience.note_answer(read_boot_clock() - began_at)
+            self._adaptive_timeout.record_latency(read_boot_clock() - began_at)
         if response.status in REFUSALS:
             detail = f"refused with status {response.status}"
             raise StoreUnavailableError(detail, step=step, peer=peer)
--- a/pistachiodeal/platform/runner.py
+++ b/pistachiodeal/platform/runner.py
@@ -37,7 +37,7 @@
 HOLD_PATH = "/api/hold"
 DRAINING = "draining"
 # When this start of the runner was.
-BORN = "born"
+START_TIME_FIELD = "born"
 STATES = ("ready", DRAINING)
 OK = 200
 CONFLICT = 409
@@ -74,12 +74,12 @@
             document["last_checkpoint"] = call.checkpoint
         if call.ticket:
             document["ticket"] = call.ticket
-        return await self._order("/api/run-start", call.worker, document)
+        return await self._send_order("/api/run-start", call.worker, document)
 
     async def stop(self, worker: str, token: int, task: str, run: int) -> CallResult:
         """Stop a run."""
         document = {"task": task, "run_id": run, "fencing_token": token}
-        return await self._order("/api/run-stop", worker, document)
+        return await self._send_order("/api/run-stop", worker, document)
 
     async def pace(
         self, worker: str, token: int, task: str, run: int, percent: int
@@ -91,7 +91,7 @@
             "percent": percent,
             "fencing_token": token,
         }
-        return await self._order("/api/pace", worker, document)
+        return await self._send_order("/api/pace", worker, document)
 
     async def renew(
         self, worker: str, token: int, noted: int, lease_end_ms: int, wait_ms: int
@@ -117,7 +117,7 @@
         """Close the idle connections."""
         await self._client.close()
 
-    async def _order(
+    async def _send_order(
         self, path: str, worker: str, document: dict[str, Any]
     ) -> CallResult:
         try:
@@ -183,7 +183,7 @@
         HOLD_PATH,
         headers,
         orjson.dumps(question),
-        partial(_read_name, worker),
+        partial(_read_introduction, worker),
     )
 
 
@@ -246,7 +246,7 @@
     One that can't be read tells nothing, least of all that the incarnation has ended.
     """
     try:
-        if _read_answerer(worker, answer) != worker:
+        if _read_responder(worker, answer) != worker:
             return Listing(CallResult.OTHER_INCARNATION)
         listing = Listing(
             CallResult.DONE,
@@ -260,7 +260,7 @@
         return Listing(CallResult.UNREADABLE, detail=repr(error))
 
 
-def _read_name(worker: str, response: WebResponse) -> str:
+def _read_introduction(worker: str, response: WebResponse) -> str:
     """Return which start of a runner answers, empty where it refuses the call.
 
     :raises ProtocolError: its listing doesn't say.
@@ -268,12 +268,12 @@
     if response.status != OK:
         return ""
     try:
-        return _read_answerer(worker, _parse(response.body))
+        return _read_responder(worker, _parse(response.body))
     except ValueError as error:
         raise ProtocolError(str(error), step="runner.introduce") from None
 
 
-def _read_answerer(worker: str, answer: dict[str, Any]) -> str:
+def _read_responder(worker: str, answer: dict[str, Any]) -> str:
     """Return which start of a runner has answered a call that is meant for one.
 
     :raises ValueError: it doesn't say, and has said so before.
@@ -281,7 +281,7 @@
     runner = get_runner(worker)
     found = _read_incarnation(runner, answer)
     if found == runner != worker:
-        raise ValueError(f"{BORN} is missing")
+        raise ValueError(f"{START_TIME_FIELD} is missing")
     return found
 
 
@@ -292,11 +292,13 @@
 
     :raises ValueError: what it says makes no sense.
     """
-    if BORN not in document:
+    if START_TIME_FIELD not in document:
         return runner
-    born = document[BORN]
+    born = document[START_TIME_FIELD]
     if type(born) is not int or born < 0:
-        raise ValueError(f"{BORN} is {born!r}, and no whole number of milliseconds")
+        raise ValueError(
+            f"{START_TIME_FIELD} is {born!r}, and no whole number of milliseconds"
+        )
     return build_incarnation(runner, born)
 
 
--- a/pistachiodeal/store/breaker.py
+++ b/pistachiodeal/store/breaker.py
@@ -25,13 +25,13 @@
 
 log = logbook.Logger("pistachiodeal.store")
 
-STRIKES = 3
-FIRST_PAUSE_S = 0.2
-LONGEST_PAUSE_S = 2.0
+FAILURE_THRESHOLD = 3
+INITIAL_PAUSE_S = 0.2
+MAX_PAUSE_S = 2.0
 LATENCY_WEIGHT = 0.1
 SLOW_FACTOR = 4.0
 MAX_CALLS = 512
-FULL_ALLOWANCE = 32
+CLOSING_ALLOWANCE = 32
 
 
 class BreakerState(StrEnum):
@@ -72,8 +72,8 @@
         self._state = BreakerState.CLOSED
         self._calls: dict[_Call, None] = {}
         self._generation = 0
-        self._strikes = 0
-        self._openings = 0
+        self._failures = 0
+        self._reopen_count = 0
         self._open_until = 0.0
         self._allowance = 0
         self._typical_s = 0.0
@@ -98,25 +98,25 @@
 
         :raises StoreUnavailableError: refused; the call must not be made.
         """
-        call = self._enter(step)
+        call = self._begin(step)
         try:
             yield
         except (StoreUnavailableError, StoreUncertainError):
-            self._leave(call, failed=True)
+            self._end(call, failed=True)
             raise
         except StoreError:
             # The store refused what was asked: it is well.
-            self._leave(call, failed=False)
+            self._end(call, failed=False)
             raise
         except BaseException:
-            self._give_up(call)
+            self._cancel(call)
             raise
         else:
-            self._leave(call, failed=False)
+            self._end(call, failed=False)
 
-    def _enter(self, step: str) -> _Call:
+    def _begin(self, step: str) -> _Call:
         now = self._clock()
-        if self._state is BreakerState.CLOSED and self._is_clogged(now):
+        if self._state is BreakerState.CLOSED and self._is_saturated(now):
             self._open(now, "calls in flight are slow")
         self._admit(now, step)
         call = _Call(now, self._generation)
@@ -136,7 +136,7 @@
         if self._count_current() >= self._allowance:
             raise self._refuse("the store is being tried", step, self._pause())
 
-    def _leave(self, call: _Call, failed: bool) -> None:
+    def _end(self, call: _Call, failed: bool) -> None:
         now = self._clock()
         age = now - call.started_at
         del self._calls[call]
@@ -144,47 +144,47 @@
             # It was begun before the breaker opened: old news.
             return
         if failed:
-            self._strike(now, "calls fail")
+            self._record_failure(now, "calls fail")
         elif age > self.slow_s:
-            self._note_slow(now, "calls are slow")
+            self._record_slow(now, "calls are slow")
         else:
-            self._note_quick(age)
+            self._record_success(age)
 
-    def _give_up(self, call: _Call) -> None:
+    def _cancel(self, call: _Call) -> None:
         """Note a cancelled call, of which only the age says anything."""
         now = self._clock()
         del self._calls[call]
         slow = now - call.started_at > self.slow_s
         if slow and call.generation == self._generation:
-            self._note_slow(now, "calls are given up")
+            self._record_slow(now, "calls are given up")
 
-    def _note_quick(self, age: float) -> None:
-        self._strikes = 0
+    def _record_success(self, age: float) -> None:
+        self._failures = 0
         self._typical_s += LATENCY_WEIGHT * (age - self._typical_s)
         if self._state is BreakerState.RECOVERING:
-            self._widen()
+            self._raise_allowance()
 
-    def _note_slow(self, now: float, reason: str) -> None:
+    def _record_slow(self, now: float, reason: str) -> None:
         if self._state is BreakerState.RECOVERING:
             # A store that is slow but answers is used by few calls at a time,
             # or nothing at all would be written while it lasts.
             self._allowance = max(1, self._allowance // 2)
             return
-        self._strike(now, reason)
+        self._record_failure(now, reason)
 
-    def _strike(self, now: float, reason: str) -> None:
-        self._strikes += 1
+    def _record_failure(self, now: float, reason: str) -> None:
+        self._failures += 1
         recovering = self._state is BreakerState.RECOVERING
-        if recovering or self._strikes >= STRIKES:
+        if recovering or self._failures >= FAILURE_THRESHOLD:
             self._open(now, reason)
 
     def _open(self, now: float, reason: str) -> None:
         pause = self._pause()
-        self._openings += 1
+        self._reopen_count += 1
         self._state = BreakerState.OPEN
         self._open_until = now + pause
         self._generation += 1
-        self._strikes = 0
+        self._failures = 0
         log.notice(
             "store: breaker of {} opens for {:.2f} s: {}", self._peer, pause, reason
         )
@@ -193,19 +193,19 @@
         self._state = BreakerState.RECOVERING
         self._allowance = 1
 
-    def _widen(self) -> None:
+    def _raise_allowance(self) -> None:
         self._allowance += 1
-        if self._allowance < FULL_ALLOWANCE:
+        if self._allowance < CLOSING_ALLOWANCE:
             return
         self._state = BreakerState.CLOSED
-        self._openings = 0
+        self._reopen_count = 0
         log.notice("store: breaker of {} is closed again", self._peer)
 
     def _pause(self) -> float:
-        pause = min(FIRST_PAUSE_S * 2.0**self._openings, LONGEST_PAUSE_S)
+        pause = min(INITIAL_PAUSE_S * 2.0**self._reopen_count, MAX_PAUSE_S)
         return pause * (0.5 + self._jitter())
 
-    def _is_clogged(self, now: float) -> bool:
+    def _is_saturated(self, now: float) -> bool:
         """Tell whether as many calls are slow as the client has connections."""
         if len(self._calls) < self._connections:
             return False
--- a/pistachiodeal/store/group.py
+++ b/pistachiodeal/store/group.py
@@ -18,16 +18,16 @@
 from pistachiodeal.store.tickets import (
     Ticket,
     build_result,
-    is_in_force,
+    is_applied,
     join_writes,
     reject_all,
     resolve_all,
 )
 from pistachiodeal.task_groups import run_until_one_ends
 
-LANES = 4
+CONCURRENT_COMMITS = 4
 QUEUE_LIMIT = 10_000
-SETTLE_TRIES = 3
+READ_BACK_TRIES = 3
 PAUSE_S = 0.05
 
 
@@ -47,8 +47,8 @@
         self._group_rows = group_rows
         self._pause_s = pause_s
         self._queue: deque[Ticket] = deque()
-        self._filled = curio.Event()
-        self._gathering = curio.Lock()
+        self._not_empty = curio.Event()
+        self._gather_lock = curio.Lock()
 
     @property
     def queued(self) -> int:
@@ -63,15 +63,15 @@
         check_transaction(writes, self._group_rows)
         if len(self._queue) >= QUEUE_LIMIT:
             raise StoreUnavailableError("commit queue is full", step="group.submit")
-        ticket = Ticket(tuple(writes))
-        self._queue.append(ticket)
+        transaction = Ticket(tuple(writes))
+        self._queue.append(transaction)
         try:
-            await self._filled.set()
+            await self._not_empty.set()
         except BaseException:
             # Nobody would hold the ticket, and so nobody end what it began.
-            ticket.withdraw()
+            transaction.withdraw()
             raise
-        return ticket
+        return transaction
 
     async def commit(self, writes: Sequence[Write]) -> CommitResult:
         """Commit a small transaction together with others.
@@ -79,52 +79,52 @@
         :raises StoreUnavailableError: it took no effect.
         :raises StoreUncertainError: it may have taken effect.
         """
-        ticket = await self.submit(writes)
+        transaction = await self.submit(writes)
         try:
-            return await ticket.wait()
+            return await transaction.wait()
         finally:
-            ticket.withdraw()
+            transaction.withdraw()
 
     async def run(self) -> None:
         """Commit what is queued, until cancelled."""
-        await run_until_one_ends(*[self._run_lane] * LANES)
+        await run_until_one_ends(*[self._run_committer] * CONCURRENT_COMMITS)
 
-    async def _run_lane(self) -> None:
+    async def _run_committer(self) -> None:
         while True:
-            batch = await self._gather()
+            batch = await self._gather_batch()
             if batch:
                 await self._answer_batch(batch)
 
-    async def _gather(self) -> list[Ticket]:
-        async with self._gathering:
-            await self._filled.wait()
+    async def _gather_batch(self) -> list[Ticket]:
+        async with self._gather_lock:
+            await self._not_empty.wait()
             if len(self._queue) < self._group_rows:
                 await curio.sleep(self._group_s)
-            return self._take()
+            return self._take_batch()
 
-    def _take(self) -> list[Ticket]:
+    def _take_batch(self) -> list[Ticket]:
         """Take tickets for one commit: no key twice, at most ``group_rows`` rows."""
         batch: list[Ticket] = []
         later: list[Ticket] = []
         keys: set[str] = set()
         rows = 0
         while self._queue:
-            ticket = self._queue.popleft()
-            if ticket.withdrawn:
+            transaction = self._queue.popleft()
+            if transaction.withdrawn:
                 continue
-            if rows + ticket.rows > self._group_rows:
-                later.append(ticket)
+            if rows + transaction.rows > self._group_rows:
+                later.append(transaction)
                 break
-            if keys & ticket.keys:
-                later.append(ticket)
+            if keys & transaction.keys:
+                later.append(transaction)
                 continue
-            ticket.sent = True
-            batch.append(ticket)
-            keys |= ticket.keys
-            rows += ticket.rows
+            transaction.sent = True
+            batch.append(transaction)
+            keys |= transaction.keys
+            rows += transaction.rows
         self._queue.extendleft(reversed(later))
         if not self._queue:
-            self._filled.clear()
+            self._not_empty.clear()
         return batch
 
     async def _answer_batch(self, batch: list[Ticket]) -> None:
@@ -133,42 +133,40 @@
         finally:
             # A lane that is cancelled or fails would leave its callers waiting
             # for good: they get the only true answer there is.
-            for ticket in batch:
-                await ticket.reject(
+            for transaction in batch:
+                await transaction.reject(
                     StoreUncertainError("commit was cut off", step="group.commit")
                 )
 
     async def _commit_batch(self, batch: list[Ticket]) -> None:
-        open_tickets = list(batch)
+        pending = list(batch)
         uncertain: StoreError | None = None
-        tries = SETTLE_TRIES
-        while open_tickets:
+        tries = READ_BACK_TRIES
+        while pending:
             try:
-                result = await self._table.commit(join_writes(open_tickets))
+                result = await self._table.commit(join_writes(pending))
             except StoreUnavailableError as error:
                 if uncertain is None:
-                    await reject_all(open_tickets, error)
+                    await reject_all(pending, error)
                     return
             except StoreError as error:
                 uncertain = error
             else:
                 if result.committed:
-                    await resolve_all(open_tickets, result)
+                    await resolve_all(pending, result)
                     return
-                open_tickets = await self._drop_conflicting(
-                    open_tickets, result, uncertain
-                )
+                pending = await self._drop_conflicting(pending, result, uncertain)
                 continue
             tries -= 1
             with contextlib.suppress(StoreError):
-                open_tickets = await self._settle(open_tickets)
+                pending = await self._read_back(pending)
             if tries == 0:
-                await reject_all(open_tickets, uncertain)
+                await reject_all(pending, uncertain)
                 return
-            if open_tickets:
+            if pending:
                 await curio.sleep(self._pause_s * random.uniform(0.5, 1.5))
 
-    async def _settle(self, tickets: list[Ticket]) -> list[Ticket]:
+    async def _read_back(self, transactions: list[Ticket]) -> list[Ticket]:
         """Read back after a lost answer; return the tickets that are not in force.
 
         A commit that took effect whose answer was lost would read as a conflict
@@ -179,18 +177,21 @@
 
         :raises StoreError: the table did not answer.
         """
-        keys = [key for ticket in tickets for key in sorted(ticket.keys)]
+        keys = [key for transaction in transactions for key in sorted(transaction.keys)]
         rows = await self._table.read(keys)
-        left = []
-        for ticket in tickets:
-            if is_in_force(ticket, rows):
-                await ticket.resolve(build_result(ticket, rows))
+        remaining = []
+        for transaction in transactions:
+            if is_applied(transaction, rows):
+                await transaction.resolve(build_result(transaction, rows))
             else:
-                left.append(ticket)
-        return left
+                remaining.append(transaction)
+        return remaining
 
     async def _drop_conflicting(
-        self, tickets: list[Ticket], result: CommitResult, uncertain: StoreError | None
+        self,
+        transactions: list[Ticket],
+        result: CommitResult,
+        uncertain: StoreError | None,
     ) -> list[Ticket]:
         """Answer the tickets whose condition failed; return the others.
 
@@ -198,21 +199,27 @@
         single repeated key would fail every other caller in its group.
         """
         conflicts = frozenset(result.conflicts)
-        hit = [ticket for ticket in tickets if ticket.keys & conflicts]
-        left = [ticket for ticket in tickets if not ticket.keys & conflicts]
-        if uncertain is not None and hit:
+        conflicting = [
+            transaction for transaction in transactions if transaction.keys & conflicts
+        ]
+        remaining = [
+            transaction
+            for transaction in transactions
+            if not transaction.keys & conflicts
+        ]
+        if uncertain is not None and conflicting:
             try:
-                hit = await self._settle(hit)
+                conflicting = await self._read_back(conflicting)
             except StoreError:
-                await reject_all(hit, uncertain)
-        for ticket in hit:
-            own = tuple(sorted(ticket.keys & conflicts))
-            await ticket.resolve(CommitResult(conflicts=own))
-        if len(left) == len(tickets):
+                await reject_all(conflicting, uncertain)
+        for transaction in conflicting:
+            own = tuple(sorted(transaction.keys & conflicts))
+            await transaction.resolve(CommitResult(conflicts=own))
+        if len(remaining) == len(transactions):
             error = StoreUncertainError("conflict on unknown keys", step="group.commit")
-            await reject_all(left, error)
+            await reject_all(remaining, error)
             return []
-        return left
+        return remaining
 
 
 def check_transaction(writes: Sequence[Write], limit: int) -> None:
--- a/pistachiodeal/store/patience.py
+++ b/pistachiodeal/store/patience.py
@@ -14,12 +14,12 @@
 
 # A store that answers at its usual speed is given up after this long: two hundred times
 # what an answer takes, and a third of what a caller waits.
-SHORTEST_S = 1.0
+MIN_TIMEOUT_S = 1.0
 # Callers wait for 3 s, and leases outlive their leader by 11 s.
-LONGEST_S = 2.5
+MAX_TIMEOUT_S = 2.5
 # A transaction waits for up to three others of its partition, and reads, which wait
 # for nobody, are what is mostly seen.
-FACTOR = 4.0
+SAFETY_FACTOR = 4.0
 # An answer counts half as much after this long, so that a second after the store has
 # recovered silence is noticed as soon as before.
 HALF_LIFE_S = 1.0
@@ -33,16 +33,16 @@
         self._seen_at = 0.0
 
     @property
-    def limit_s(self) -> float:
+    def timeout_s(self) -> float:
         """Return how long a call that begins now may take, seconds."""
-        wanted = FACTOR * self._fade(read_boot_clock())
-        return min(max(SHORTEST_S, wanted), LONGEST_S)
+        wanted = SAFETY_FACTOR * self._decay(read_boot_clock())
+        return min(max(MIN_TIMEOUT_S, wanted), MAX_TIMEOUT_S)
 
-    def note_answer(self, took_s: float) -> None:
+    def record_latency(self, took_s: float) -> None:
         """Take in an answer, whatever it says."""
         now = read_boot_clock()
-        self._slowest_s = max(took_s, self._fade(now))
+        self._slowest_s = max(took_s, self._decay(now))
         self._seen_at = now
 
-    def _fade(self, now: float) -> float:
+    def _decay(self, now: float) -> float:
         return float(self._slowest_s * 0.5 ** ((now - self._seen_at) / HALF_LIFE_S))
--- a/pistachiodeal/store/tickets.py
+++ b/pistachiodeal/store/tickets.py
@@ -75,14 +75,14 @@
         await self._done.set()
 
 
-def join_writes(tickets: Sequence[Ticket]) -> list[Write]:
+def join_writes(transactions: Sequence[Ticket]) -> list[Write]:
     """Return the writes of all tickets as one transaction."""
-    return [write for ticket in tickets for write in ticket.writes]
+    return [write for transaction in transactions for write in transaction.writes]
 
 
-def is_in_force(ticket: Ticket, rows: dict[str, Row]) -> bool:
+def is_applied(transaction: Ticket, rows: dict[str, Row]) -> bool:
     """Tell whether every value of a transaction is what the table holds."""
-    for write in ticket.writes:
+    for write in transaction.writes:
         if write.check_only or write.value is None:
             continue
         row = rows.get(write.key)
@@ -91,25 +91,25 @@
     return True
 
 
-def build_result(ticket: Ticket, rows: dict[str, Row]) -> CommitResult:
+def build_result(transaction: Ticket, rows: dict[str, Row]) -> CommitResult:
     """Return a transaction's result from the rows that were read back."""
     return CommitResult(
-        versions={key: rows[key].version for key in ticket.keys if key in rows}
+        versions={key: rows[key].version for key in transaction.keys if key in rows}
     )
 
 
-async def resolve_all(tickets: Sequence[Ticket], result: CommitResult) -> None:
+async def resolve_all(transactions: Sequence[Ticket], result: CommitResult) -> None:
     """Answer each ticket with its own part of a commit's result."""
-    for ticket in tickets:
-        own = {k: v for k, v in result.versions.items() if k in ticket.keys}
-        await ticket.resolve(CommitResult(versions=own))
+    for transaction in transactions:
+        own = {k: v for k, v in result.versions.items() if k in transaction.keys}
+        await transaction.resolve(CommitResult(versions=own))
 
 
-async def reject_all(tickets: Sequence[Ticket], error: StoreError | None) -> None:
+async def reject_all(transactions: Sequence[Ticket], error: StoreError | None) -> None:
     """Answer all tickets with one error."""
-    if not tickets:
+    if not transactions:
         return
     cause = error or StoreUncertainError("commit not settled", step="group.commit")
-    log.debug("platform: {} grouped transactions failed: {}", len(tickets), cause)
-    for ticket in tickets:
-        await ticket.reject(cause)
+    log.debug("platform: {} grouped transactions failed: {}", len(transactions), cause)
+    for transaction in transactions:
+        await transaction.reject(cause)
--- a/tests/unit/test_jobentry_acceptance.py
+++ b/tests/unit/test_jobentry_acceptance.py
@@ -10,7 +10,7 @@
 import curio
 
 from pistachiodeal.exceptions import Outcome, RequestError
-from pistachiodeal.jobentry.acceptance import FIRST_PROBE_S, Acceptance
+from pistachiodeal.jobentry.acceptance import FIRST_PROBE_DELAY_S, Acceptance
 from pistachiodeal.jobs.rows import JOBS_TABLE
 from tests.standins.job_cluster import create_quiet_log
 from tests.standins.rows import MemoryRows, RowsState
@@ -149,7 +149,7 @@
 
     commits, ends = curio.run(main)
     assert ends == {"0001": Outcome.UNKNOWN}
-    assert 2 <= commits <= BUDGET_S / FIRST_PROBE_S + 1
+    assert 2 <= commits <= BUDGET_S / FIRST_PROBE_DELAY_S + 1
 
 
 def call_with_little_time(budget_s: float) -> tuple[str, int]:
--- a/tests/unit/test_jobentry_api.py
+++ b/tests/unit/test_jobentry_api.py
@@ -16,7 +16,7 @@
 from pistachiodeal.events import BUFFER_BYTES, LINES_PER_S, EventLog
 from pistachiodeal.exceptions import ProtocolError, RequestError, SettingsError
 from pistachiodeal.jobentry.api import CallerApi
-from pistachiodeal.jobentry.configuration import ConfigurationKeeper
+from pistachiodeal.jobentry.configuration import ConfigurationWatcher
 from pistachiodeal.jobs.model import JobState
 from pistachiodeal.platform.callers import parse_job
 from pistachiodeal.platform.configuration import decode_configuration
@@ -60,9 +60,9 @@
         async with run_cluster() as cluster:
             entry = cluster.entries[0]
             events = create_quiet_log()
-            keeper = ConfigurationKeeper(entry.store, events)
+            watcher = ConfigurationWatcher(entry.store, events)
             api = CallerApi(
-                keeper,
+                watcher,
                 entry.acceptance,
                 entry.states,
                 events,
@@ -70,8 +70,8 @@
             )
             assert await ask(api, "POST", f"/q/{JOB_ID}", BODY) == 503
             write_configuration(cluster.state, build_configuration(3, [ROUTE]))
-            follower = await curio.spawn(keeper.run, daemon=True)
-            while keeper.current is None:
+            follower = await curio.spawn(watcher.run, daemon=True)
+            while watcher.current is None:
                 await curio.sleep(0.01)
             large = orjson.dumps({"spec": "x" * 3_000, "steps": [{"count": 1}]})
             assert await ask(api, "POST", f"/none/{JOB_ID}", BODY) == 404
@@ -98,19 +98,19 @@
 
     async def main():
         state = RowsState()
-        keeper = ConfigurationKeeper(MemoryRows(state), create_quiet_log())
+        watcher = ConfigurationWatcher(MemoryRows(state), create_quiet_log())
         write_configuration(state, build_configuration(5, [ROUTE]))
-        follower = await curio.spawn(keeper.run, daemon=True)
+        follower = await curio.spawn(watcher.run, daemon=True)
         await curio.sleep(0.05)
         for value in (build_configuration(4, []), b"{", b"[]"):
             write_configuration(state, value)
             await curio.sleep(0.05)
-            assert keeper.current is not None
-            assert keeper.current.version == 5
-            assert keeper.find("host", "/q/x") is not None
+            assert watcher.current is not None
+            assert watcher.current.version == 5
+            assert watcher.find("host", "/q/x") is not None
         write_configuration(state, build_configuration(9, []))
         await curio.sleep(0.05)
-        assert keeper.find("host", "/q/x") is None
+        assert watcher.find("host", "/q/x") is None
         await follower.cancel()
 
     curio.run(main)
--- a/tests/unit/test_jobentry_relay.py
+++ b/tests/unit/test_jobentry_relay.py
@@ -11,8 +11,8 @@
 
 from pistachiodeal.exceptions import Outcome, RequestError, StoreError
 from pistachiodeal.jobentry.relay import (
-    MOST_RELAYED,
-    PROBE_S,
+    MAX_RELAYED_CALLS,
+    PROBE_INTERVAL_S,
     RelayedRows,
     RelayServer,
 )
@@ -68,10 +68,10 @@
 
 def test_nothing_is_relayed_once_the_store_answers_again():
     """Cause to guard against: a detour that outlives the outage loads the leader."""
-    detours: list[str] = []
+    lookups: list[str] = []
 
     def find_link() -> None:
-        detours.append("asked")
+        lookups.append("asked")
 
     async def main() -> int:
         store = MemoryRows(RowsState())
@@ -80,12 +80,12 @@
         with pytest.raises(StoreError):
             await relayed.read(JOBS_TABLE)
         store.cut = False
-        await curio.sleep(PROBE_S + 0.5)
-        while_away = len(detours)
+        await curio.sleep(PROBE_INTERVAL_S + 0.5)
+        while_away = len(lookups)
         await relayed.read(JOBS_TABLE)
         return while_away
 
-    assert curio.run(main) == len(detours) > 0
+    assert curio.run(main) == len(lookups) > 0
 
 
 def test_a_relayed_insert_without_an_answer_is_not_called_not_run():
@@ -129,11 +129,11 @@
         state.faults.slow_s = 0.2
         server = RelayServer(MemoryRows(state), create_quiet_log())
         link = Recorder()
-        for number in range(MOST_RELAYED + 5):
+        for number in range(MAX_RELAYED_CALLS + 5):
             await server.take(link, RelayRead(number, JOBS_TABLE, "", "", 0))
         await curio.sleep(0.4)
         return link
 
     failures = curio.run(main).failures
     assert failures.count("refused") == 5
-    assert failures.count("") == MOST_RELAYED
+    assert failures.count("") == MAX_RELAYED_CALLS
--- a/tests/unit/test_platform_advice.py
+++ b/tests/unit/test_platform_advice.py
@@ -4,7 +4,7 @@
 
 import curio
 
-from pistachiodeal.platform.advice import create_advice
+from pistachiodeal.platform.advice import create_adviser
 from tests.harness.ports import take_port
 from tests.standins import base
 
@@ -32,7 +32,7 @@
         port = int(address.rpartition(":")[2])
         await curio.spawn(base.run_stand_in, service, port, daemon=True)
         await curio.sleep(0.05)
-        advice = await create_advice(address).advise("j.0.0", ("i-1@5", "i-2@6"))
+        advice = await create_adviser(address).advise("j.0.0", ("i-1@5", "i-2@6"))
         assert service.asked == [{"step": "j.0.0", "workers": ["i-1", "i-2"]}]
         assert advice.tickets == {"i-1@5": "ticket"}
 
--- a/tests/unit/test_platform_breaker.py
+++ b/tests/unit/test_platform_breaker.py
@@ -10,9 +10,9 @@
     StoreUncertainError,
 )
 from pistachiodeal.store.breaker import (
-    FULL_ALLOWANCE,
-    LONGEST_PAUSE_S,
-    STRIKES,
+    CLOSING_ALLOWANCE,
+    FAILURE_THRESHOLD,
+    MAX_PAUSE_S,
     Breaker,
     BreakerState,
     create_breaker,
@@ -45,7 +45,7 @@
 
 
 def open_by_failures(breaker: Breaker) -> None:
-    for _ in range(STRIKES):
+    for _ in range(FAILURE_THRESHOLD):
         fail(breaker, StoreUncertainError("late"))
     assert breaker.state is BreakerState.OPEN
 
@@ -62,14 +62,14 @@
     with pytest.raises(StoreUnavailableError) as refused, breaker.watch("step"):
         pytest.fail("the call was made")
     wait = refused.value.retry_after
-    assert 0 < wait <= LONGEST_PAUSE_S
+    assert 0 < wait <= MAX_PAUSE_S
     clock.now += wait
     succeed(breaker, clock)
     assert breaker.state is BreakerState.RECOVERING
 
 
 def test_refused_requests_do_not_open_it(breaker: Breaker) -> None:
-    for _ in range(10 * STRIKES):
+    for _ in range(10 * FAILURE_THRESHOLD):
         fail(breaker, StoreError("malformed"))
     assert breaker.state is BreakerState.CLOSED
 
@@ -99,11 +99,11 @@
     Cause: the breaker closed at the first success.
     """
     open_by_failures(breaker)
-    clock.now += LONGEST_PAUSE_S
+    clock.now += MAX_PAUSE_S
     with breaker.watch("probe"):
         with pytest.raises(StoreUnavailableError), breaker.watch("second"):
             pytest.fail("two calls at once")
-    for _ in range(FULL_ALLOWANCE):
+    for _ in range(CLOSING_ALLOWANCE):
         succeed(breaker, clock)
     assert breaker.state is BreakerState.CLOSED
 
@@ -118,7 +118,7 @@
         clock.now += refused.value.retry_after
         fail(breaker, StoreUnavailableError("down"))
     assert pauses == sorted(pauses)
-    assert pauses[0] < pauses[-1] <= LONGEST_PAUSE_S
+    assert pauses[0] < pauses[-1] <= MAX_PAUSE_S
 
 
 def test_late_failure_of_an_older_call_does_not_reopen_it(
@@ -133,7 +133,7 @@
     stuck = breaker.watch("step")
     stuck.__enter__()
     open_by_failures(breaker)
-    clock.now += LONGEST_PAUSE_S
+    clock.now += MAX_PAUSE_S
     succeed(breaker, clock)
     error = StoreUncertainError("late")
     assert not stuck.__exit__(type(error), error, None)
@@ -144,8 +144,8 @@
     breaker: Breaker, clock: Clock
 ) -> None:
     open_by_failures(breaker)
-    clock.now += LONGEST_PAUSE_S
-    for _ in range(3 * STRIKES):
+    clock.now += MAX_PAUSE_S
+    for _ in range(3 * FAILURE_THRESHOLD):
         succeed(breaker, clock, TIMEOUT_S * 0.9)
     assert breaker.state is BreakerState.RECOVERING
     with breaker.watch("probe"):
--- a/tests/unit/test_store_under_load.py
+++ b/tests/unit/test_store_under_load.py
@@ -12,6 +12,7 @@
 
 import curio
 import pytest
+from pistachiodeal.store.timeout import MAX_TIMEOUT_S, MIN_TIMEOUT_S, Patience
 
 from pistachiodeal.exceptions import RequestError, StoreError
 from pistachiodeal.jobentry.acceptance import Acceptance
@@ -23,7 +24,6 @@
 )
 from pistachiodeal.jobs.tables import read_submission, read_submissions
 from pistachiodeal.platform.rows import PlatformRows, create_rows
-from pistachiodeal.store.patience import LONGEST_S, SHORTEST_S, Patience
 from pistachiodeal.store.row_store import ABSENT, RowCondition, RowWrite, Transaction
 from tests.harness.ports import take_port
 from tests.soak.platform import StoreServer
@@ -107,17 +107,17 @@
     Sequence: the store answers within milliseconds, and then not at all.
     Cause: a limit that is long for slow days would be long on all days.
     """
-    patience = Patience()
+    timeout = Patience()
     for _ in range(10):
-        patience.note_answer(0.005)
-    assert patience.limit_s == SHORTEST_S
+        timeout.record_latency(0.005)
+    assert timeout.timeout_s == MIN_TIMEOUT_S
 
 
 def test_patience_has_an_end():
     """The load: answers take longer than any caller waits."""
-    patience = Patience()
-    patience.note_answer(30.0)
-    assert patience.limit_s == LONGEST_S
+    timeout = Patience()
+    timeout.record_latency(30.0)
+    assert timeout.timeout_s == MAX_TIMEOUT_S
 
 
 def test_a_slow_store_takes_the_jobs_of_many_entries():
