--- a/pistachiodeal/claims/model.py
+++ b/pistachiodeal/claims/model.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 
 from pistachiodeal.claims.rows import ClaimRow
+from pistachiodeal.store.pending_transactions import PendingTransaction
 from pistachiodeal.store.protocols import ABSENT
-from pistachiodeal.store.tickets import Ticket
 from pistachiodeal.web.messages import WebResponse
 
 
@@ -42,6 +42,6 @@
 
     row: ClaimRow
     expect: int = ABSENT
-    ticket: Ticket | None = None
+    ticket: PendingTransaction | None = None
     held: bool = False
     taken: bool = False
--- a/pistachiodeal/jobagent/heartbeats.py
+++ b/pistachiodeal/jobagent/heartbeats.py
@@ -17,10 +17,10 @@
 from pistachiodeal.jobs.model import LossCause
 from pistachiodeal.jobs.runtime import CallResult, Goodbye, WorkerBeat
 from pistachiodeal.platform.runner import (
-    BEAT_PATH,
-    LEAVE_PATH,
-    decode_beat,
+    DEREGISTER_PATH,
+    HEARTBEAT_PATH,
     decode_goodbye,
+    decode_heartbeat,
 )
 from pistachiodeal.web.messages import WebRequest, WebResponse, build_json
 
@@ -53,12 +53,12 @@
 
     async def handle(self, request: WebRequest) -> WebResponse:
         """Answer a heartbeat or a goodbye."""
-        if request.path.startswith(LEAVE_PATH):
+        if request.path.startswith(DEREGISTER_PATH):
             await self._take_goodbye(self._decode(decode_goodbye, request, "goodbye"))
             return build_json(200, {})
-        if not request.path.startswith(BEAT_PATH):
+        if not request.path.startswith(HEARTBEAT_PATH):
             raise RequestError("no such path", code="not_found", status=404)
-        await self.take(self._decode(decode_beat, request, "heartbeat"))
+        await self.take(self._decode(decode_heartbeat, request, "heartbeat"))
         return build_json(200, {})
 
     async def take(self, beat: WorkerBeat) -> None:
--- a/pistachiodeal/jobentry/app.py
+++ b/pistachiodeal/jobentry/app.py
@@ -12,7 +12,7 @@
 from pistachiodeal.jobentry.configuration import ConfigurationWatcher
 from pistachiodeal.jobentry.handover import HandOver
 from pistachiodeal.jobentry.relay import RelayedRows, build_dispatcher
-from pistachiodeal.jobentry.seat import Seat
+from pistachiodeal.jobentry.seat import PeerServer
 from pistachiodeal.jobentry.states import JobStates
 from pistachiodeal.jobs.rows import find_partition
 from pistachiodeal.leader.election import Election
@@ -52,7 +52,7 @@
         peers.directory.note_entry(settings.peer_address)
         relayed = RelayedRows(store, self._find_leader_link, events)
         self._configuration = ConfigurationWatcher(relayed, events)
-        self._peer_server = Seat(
+        self._peer_server = PeerServer(
             store,
             peers,
             self._configuration.refresh,
@@ -64,7 +64,9 @@
         self._handover = HandOver(self._peer_server, self._election, events, fitness)
         self._acceptance = Acceptance(relayed, events)
         states = JobStates(relayed, self._peer_server, self._election)
-        self._election.set_answer_handler(build_dispatcher(relayed, states.take_answer))
+        self._election.set_answer_handler(
+            build_dispatcher(relayed, states.handle_answer)
+        )
         api = CallerApi(
             self._configuration,
             self._acceptance,
--- a/pistachiodeal/jobentry/handover.py
+++ b/pistachiodeal/jobentry/handover.py
@@ -13,7 +13,7 @@
 from logbook import Logger
 
 from pistachiodeal.events import EventLog
-from pistachiodeal.jobentry.seat import Seat
+from pistachiodeal.jobentry.seat import PeerServer
 from pistachiodeal.leader.election import Election
 from pistachiodeal.leader.fitness import MUCH_FITTER, is_weak
 
@@ -34,7 +34,11 @@
     """
 
     def __init__(
-        self, peer_server: Seat, election: Election, events: EventLog, fitness: float
+        self,
+        peer_server: PeerServer,
+        election: Election,
+        events: EventLog,
+        fitness: float,
     ) -> None:
         self._peer_server = peer_server
         self._election = election
@@ -80,7 +84,7 @@
         )
         await self._peer_server.appoint(follower, epoch)
         await curio.ignore_after(SUCCESSOR_TIMEOUT_S, self._wait_for_successor)
-        await self._peer_server.make_way(epoch)
+        await self._peer_server.yield_leadership(epoch)
         return True
 
     async def _wait_for_successor(self) -> None:
--- a/pistachiodeal/jobentry/relay.py
+++ b/pistachiodeal/jobentry/relay.py
@@ -25,7 +25,7 @@
     StoreUncertainError,
 )
 from pistachiodeal.jobentry.probe import probe_store
-from pistachiodeal.store.patience import MAX_TIMEOUT_S
+from pistachiodeal.store.adaptive_timeout import MAX_TIMEOUT_S
 from pistachiodeal.store.row_store import (
     RowCondition,
     RowPage,
@@ -132,7 +132,7 @@
         self._waiting: dict[int, curio.Queue] = {}
         self._request_id = 0
 
-    async def take_answer(self, answer: RelayAnswer) -> None:
+    async def handle_answer(self, answer: RelayAnswer) -> None:
         """Take in what the leader sends."""
         waiting = self._waiting.get(answer.request_id)
         if waiting is not None:
@@ -232,15 +232,15 @@
 
 
 def build_dispatcher(
-    relayed: RelayedRows, take_answer: Callable[..., Awaitable[None]]
+    relayed: RelayedRows, handle_answer: Callable[..., Awaitable[None]]
 ) -> Callable[..., Awaitable[None]]:
     """Return what takes the leader's messages, relayed answers and all others."""
 
     async def dispatch(message: object) -> None:
         if isinstance(message, RelayAnswer):
-            await relayed.take_answer(message)
+            await relayed.handle_answer(message)
         else:
-            await take_answer(message)
+            await handle_answer(message)
 
     return dispatch
 
--- a/pistachiodeal/jobentry/seat.py
+++ b/pistachiodeal/jobentry/seat.py
@@ -55,7 +55,7 @@
     holder: Holder
 
 
-class Seat:
+class PeerServer:
     """Leads while this process holds the leader's row, and accepts links."""
 
     def __init__(
@@ -102,7 +102,7 @@
             # It, or another entry, finds out by the row.
             log.info("seat: a successor is gone: {}", error)
 
-    async def make_way(self, epoch: int) -> None:
+    async def yield_leadership(self, epoch: int) -> None:
         """End leading, since another process leads under a higher epoch."""
         leadership = self._leadership
         if leadership is None:
@@ -204,7 +204,7 @@
         self._directory.take_notice(notice)
         leadership = self._leadership
         if leadership is not None and notice.epoch > leadership.epoch:
-            await self.make_way(notice.epoch)
+            await self.yield_leadership(notice.epoch)
 
     def _handle_entry_state(self, link: Link, state: EntryState) -> None:
         peer = link.peer
--- a/pistachiodeal/jobentry/states.py
+++ b/pistachiodeal/jobentry/states.py
@@ -7,7 +7,7 @@
 
 from pistachiodeal.clock import read_boot_clock
 from pistachiodeal.exceptions import LinkClosedError, RequestError, StoreError
-from pistachiodeal.jobentry.seat import Seat
+from pistachiodeal.jobentry.seat import PeerServer
 from pistachiodeal.jobs.model import JobState, Queue
 from pistachiodeal.jobs.record import read_state
 from pistachiodeal.jobs.rows import PROGRESS_TABLE, build_cancel_key
@@ -28,7 +28,9 @@
 class JobStates:
     """Finds states of jobs and counts of queues."""
 
-    def __init__(self, store: RowStore, peer_server: Seat, election: Election) -> None:
+    def __init__(
+        self, store: RowStore, peer_server: PeerServer, election: Election
+    ) -> None:
         self._store = store
         self._peer_server = peer_server
         self._election = election
@@ -36,7 +38,7 @@
         self._request_id = 0
         self._counts: dict[str, tuple[float, int]] = {}
 
-    async def take_answer(self, answer: JobAnswer) -> None:
+    async def handle_answer(self, answer: JobAnswer) -> None:
         """Take in the leader's answer to a query."""
         waiting = self._waiting.get(answer.request_id)
         if waiting is not None:
--- a/pistachiodeal/platform/rows.py
+++ b/pistachiodeal/platform/rows.py
@@ -15,7 +15,7 @@
     StoreUnavailableError,
     StoreUncertainError,
 )
-from pistachiodeal.store.patience import Patience
+from pistachiodeal.store.adaptive_timeout import AdaptiveTimeout
 from pistachiodeal.store.row_store import (
     FindPartition,
     HistoryLostError,
@@ -46,7 +46,7 @@
     def __init__(self, client: WebClient, find_partition: FindPartition) -> None:
         self._client = client
         self._find_partition = find_partition
-        self._adaptive_timeout = Patience()
+        self._adaptive_timeout = AdaptiveTimeout()
 
     async def commit(self, transaction: Transaction) -> TransactionResult:
         """Apply a transaction; see ``RowStore``."""
--- a/pistachiodeal/platform/runner.py
+++ b/pistachiodeal/platform/runner.py
@@ -32,8 +32,8 @@
 
 log = Logger("runner")
 
-BEAT_PATH = "/api/Instances.Heartbeat/"
-LEAVE_PATH = "/api/Instances.Deregister/"
+HEARTBEAT_PATH = "/api/Instances.Heartbeat/"
+DEREGISTER_PATH = "/api/Instances.Deregister/"
 HOLD_PATH = "/api/hold"
 DRAINING = "draining"
 # When this start of the runner was.
@@ -192,7 +192,7 @@
     return PlatformRunner(create_client(address, connections=CONNECTIONS))
 
 
-def decode_beat(path: str, body: bytes) -> WorkerBeat:
+def decode_heartbeat(path: str, body: bytes) -> WorkerBeat:
     """Return a runner's heartbeat.
 
     :raises ProtocolError: it can't be read.
@@ -203,7 +203,7 @@
         state = document["state"]
         labels = tuple(document.get("labels", ()))
         beat = WorkerBeat(
-            _read_incarnation(path.removeprefix(BEAT_PATH), document),
+            _read_incarnation(path.removeprefix(HEARTBEAT_PATH), document),
             document["service"],
             document["address"],
             state == DRAINING,
@@ -214,7 +214,7 @@
         )
         check_fields(beat)
         check_fields(beat.capacity)
-        if state not in STATES or path == BEAT_PATH or not beat.service:
+        if state not in STATES or path == HEARTBEAT_PATH or not beat.service:
             raise ValueError("its state is unknown, or it doesn't say who sent it")
         if any(type(label) is not str for label in labels):
             raise ValueError("a label is no text")
@@ -230,7 +230,7 @@
 
     :raises ProtocolError: it can't be read.
     """
-    runner = path.removeprefix(LEAVE_PATH)
+    runner = path.removeprefix(DEREGISTER_PATH)
     try:
         document = orjson.loads(body) if body else {}
         if not runner or not isinstance(document, dict):
--- a/pistachiodeal/store/patience.py
+++ b/pistachiodeal/store/adaptive_timeout.py
@@ -25,7 +25,7 @@
 HALF_LIFE_S = 1.0
 
 
-class Patience:
+class AdaptiveTimeout:
     """Learns from each answer; shared by all calls of one client of the store."""
 
     def __init__(self) -> None:
--- a/pistachiodeal/store/group.py
+++ b/pistachiodeal/store/group.py
@@ -14,15 +14,15 @@
     StoreUnavailableError,
     StoreUncertainError,
 )
-from pistachiodeal.store.protocols import ANY_VERSION, CommitResult, Table, Write
-from pistachiodeal.store.tickets import (
-    Ticket,
+from pistachiodeal.store.pending_transactions import (
+    PendingTransaction,
     build_result,
     is_applied,
     join_writes,
     reject_all,
     resolve_all,
 )
+from pistachiodeal.store.protocols import ANY_VERSION, CommitResult, Table, Write
 from pistachiodeal.task_groups import run_until_one_ends
 
 CONCURRENT_COMMITS = 4
@@ -46,7 +46,7 @@
         self._group_s = group_s
         self._group_rows = group_rows
         self._pause_s = pause_s
-        self._queue: deque[Ticket] = deque()
+        self._queue: deque[PendingTransaction] = deque()
         self._not_empty = curio.Event()
         self._gather_lock = curio.Lock()
 
@@ -55,7 +55,7 @@
         """Return how many transactions wait to be sent."""
         return len(self._queue)
 
-    async def submit(self, writes: Sequence[Write]) -> Ticket:
+    async def submit(self, writes: Sequence[Write]) -> PendingTransaction:
         """Queue a small transaction and return its ticket.
 
         :raises StoreUnavailableError: the queue is full.
@@ -63,7 +63,7 @@
         check_transaction(writes, self._group_rows)
         if len(self._queue) >= QUEUE_LIMIT:
             raise StoreUnavailableError("commit queue is full", step="group.submit")
-        transaction = Ticket(tuple(writes))
+        transaction = PendingTransaction(tuple(writes))
         self._queue.append(transaction)
         try:
             await self._not_empty.set()
@@ -95,17 +95,17 @@
             if batch:
                 await self._answer_batch(batch)
 
-    async def _gather_batch(self) -> list[Ticket]:
+    async def _gather_batch(self) -> list[PendingTransaction]:
         async with self._gather_lock:
             await self._not_empty.wait()
             if len(self._queue) < self._group_rows:
                 await curio.sleep(self._group_s)
             return self._take_batch()
 
-    def _take_batch(self) -> list[Ticket]:
+    def _take_batch(self) -> list[PendingTransaction]:
         """Take tickets for one commit: no key twice, at most ``group_rows`` rows."""
-        batch: list[Ticket] = []
-        later: list[Ticket] = []
+        batch: list[PendingTransaction] = []
+        later: list[PendingTransaction] = []
         keys: set[str] = set()
         rows = 0
         while self._queue:
@@ -127,7 +127,7 @@
             self._not_empty.clear()
         return batch
 
-    async def _answer_batch(self, batch: list[Ticket]) -> None:
+    async def _answer_batch(self, batch: list[PendingTransaction]) -> None:
         try:
             await self._commit_batch(batch)
         finally:
@@ -138,7 +138,7 @@
                     StoreUncertainError("commit was cut off", step="group.commit")
                 )
 
-    async def _commit_batch(self, batch: list[Ticket]) -> None:
+    async def _commit_batch(self, batch: list[PendingTransaction]) -> None:
         pending = list(batch)
         uncertain: StoreError | None = None
         tries = READ_BACK_TRIES
@@ -166,7 +166,9 @@
             if pending:
                 await curio.sleep(self._pause_s * random.uniform(0.5, 1.5))
 
-    async def _read_back(self, transactions: list[Ticket]) -> list[Ticket]:
+    async def _read_back(
+        self, transactions: list[PendingTransaction]
+    ) -> list[PendingTransaction]:
         """Read back after a lost answer; return the tickets that are not in force.
 
         A commit that took effect whose answer was lost would read as a conflict
@@ -189,10 +191,10 @@
 
     async def _drop_conflicting(
         self,
-        transactions: list[Ticket],
+        transactions: list[PendingTransaction],
         result: CommitResult,
         uncertain: StoreError | None,
-    ) -> list[Ticket]:
+    ) -> list[PendingTransaction]:
         """Answer the tickets whose condition failed; return the others.
 
         One row's failed condition fails the whole commit, so without this a
--- a/pistachiodeal/store/tickets.py
+++ b/pistachiodeal/store/pending_transactions.py
@@ -13,7 +13,7 @@
 log = logbook.Logger("pistachiodeal.store")
 
 
-class Ticket:
+class PendingTransaction:
     """One small transaction on its way.
 
     :ivar sent: some commit that holds it was handed to the table; until then it
@@ -75,12 +75,12 @@
         await self._done.set()
 
 
-def join_writes(transactions: Sequence[Ticket]) -> list[Write]:
+def join_writes(transactions: Sequence[PendingTransaction]) -> list[Write]:
     """Return the writes of all tickets as one transaction."""
     return [write for transaction in transactions for write in transaction.writes]
 
 
-def is_applied(transaction: Ticket, rows: dict[str, Row]) -> bool:
+def is_applied(transaction: PendingTransaction, rows: dict[str, Row]) -> bool:
     """Tell whether every value of a transaction is what the table holds."""
     for write in transaction.writes:
         if write.check_only or write.value is None:
@@ -91,21 +91,25 @@
     return True
 
 
-def build_result(transaction: Ticket, rows: dict[str, Row]) -> CommitResult:
+def build_result(transaction: PendingTransaction, rows: dict[str, Row]) -> CommitResult:
     """Return a transaction's result from the rows that were read back."""
     return CommitResult(
         versions={key: rows[key].version for key in transaction.keys if key in rows}
     )
 
 
-async def resolve_all(transactions: Sequence[Ticket], result: CommitResult) -> None:
+async def resolve_all(
+    transactions: Sequence[PendingTransaction], result: CommitResult
+) -> None:
     """Answer each ticket with its own part of a commit's result."""
     for transaction in transactions:
         own = {k: v for k, v in result.versions.items() if k in transaction.keys}
         await transaction.resolve(CommitResult(versions=own))
 
 
-async def reject_all(transactions: Sequence[Ticket], error: StoreError | None) -> None:
+async def reject_all(
+    transactions: Sequence[PendingTransaction], error: StoreError | None
+) -> None:
     """Answer all tickets with one error."""
     if not transactions:
         return
--- a/tests/standins/job_cluster.py
+++ b/tests/standins/job_cluster.py
@@ -26,7 +26,7 @@
 from pistachiodeal.jobentry.acceptance import Acceptance
 from pistachiodeal.jobentry.handover import HandOver
 from pistachiodeal.jobentry.relay import RelayedRows, build_dispatcher
-from pistachiodeal.jobentry.seat import Seat
+from pistachiodeal.jobentry.seat import PeerServer
 from pistachiodeal.jobentry.states import JobStates
 from pistachiodeal.jobs.model import Job, JobState, Queue, Step
 from pistachiodeal.jobs.rows import CANCEL_VALUE, build_cancel_key, encode_job
@@ -96,7 +96,7 @@
             Directory(tuple(self.addresses)),
             events,
         )
-        self.seat = Seat(
+        self.seat = PeerServer(
             self.store, peers, lambda queue: queue, LimitSettings(kept_s=100.0)
         )
         self.election = Election(
@@ -108,7 +108,7 @@
         self.acceptance = Acceptance(relayed, events)
         self.states = JobStates(relayed, self.seat, self.election)
         self.election.set_answer_handler(
-            build_dispatcher(relayed, self.states.take_answer)
+            build_dispatcher(relayed, self.states.handle_answer)
         )
         await self.start(
             self.seat.listen,
--- a/tests/unit/test_foreign_writers.py
+++ b/tests/unit/test_foreign_writers.py
@@ -27,10 +27,10 @@
 from pistachiodeal.platform.configuration import decode_configuration
 from pistachiodeal.platform.rows import _decode_row
 from pistachiodeal.platform.runner import (
-    BEAT_PATH,
-    LEAVE_PATH,
-    decode_beat,
+    DEREGISTER_PATH,
+    HEARTBEAT_PATH,
     decode_goodbye,
+    decode_heartbeat,
     decode_listing,
 )
 from pistachiodeal.store.row_store import RowWrite, StoredRow, Transaction
@@ -133,8 +133,8 @@
     (build_progress(), read_progress_row),
     (LEADER, lambda value: decode_leader_row(StoredRow("leader", value, 1))),
     (CONFIGURATION, decode_configuration),
-    (BEAT, lambda value: decode_beat(BEAT_PATH + "i-1", value)),
-    ({"born": 1}, lambda value: decode_goodbye(LEAVE_PATH + "i-1", value)),
+    (BEAT, lambda value: decode_heartbeat(HEARTBEAT_PATH + "i-1", value)),
+    ({"born": 1}, lambda value: decode_goodbye(DEREGISTER_PATH + "i-1", value)),
     (LISTING, read_listing),
 ]
 
@@ -259,9 +259,9 @@
     """A message that doesn't say which start of a runner it is from counts for none."""
     beat = orjson.dumps({**BEAT, "born": born})
     with pytest.raises(ProtocolError, match="no whole number"):
-        decode_beat(BEAT_PATH + "i-1", beat)
+        decode_heartbeat(HEARTBEAT_PATH + "i-1", beat)
     with pytest.raises(ProtocolError, match="no whole number"):
-        decode_goodbye(LEAVE_PATH + "i-1", orjson.dumps({"born": born}))
+        decode_goodbye(DEREGISTER_PATH + "i-1", orjson.dumps({"born": born}))
     listing = decode_listing("i-1@1783446900684", {**LISTING, "born": born})
     assert listing.result is CallResult.UNREADABLE
     assert "no whole number" in listing.detail
@@ -273,10 +273,10 @@
         {key: value for key, value in document.items() if key != "born"}
         for document in (BEAT, LISTING)
     )
-    worker = decode_beat(BEAT_PATH + "i-1", orjson.dumps(beat)).worker
+    worker = decode_heartbeat(HEARTBEAT_PATH + "i-1", orjson.dumps(beat)).worker
     assert worker == "i-1"
     assert decode_listing(worker, listed).result is CallResult.DONE
-    assert decode_goodbye(LEAVE_PATH + "i-1", b"").worker == worker
+    assert decode_goodbye(DEREGISTER_PATH + "i-1", b"").worker == worker
 
 
 def test_a_listing_without_its_start_is_of_no_start_that_is_known():
--- a/tests/unit/test_jobentry_api.py
+++ b/tests/unit/test_jobentry_api.py
@@ -20,7 +20,7 @@
 from pistachiodeal.jobs.model import JobState
 from pistachiodeal.platform.callers import parse_job
 from pistachiodeal.platform.configuration import decode_configuration
-from pistachiodeal.platform.runner import decode_beat
+from pistachiodeal.platform.runner import decode_heartbeat
 from pistachiodeal.store.row_store import RowWrite, Transaction
 from pistachiodeal.web.messages import WebRequest
 from tests.standins.job_cluster import QUEUE, create_quiet_log, run_cluster
@@ -138,7 +138,7 @@
 @pytest.mark.parametrize("body", [b"", b"[]", b'{"service":"s"}', b"null"])
 def test_a_malformed_heartbeat_is_refused(body):
     with pytest.raises(ProtocolError):
-        decode_beat("/api/Instances.Heartbeat/i-1", body)
+        decode_heartbeat("/api/Instances.Heartbeat/i-1", body)
 
 
 @pytest.mark.parametrize("value", [b"", b"{}", b'{"version":1,"routes":[{}]}'])
--- a/tests/unit/test_leader_handover.py
+++ b/tests/unit/test_leader_handover.py
@@ -131,7 +131,7 @@
             epoch = await leader.election.hand_over(follower.holder)
             assert epoch
             await chosen.kill()
-            await leader.seat.make_way(epoch)
+            await leader.seat.yield_leadership(epoch)
             job = build_job(1)
             other = await wait_for_leader(cluster, chosen)
             await other.submit(job)
--- a/tests/unit/test_restarted_runners.py
+++ b/tests/unit/test_restarted_runners.py
@@ -10,7 +10,7 @@
 
 from pistachiodeal.jobs.incarnations import get_runner
 from pistachiodeal.jobs.model import JobState
-from pistachiodeal.platform.runner import LEAVE_PATH
+from pistachiodeal.platform.runner import DEREGISTER_PATH
 from pistachiodeal.web.messages import WebRequest
 from tests.standins.job_cluster import JobCluster, build_job, run_cluster
 from tests.unit.test_crashing_tasks import plant
@@ -150,7 +150,7 @@
 def say_goodbye(born: int | None) -> WebRequest:
     """Return a runner's goodbye as the platform sends it."""
     body = b"" if born is None else b'{"born":%d}' % born
-    return WebRequest("POST", f"{LEAVE_PATH}w0-1", (), body)
+    return WebRequest("POST", f"{DEREGISTER_PATH}w0-1", (), body)
 
 
 def test_a_goodbye_counts_only_for_the_start_that_sent_it():
--- a/tests/unit/test_store_under_load.py
+++ b/tests/unit/test_store_under_load.py
@@ -12,7 +12,6 @@
 
 import curio
 import pytest
-from pistachiodeal.store.timeout import MAX_TIMEOUT_S, MIN_TIMEOUT_S, Patience
 
 from pistachiodeal.exceptions import RequestError, StoreError
 from pistachiodeal.jobentry.acceptance import Acceptance
@@ -24,6 +23,11 @@
 )
 from pistachiodeal.jobs.tables import read_submission, read_submissions
 from pistachiodeal.platform.rows import PlatformRows, create_rows
+from pistachiodeal.store.adaptive_timeout import (
+    MAX_TIMEOUT_S,
+    MIN_TIMEOUT_S,
+    AdaptiveTimeout,
+)
 from pistachiodeal.store.row_store import ABSENT, RowCondition, RowWrite, Transaction
 from tests.harness.ports import take_port
 from tests.soak.platform import StoreServer
@@ -107,7 +111,7 @@
     Sequence: the store answers within milliseconds, and then not at all.
     Cause: a limit that is long for slow days would be long on all days.
     """
-    timeout = Patience()
+    timeout = AdaptiveTimeout()
     for _ in range(10):
         timeout.record_latency(0.005)
     assert timeout.timeout_s == MIN_TIMEOUT_S
@@ -115,7 +119,7 @@
 
 def test_patience_has_an_end():
     """The load: answers take longer than any caller waits."""
-    timeout = Patience()
+    timeout = AdaptiveTimeout()
     timeout.record_latency(30.0)
     assert timeout.timeout_s == MAX_TIMEOUT_S
 
