--- a/pistachiodeal/jobentry/__init__.py
+++ b/pistachiodeal/jobentry/__init__.py
@@ -1,1 +1,1 @@
-"""The entry of the users' platform: callers' jobs, and the leader's seat."""
+"""The entry process: accepts callers' jobs, and leads while it is elected."""
--- a/pistachiodeal/jobentry/acceptance.py
+++ b/pistachiodeal/jobentry/acceptance.py
@@ -1,4 +1,4 @@
-"""Accepts jobs and cancellations: rows that are inserted once, many a transaction."""
+"""Accepts jobs and cancellations by idempotent, batched inserts into the store."""
 
 from __future__ import annotations
 
@@ -27,16 +27,16 @@
     TransactionResult,
 )
 
-# One for each partition of submissions, which has one transaction on its way.
+# One per partition of submissions, as each has one transaction in flight at a time.
 WRITERS = SUBMISSION_PARTITIONS
-# Time kept for the answer's way back to the caller, at most half of what is left.
+# Reserved for sending the response to the caller; at most half of the remaining time.
 ANSWER_MARGIN_S = 0.3
-# With less time than this a write is not begun. Callers that come back have little more
-# left: with all of the margin kept, their inserts would be sent and answered "unknown"
-# in the same millisecond.
+# With less time than this a write is not started. Callers that retry have little more
+# time left: if the whole margin were reserved, their inserts would be sent and answered
+# "unknown" in the same millisecond.
 MIN_WRITE_TIME_S = 0.02
-# A store that is away is asked again this often, and first after a short while: one
-# that refuses writes for their rate and answers reads would be written to in a loop.
+# Interval of probes while the store is unavailable. The first probe is delayed too: a
+# store that rate-limits writes but answers reads would be written to in a loop.
 PROBE_INTERVAL_S = 0.2
 FIRST_PROBE_DELAY_S = 0.05
 
@@ -44,12 +44,11 @@
 class Acceptance:
     """Inserts rows into the jobs table.
 
-    A store that goes away leaves a few inserts without an answer. Each of them is
-    settled by trying it again once the store answers, while its caller still waits.
-    All others are refused at once: they were never sent, so that is true, and their
-    callers may try again elsewhere. Whether the store is back is found out by reading.
-    A caller's insert as the probe would be one more that nobody knows the end of, and
-    a caller that is told so may not try again.
+    When the store becomes unavailable, a few inserts are left without an answer. Each
+    of them is retried once the store answers again, while its caller still waits. All
+    other inserts are refused at once: as they were never sent, their callers may safely
+    retry elsewhere. Probes only read. A caller's insert used as a probe could be left
+    with an unknown outcome, and a caller with an unknown outcome may not retry.
     """
 
     def __init__(self, store: RowStore, events: EventLog) -> None:
@@ -57,21 +56,21 @@
         self._events = events
         self._queue = InsertQueue()
         self._unsettled: list[Insert] = []
-        self._down_since = 0.0
+        self._unavailable_since = 0.0
         self._store_lost = curio.Event()
         self._random = random.Random()
 
     async def insert(self, key: str, value: bytes, budget_s: float) -> None:
-        """Insert a row that may be there already; return when it is durable.
+        """Insert a row unless it exists; return when it is durable.
 
-        :raises RequestError: with outcome ``not_run`` if the row certainly is not,
-            and never will be, there; else ``unknown``.
+        :raises RequestError: with outcome ``not_run`` if this insert certainly has no
+            effect, now or later; otherwise ``unknown``.
         """
-        if self._down_since:
-            raise self._build_refusal("the store is away")
+        if self._unavailable_since:
+            raise self._build_refusal("the store is unavailable")
         wait_s = budget_s - min(ANSWER_MARGIN_S, budget_s / 2)
         if wait_s < MIN_WRITE_TIME_S:
-            raise self._build_refusal("its caller leaves no time for a write")
+            raise self._build_refusal("the deadline leaves no time for a write")
         insert = Insert(key, value)
         await self._queue.put(insert)
         async with curio.ignore_after(wait_s):
@@ -79,13 +78,13 @@
         if not insert.done.is_set():
             insert.abandoned = True
             insert.error = self._build_failure(
-                insert, "the store gave no answer in time"
+                insert, "the store did not answer in time"
             )
         if insert.error is not None:
             raise insert.error
 
     async def run(self) -> None:
-        """Write for ever."""
+        """Run the writers and the probe for ever."""
         async with curio.TaskGroup() as group:
             for _ in range(WRITERS):
                 await group.spawn(self._run_writer)
@@ -95,29 +94,31 @@
         while True:
             partition, batch = await self._queue.take()
             while batch:
-                batch = await self._write([one for one in batch if not one.abandoned])
+                batch = await self._write(
+                    [insert for insert in batch if not insert.abandoned]
+                )
             await self._queue.finish(partition)
 
     async def _write(self, batch: list[Insert]) -> list[Insert]:
-        """Try once; return the inserts that have to be tried again."""
+        """Try to commit a batch once; return the inserts to retry at once."""
         if not batch:
             return []
-        if self._down_since:
-            await self._defer_or_refuse(batch, "the store is away")
+        if self._unavailable_since:
+            await self._defer_or_refuse(batch, "the store is unavailable")
             return []
         for insert in batch:
             insert.tries += 1
         try:
             result = await self._store.commit(_build(batch))
         except StoreUncertainError as error:
-            await self._mark_down(error)
+            await self._mark_unavailable(error)
             await self._defer_or_refuse(batch, str(error))
             return []
         except StoreError as error:
-            # Nothing was done by this try.
+            # This try took no effect.
             for insert in batch:
                 insert.tries -= 1
-            await self._mark_down(error)
+            await self._mark_unavailable(error)
             await self._defer_or_refuse(batch, str(error))
             return []
         if result.committed:
@@ -129,8 +130,8 @@
     async def _resolve_conflict(
         self, batch: list[Insert], result: TransactionResult
     ) -> list[Insert]:
-        # One row that is there already fails the whole transaction. It is a repeat of
-        # its own submission, so it is accepted; the others are tried again.
+        # One row that exists fails the whole transaction. Its insert repeats an earlier
+        # submission, so it counts as accepted; the others are retried.
         again = []
         for insert in batch:
             row = result.found.get((JOBS_TABLE, insert.key))
@@ -141,7 +142,7 @@
         return again
 
     async def _defer_or_refuse(self, batch: list[Insert], detail: str) -> None:
-        """Keep what may have taken effect for later; refuse what certainly has not."""
+        """Defer inserts that may have taken effect; refuse those that have not."""
         for insert in batch:
             if insert.tries:
                 self._unsettled.append(insert)
@@ -150,16 +151,16 @@
                 await insert.done.set()
 
     async def _run_probe(self) -> None:
-        """Find out when the store is back, and then settle what has no answer."""
+        """Probe an unavailable store; when it answers, retry the unsettled inserts."""
         while True:
             await self._store_lost.wait()
             await curio.sleep(FIRST_PROBE_DELAY_S)
             if not await probe_store(self._store):
                 await curio.sleep(PROBE_INTERVAL_S)
                 continue
-            away_s = read_boot_clock() - self._down_since
+            away_s = read_boot_clock() - self._unavailable_since
             self._store_lost.clear()
-            self._down_since = 0.0
+            self._unavailable_since = 0.0
             unsettled, self._unsettled = self._unsettled, []
             self._events.emit(
                 "store.regained", away_ms=int(away_s * 1000), unsettled=len(unsettled)
@@ -167,17 +168,17 @@
             for insert in unsettled:
                 await self._queue.put(insert)
 
-    async def _mark_down(self, error: StoreError) -> None:
-        if self._down_since:
+    async def _mark_unavailable(self, error: StoreError) -> None:
+        if self._unavailable_since:
             return
-        self._down_since = read_boot_clock()
+        self._unavailable_since = read_boot_clock()
         self._events.emit("store.lost", cause=str(error))
         await self._store_lost.set()
 
     def _build_failure(self, insert: Insert, detail: str) -> RequestError:
         if not insert.tries:
             return self._build_refusal(detail)
-        # A try may still be carried out: "not accepted" would be untrue.
+        # A try may still be carried out, so the outcome is not known to be "not run".
         return RequestError(
             detail,
             code="store_uncertain",
@@ -187,7 +188,11 @@
         )
 
     def _build_refusal(self, detail: str) -> RequestError:
-        away_s = read_boot_clock() - self._down_since if self._down_since else 0.0
+        away_s = (
+            read_boot_clock() - self._unavailable_since
+            if self._unavailable_since
+            else 0.0
+        )
         return RequestError(
             detail,
             code="store_unavailable",
@@ -198,6 +203,6 @@
 
 
 def _build(batch: list[Insert]) -> Transaction:
-    conditions = tuple(RowCondition(JOBS_TABLE, one.key, ABSENT) for one in batch)
-    writes = tuple(RowWrite(JOBS_TABLE, one.key, one.value) for one in batch)
+    conditions = tuple(RowCondition(JOBS_TABLE, insert.key, ABSENT) for insert in batch)
+    writes = tuple(RowWrite(JOBS_TABLE, insert.key, insert.value) for insert in batch)
     return Transaction(conditions, writes)
--- a/pistachiodeal/jobentry/api.py
+++ b/pistachiodeal/jobentry/api.py
@@ -1,4 +1,4 @@
-"""Callers' requests: submit, ask, cancel, count."""
+"""Handles callers' requests: submit, query and cancel jobs, count pending jobs."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 class CallerApi:
     """Handles callers' requests.
 
-    :param row_bytes: largest row that the store takes.
+    :param row_bytes: maximum size of a row in the store, bytes.
     """
 
     def __init__(
@@ -46,7 +46,7 @@
         self._stats = events.stats
 
     async def handle(self, request: WebRequest) -> WebResponse:
-        """Answer one request."""
+        """Handle one request and record its outcome."""
         began = time.monotonic()
         try:
             response = await self._route(request)
@@ -71,7 +71,7 @@
         configuration = self._configuration.current
         if configuration is None:
             raise RequestError(
-                "no configuration yet",
+                "the configuration is not loaded yet",
                 code="starting",
                 status=503,
                 retry_after=RETRY_AFTER_S,
@@ -80,7 +80,7 @@
         queue = self._configuration.find(read_host(request), request.path)
         if queue is None:
             raise RequestError(
-                f"version {configuration.version} has no such queue",
+                f"configuration version {configuration.version} has no such queue",
                 code="unknown_queue",
                 status=404,
                 step="jobs.route",
--- a/pistachiodeal/jobentry/app.py
+++ b/pistachiodeal/jobentry/app.py
@@ -1,4 +1,4 @@
-"""Puts the entry together, and stops it without cutting a request off."""
+"""Assembles the entry process and shuts it down gracefully."""
 
 from __future__ import annotations
 
@@ -28,21 +28,21 @@
 from pistachiodeal.wire.identity import ENTRY_ROLE
 from pistachiodeal.wire.link import Link
 
-# The balancer asks for readiness once a second and takes two misses; until then it
-# goes on sending new connections, which a closed listener would turn away.
+# The load balancer checks readiness once a second and removes an entry after two failed
+# checks. Until then it sends new connections, so the listener must stay open.
 BALANCER_DELAY_S = 2.4
-# Kept of the grace period for the end of the process itself, which then cuts nobody
-# off: 0.6 s where twice as many processes are busy as there are cores.
+# Part of the grace period reserved for the exit of the process after the drain. It
+# takes 0.6 s where twice as many processes are busy as there are cores.
 PROCESS_EXIT_S = 0.9
 MIN_DRAIN_S = 1.0
-# Requests of callers arrive within milliseconds of each other; the configuration's own
-# limit is applied when a body is parsed.
+# Requests of callers arrive within milliseconds of each other. The limit in the
+# operator's configuration is applied when a body is parsed.
 BODY_BYTES = 262_144
 IDLE_S = 60.0
 
 
 class EntryApp:
-    """The parts of one entry."""
+    """The components of one entry process."""
 
     def __init__(self, settings: DeploymentSettings, events: EventLog) -> None:
         self._settings = settings
@@ -93,7 +93,7 @@
         """Serve until a signal to stop."""
         supervisor = Supervisor("entry")
         supervisor.add("configuration", self._configuration.run)
-        supervisor.add("configuration look", self._configuration.poll)
+        supervisor.add("configuration poll", self._configuration.poll)
         supervisor.add("acceptance", self._acceptance.run)
         supervisor.add("peers", self._peer_server.listen)
         supervisor.add("readiness", self._readiness.run)
@@ -115,8 +115,9 @@
     async def _shut_down(self, electing: curio.Task) -> None:
         self._stopping = True
         self._events.emit("process.stopping")
-        # Callers' connections drain meanwhile: a store that is slow holds up only the
-        # lead, and the process still ends within its grace period.
+        # The hand-over and the drain of callers' connections run concurrently, so a
+        # slow store delays only the hand-over and the process exits within its grace
+        # period.
         handing_over = await curio.spawn(self._hand_over, electing)
         await curio.sleep(BALANCER_DELAY_S)
         drained = await self._callers.drain(self._drain_s)
--- a/pistachiodeal/jobentry/configuration.py
+++ b/pistachiodeal/jobentry/configuration.py
@@ -1,4 +1,4 @@
-"""The operator's configuration as this process has it."""
+"""Keeps this process's copy of the operator's configuration up to date."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 
 FEED_WAIT_S = 20.0
 RETRY_S = 0.15
-# A feed can be cut off without a word while its history is dropped; a look at the row
-# this often keeps a change within the second or two in which it has to be in force.
+# A feed can lose changes without an error when its history is dropped. Polling the row
+# as well ensures that a change is in force within the required second or two.
 POLL_INTERVAL_S = 0.7
 
 
 class ConfigurationWatcher:
-    """Follows the configuration; never goes back to an older one."""
+    """Watches the configuration; never reverts to an older version."""
 
     def __init__(self, store: RowStore, events: EventLog) -> None:
         self._store = store
@@ -42,38 +42,38 @@
 
     @property
     def current(self) -> Configuration | None:
-        """Return the configuration in force, None before the first."""
+        """Return the configuration in force, or None before the first is read."""
         return self._current
 
     def find(self, host: str, path: str) -> Queue | None:
-        """Return the queue of a request."""
+        """Return the queue that a request's host and path select."""
         if self._current is None:
             return None
         return find_queue(self._current.queues, host, path)
 
     def refresh(self, queue: Queue) -> Queue:
-        """Return a queue as the newest configuration has it."""
+        """Return the queue of the same name from the newest configuration."""
         return self._by_name.get(queue.name, queue)
 
     async def run(self) -> None:
-        """Follow the configuration for ever."""
+        """Follow the change feed for ever."""
         while True:
             try:
                 await self._follow()
             except HistoryLostError:
                 self._version = 0
             except StoreError as error:
-                log.debug("configuration: cannot follow it: {}", error)
+                log.debug("configuration: cannot follow the change feed: {}", error)
                 await curio.sleep(RETRY_S)
 
     async def poll(self) -> None:
-        """Read the row itself, now and then."""
+        """Read the row at a fixed interval for ever."""
         while True:
             await curio.sleep(POLL_INTERVAL_S)
             try:
                 await self._read()
             except StoreError as error:
-                log.debug("configuration: cannot look at it: {}", error)
+                log.debug("configuration: cannot read the row: {}", error)
 
     async def _follow(self) -> None:
         if not self._version:
--- a/pistachiodeal/jobentry/handover.py
+++ b/pistachiodeal/jobentry/handover.py
@@ -1,10 +1,10 @@
-"""Gives the lead to another entry: at a planned stop, or to one that is fitter.
+"""Transfers leadership to another entry, on a planned stop or to a fitter entry.
 
-What goes wrong without it: a leader that stops leaves its row vacant and closes its
-links; each follower finds that out, reads the row, and campaigns. Between two
-placements 0.9 to 1.1 s passed, and 5.3 s where the store was a hundred times slower and
-the first to campaign was stopped next. Here the leader itself writes its successor into
-the row, and tells everybody where to go once the successor leads.
+Without it, a stopping leader leaves its row vacant and closes its links; each follower
+detects that, reads the row and campaigns. That left 0.9 to 1.1 s between two
+placements, and 5.3 s where the store was a hundred times slower and the first
+campaigner was stopped next. Here the leader writes its successor into the row and, once
+the successor leads, sends its address to all peers.
 """
 
 from __future__ import annotations
@@ -19,18 +19,19 @@
 
 log = Logger("handover")
 
-# How often a weak leader looks for a fitter follower.
+# How often a leader checks whether it should make way for a fitter follower.
 CHECK_INTERVAL_S = 1.0
-# A successor has to read its row and to dial this process, which is slow where the
-# store is; one that doesn't in this time is gone, and the row says so to others.
+# A successor has to read its row, which takes long if the store is slow, and dial this
+# process. One that doesn't do so in this time has failed, and the others detect that
+# by the row.
 SUCCESSOR_TIMEOUT_S = 1.5
 POLL_S = 0.01
 
 
 class HandOver:
-    """Gives the lead away.
+    """Transfers leadership to the fittest follower.
 
-    :param fitness: of this process.
+    :param fitness: fitness of this process.
     """
 
     def __init__(
@@ -46,10 +47,10 @@
         self._fitness = fitness
 
     async def run(self) -> None:
-        """Make way for a fitter follower in a calm moment, for ever.
+        """Transfer leadership to a much fitter follower when stable; run for ever.
 
-        On a large fleet a weak leader is slow to decide, while entries with several
-        times as much only follow.
+        On a large fleet a weak leader schedules slowly, while entries with several
+        times its fitness only follow.
         """
         while True:
             await curio.sleep(CHECK_INTERVAL_S)
@@ -62,14 +63,14 @@
                 await self.transfer_leadership("a fitter entry follows")
 
     async def leave(self) -> bool:
-        """Stop leading, and never lead again; False if nobody could take over."""
+        """Stop leading for good; return False if no follower could take over."""
         await self._election.retire()
         if self._peer_server.leadership is None:
             return True
         return await self.transfer_leadership("this entry is stopping")
 
     async def transfer_leadership(self, why: str) -> bool:
-        """Hand over to the fittest follower; tell whether it was done."""
+        """Transfer leadership to the fittest follower; return whether it was done."""
         leadership = self._peer_server.leadership
         follower = self._peer_server.find_fittest()
         if leadership is None or follower is None:
@@ -88,6 +89,6 @@
         return True
 
     async def _wait_for_successor(self) -> None:
-        """Wait until the successor has told this process that it leads."""
+        """Wait until the successor has notified this process that it leads."""
         while self._peer_server.leadership is not None:
             await curio.sleep(POLL_S)
--- a/pistachiodeal/jobentry/insert_queue.py
+++ b/pistachiodeal/jobentry/insert_queue.py
@@ -1,9 +1,9 @@
-"""Inserts that wait for the store, by partition.
+"""A queue of inserts that batches them by partition.
 
-The load that this answers: many callers hand jobs in while the store is slow. A
-partition does one transaction after another, so a second one of the same entry would
-only stand behind the first; what comes meanwhile goes together in the next. Those of
-other partitions don't wait for either.
+A partition of the store executes transactions serially, so a second concurrent
+transaction of the same entry would only queue behind the first. While one is in flight,
+further inserts of the partition are collected for the next batch. Partitions don't wait
+for each other. This keeps up with many submissions while the store is slow.
 """
 
 from __future__ import annotations
@@ -15,16 +15,16 @@
 from pistachiodeal.exceptions import RequestError
 from pistachiodeal.jobs.rows import JOBS_TABLE, find_partition
 
-# Each insert is a condition and a write, and a transaction takes 100 entries.
+# Each insert takes a condition and a write; a transaction is limited to 100 of both.
 MAX_INSERTS_PER_TRANSACTION = 40
 
 
 @dataclass(slots=True, eq=False)
 class Insert:
-    """One row on its way.
+    """One row to be inserted.
 
-    :param tries: tries that were sent; one without an answer may still take effect.
-    :param abandoned: its caller has been answered; it is not to be sent any more.
+    :param tries: number of tries sent; one without an answer may still take effect.
+    :param abandoned: its caller has been answered, so it must not be sent any more.
     """
 
     key: str
@@ -36,7 +36,7 @@
 
 
 class InsertQueue:
-    """Hands out batches; a partition has one batch out at a time."""
+    """Hands out batches, at most one per partition at a time."""
 
     def __init__(self) -> None:
         self._waiting: dict[str, list[Insert]] = {}
@@ -45,8 +45,8 @@
     async def put(self, insert: Insert) -> None:
         """Add an insert to its partition's next batch."""
         partition = find_partition(JOBS_TABLE, insert.key)
-        # A partition is known here from its first insert until nothing of it waits
-        # or is out.
+        # A partition has an entry in the dictionary while any of its inserts are
+        # waiting or handed out.
         if partition in self._waiting:
             self._waiting[partition].append(insert)
             return
@@ -62,7 +62,7 @@
         return partition, batch
 
     async def finish(self, partition: str) -> None:
-        """Note that a partition's batch is settled; its next one may go."""
+        """Mark a partition's batch as finished, so that its next one may start."""
         if self._waiting[partition]:
             await self._ready.put(partition)
         else:
--- a/pistachiodeal/jobentry/probe.py
+++ b/pistachiodeal/jobentry/probe.py
@@ -1,4 +1,4 @@
-"""Whether the store answers this process."""
+"""Checks whether the store answers this process."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 async def probe_store(store: RowStore) -> bool:
-    """Tell whether a read is answered.
+    """Return whether the store answers a read.
 
-    A caller's insert as the probe would be one more that nobody knows the end of.
+    Probing with a caller's insert instead could leave it with an unknown outcome.
     """
     try:
         await read_row(store, JOBS_TABLE, PROBE_KEY)
     except StoreError as error:
-        log.debug("probe: the store gives no answer: {}", error)
+        log.debug("probe: the store does not answer: {}", error)
         return False
     return True
--- a/pistachiodeal/jobentry/relay.py
+++ b/pistachiodeal/jobentry/relay.py
@@ -1,9 +1,9 @@
-"""The store through the leader, for an entry that the store turns away.
+"""Relays store calls through the leader for an entry that cannot reach the store.
 
-The failure that this answers: the store refuses a third of the VMs for nine seconds, or
-a VM is cut off from it, and serves all others. Callers of such an entry would be turned
-away, or told "unknown", although the leader, to which the entry has a link, could write
-their jobs. What the leader does for another entry is bounded, so that it goes on
+The store may refuse a third of the VMs for nine seconds, or a VM may be cut off from
+it, while it serves all others. Callers of such an entry would be refused, or answered
+"unknown", although the leader, to which the entry has a link, could write their jobs.
+The number of calls that the leader relays at a time is limited, so that it can go on
 leading.
 """
 
@@ -47,12 +47,12 @@
 
 log = Logger("relay")
 
-# The leader waits for the store a little less than this, also for one that is slow.
+# Slightly longer than the leader's own longest time-out for the store.
 ANSWER_TIMEOUT_S = MAX_TIMEOUT_S + 0.3
-# A store that turns this process away is asked again this often.
+# Interval of probes while this process cannot reach the store.
 PROBE_INTERVAL_S = 0.3
-# Calls that a leader makes for others at a time; more are refused. Each takes some
-# 5 ms of an answering store.
+# Calls that a leader relays concurrently; further ones are refused. Each takes about
+# 5 ms if the store answers.
 MAX_RELAYED_CALLS = 32
 STEP = "relay"
 
@@ -67,7 +67,7 @@
 
 
 class RelayServer:
-    """Makes calls of the store for other entries."""
+    """Makes store calls on behalf of other entries."""
 
     def __init__(self, store: RowStore, events: EventLog) -> None:
         self._store = store
@@ -75,7 +75,7 @@
         self._running = 0
 
     async def take(self, link: Link, call: RelayCall) -> None:
-        """Begin a call; its answer follows on the link."""
+        """Start a call; its answer is sent on the link."""
         if self._running >= MAX_RELAYED_CALLS:
             self._events.emit("relay.refused", peer=link.address, running=self._running)
             await self._send(link, _build_failure(call, _Failure.REFUSED))
@@ -87,10 +87,10 @@
         try:
             answer = await self._call_store(call)
         except StoreUncertainError as error:
-            log.debug("relay: no answer of the store: {}", error)
+            log.debug("relay: the store does not answer: {}", error)
             answer = _build_failure(call, _Failure.UNCERTAIN)
         except StoreError as error:
-            log.debug("relay: the store refuses: {}", error)
+            log.debug("relay: the store refuses the call: {}", error)
             answer = _build_failure(call, _Failure.REFUSED)
         finally:
             self._running -= 1
@@ -115,25 +115,25 @@
         try:
             await link.send(answer)
         except PistachiodealError as error:
-            log.debug("relay: an answer could not be sent: {}", error)
+            log.debug("relay: cannot send an answer: {}", error)
 
 
 class RelayedRows:
-    """A ``RowStore`` that goes through the leader while the store turns us away.
+    """A ``RowStore`` that relays calls through the leader while the store is away.
 
-    :param find_link: returns the link to the leader, None while there is none.
+    :param find_link: returns the link to the leader, or None if there is none.
     """
 
     def __init__(self, store: RowStore, find_link: FindLink, events: EventLog) -> None:
         self._store = store
         self._find_link = find_link
         self._events = events
-        self._away_since = 0.0
+        self._unavailable_since = 0.0
         self._waiting: dict[int, curio.Queue] = {}
         self._request_id = 0
 
     async def handle_answer(self, answer: RelayAnswer) -> None:
-        """Take in what the leader sends."""
+        """Pass the leader's answer to the call that waits for it."""
         waiting = self._waiting.get(answer.request_id)
         if waiting is not None:
             await waiting.put(answer)
@@ -145,12 +145,12 @@
             try:
                 return await self._store.commit(transaction)
             except StoreUncertainError as error:
-                # It may still be carried out. Whoever sends it again sees by the rows
-                # whether it was; that is not for this class to decide.
-                await self._mark_away(error)
+                # The transaction may still be carried out, so it is not relayed. A
+                # caller that sends it again sees from the rows whether it was.
+                await self._mark_unavailable(error)
                 raise
             except StoreError as error:
-                await self._mark_away(error)
+                await self._mark_unavailable(error)
                 link = self._find_relay_link()
                 if link is None:
                     raise
@@ -172,7 +172,7 @@
             try:
                 return await self._store.read(table, start, end, limit, partition)
             except StoreError as error:
-                await self._mark_away(error)
+                await self._mark_unavailable(error)
                 link = self._find_relay_link()
                 if link is None:
                     raise
@@ -184,11 +184,11 @@
         return RowPage(rows, answer.version, answer.truncated)
 
     async def follow(self, table: str, after: int, wait_s: float) -> RowPage:
-        """Return what has changed; never relayed, as it would hold the leader up."""
+        """Return changes; never relayed, as a long poll would occupy the leader."""
         return await self._store.follow(table, after, wait_s)
 
     def _find_relay_link(self) -> Link | None:
-        return self._find_link() if self._away_since else None
+        return self._find_link() if self._unavailable_since else None
 
     async def _ask(self, link: Link, build: Callable[[int], RelayCall]) -> RelayAnswer:
         self._request_id += 1
@@ -212,21 +212,21 @@
             raise StoreUnavailableError("refused", step=STEP, peer=link.address)
         return answer
 
-    async def _mark_away(self, error: StoreError) -> None:
-        if self._away_since:
+    async def _mark_unavailable(self, error: StoreError) -> None:
+        if self._unavailable_since:
             return
-        self._away_since = read_boot_clock()
+        self._unavailable_since = read_boot_clock()
         self._events.emit("store.turned_away", cause=str(error))
         await curio.spawn(self._probe, daemon=True)
 
     async def _probe(self) -> None:
-        """Ask the store itself until it answers."""
+        """Probe the store directly until it answers."""
         while True:
             await curio.sleep(PROBE_INTERVAL_S)
             if not await probe_store(self._store):
                 continue
-            away_s = read_boot_clock() - self._away_since
-            self._away_since = 0.0
+            away_s = read_boot_clock() - self._unavailable_since
+            self._unavailable_since = 0.0
             self._events.emit("store.taken_back", away_ms=int(away_s * 1000))
             return
 
@@ -234,7 +234,7 @@
 def build_dispatcher(
     relayed: RelayedRows, handle_answer: Callable[..., Awaitable[None]]
 ) -> Callable[..., Awaitable[None]]:
-    """Return what takes the leader's messages, relayed answers and all others."""
+    """Return a handler of the leader's messages: relayed answers and all others."""
 
     async def dispatch(message: object) -> None:
         if isinstance(message, RelayAnswer):
@@ -251,23 +251,24 @@
 
 def _pack_commit(request_id: int, transaction: Transaction) -> RelayCommit:
     conditions = tuple(
-        RelayCondition(one.table, one.key, one.version)
-        for one in transaction.conditions
+        RelayCondition(condition.table, condition.key, condition.version)
+        for condition in transaction.conditions
     )
     writes = tuple(
-        RelayWrite(one.table, one.key, one.value or b"", one.value is None)
-        for one in transaction.writes
+        RelayWrite(write.table, write.key, write.value or b"", write.value is None)
+        for write in transaction.writes
     )
     return RelayCommit(request_id, conditions, writes)
 
 
 def _unpack_commit(call: RelayCommit) -> Transaction:
     conditions = tuple(
-        RowCondition(one.table, one.key, one.version) for one in call.conditions
+        RowCondition(condition.table, condition.key, condition.version)
+        for condition in call.conditions
     )
     writes = tuple(
-        RowWrite(one.table, one.key, None if one.removed else one.value)
-        for one in call.writes
+        RowWrite(write.table, write.key, None if write.removed else write.value)
+        for write in call.writes
     )
     return Transaction(conditions, writes)
 
--- a/pistachiodeal/jobentry/seat.py
+++ b/pistachiodeal/jobentry/seat.py
@@ -1,4 +1,4 @@
-"""Whether this entry leads, and its links to agents and other entries."""
+"""Accepts links from agents and other entries, and leads while elected."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 log = Logger("seat")
 
 NOTICE_INTERVAL_S = 0.25
-# Nobody waits longer for a link that takes no more bytes when the lead goes over.
+# Limits the wait for links that accept no more bytes when leadership is transferred.
 BROADCAST_TIMEOUT_S = 0.2
 LOAD_POLL_INTERVAL_S = 0.03
 LOAD_TIMEOUT_S = 3.0
@@ -49,14 +49,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Follower:
-    """An entry that follows this one, and could lead in its place."""
+    """An entry that follows this leader and could succeed it."""
 
     link: Link
     holder: Holder
 
 
 class PeerServer:
-    """Leads while this process holds the leader's row, and accepts links."""
+    """Serves links of agents and entries; leads while this process is elected."""
 
     def __init__(
         self,
@@ -81,29 +81,31 @@
 
     @property
     def leadership(self) -> Leadership | None:
-        """Return what this process leads, None while it doesn't."""
+        """Return the current leadership, or None while this process doesn't lead."""
         return self._leadership
 
     @property
     def followers(self) -> Collection[Follower]:
-        """Return the entries that follow; the fitness of one that is stopping is 0."""
+        """Return the followers; the fitness of an entry that is stopping is 0."""
         return self._followers.values()
 
     def find_fittest(self) -> Follower | None:
-        """Return the fittest entry that follows; none that is stopping."""
-        fit = [one for one in self._followers.values() if one.holder.fitness]
-        return max(fit, key=lambda one: one.holder.fitness, default=None)
+        """Return the fittest follower that is not stopping, or None."""
+        fit = [
+            follower for follower in self._followers.values() if follower.holder.fitness
+        ]
+        return max(fit, key=lambda follower: follower.holder.fitness, default=None)
 
     async def appoint(self, follower: Follower, epoch: int) -> None:
-        """Tell a follower that the leader's row names it."""
+        """Notify a follower that the leader's row names it as the successor."""
         try:
             await follower.link.send(Appointment(epoch))
         except LinkClosedError as error:
-            # It, or another entry, finds out by the row.
-            log.info("seat: a successor is gone: {}", error)
+            # The successor, or another entry, will read the row.
+            log.info("seat: cannot notify the successor: {}", error)
 
     async def yield_leadership(self, epoch: int) -> None:
-        """End leading, since another process leads under a higher epoch."""
+        """Stop leading because another process leads under a higher epoch."""
         leadership = self._leadership
         if leadership is None:
             return
@@ -111,7 +113,7 @@
         await leadership.step_down(epoch)
 
     async def lead(self, authority: Authority) -> None:
-        """Lead under an authority until another process takes over."""
+        """Lead with the given authority until another process takes over."""
         self._leadership = Leadership(
             self._store,
             authority,
@@ -157,7 +159,8 @@
             return
         waited_s = 0.0
         while not leadership.loaded:
-            # Set against an empty book, all runs of a worker would look like strays.
+            # Reconciled before the jobs are loaded, all runs of a worker would look
+            # unknown.
             if waited_s > LOAD_TIMEOUT_S or self._leadership is not leadership:
                 return
             await curio.sleep(LOAD_POLL_INTERVAL_S)
@@ -194,7 +197,7 @@
             await notifier.cancel()
 
     async def _receive_notices(self, link: Link) -> None:
-        """Hear who leads from an entry that has dialled; others only ask, and leave."""
+        """Receive leader notices from an entry; those that only query disconnect."""
         while self._leadership is None:
             message = await link.receive()
             if isinstance(message, LeaderNotice):
@@ -220,7 +223,10 @@
         )
 
     async def _broadcast_notice(self) -> None:
-        """Tell agents and entries who leads now, so that nobody has to search."""
+        """Send the new leader's address to all agents and entries.
+
+        It spares them the search for the new leader.
+        """
         notice = self._directory.build_notice()
 
         async def send(link: Link) -> None:
@@ -240,8 +246,9 @@
         sent_revision = 0
         try:
             while not link.closed:
-                # The list of entries goes out when it has changed. With each notice,
-                # the bytes would grow by the square of the number of entries.
+                # The list of entries is sent only when it has changed. Sent with each
+                # notice, the traffic would grow with the square of the number of
+                # entries.
                 changed = self._directory.revision != sent_revision
                 sent_revision = self._directory.revision
                 await link.send(self._build_notice(with_entries=changed))
--- a/pistachiodeal/jobentry/states.py
+++ b/pistachiodeal/jobentry/states.py
@@ -1,4 +1,4 @@
-"""Answers what callers ask of jobs: from the leader, or else from the store."""
+"""Answers queries of jobs and queues, from the leader or else from the store."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 
 log = Logger("states")
 
-# The leader answers from memory within a few ms; after this the store is asked.
+# The leader answers from memory within a few ms; after this time-out the store is read.
 QUERY_TIMEOUT_S = 0.4
-# A count may be two seconds old.
+# A count may be up to two seconds old.
 COUNT_MAX_AGE_S = 1.5
 RETRY_AFTER_S = 1.0
 
 
 class JobStates:
-    """Finds states of jobs and counts of queues."""
+    """Finds the states of jobs and the numbers of pending jobs of queues."""
 
     def __init__(
         self, store: RowStore, peer_server: PeerServer, election: Election
@@ -39,13 +39,13 @@
         self._counts: dict[str, tuple[float, int]] = {}
 
     async def handle_answer(self, answer: JobAnswer) -> None:
-        """Take in the leader's answer to a query."""
+        """Pass the leader's answer to the query that waits for it."""
         waiting = self._waiting.get(answer.request_id)
         if waiting is not None:
             await waiting.put(answer)
 
     async def announce(self, key: str) -> None:
-        """Tell the leader of a durable row; the feed tells it too."""
+        """Notify the leader of a durable row before the change feed does."""
         leadership = self._peer_server.leadership
         if leadership is not None:
             leadership.announce(key)
@@ -59,7 +59,7 @@
             log.debug("states: cannot announce {}: {}", key, error)
 
     async def find_state(self, job_id: str) -> JobState | None:
-        """Return a job's state, None when there is certainly no such job.
+        """Return a job's state, or None if the job certainly doesn't exist.
 
         :raises RequestError: neither the leader nor the store answers.
         """
@@ -74,17 +74,17 @@
         return await self._read_state(job_id)
 
     async def exists(self, job_id: str) -> bool:
-        """Tell whether a job was accepted, as the store has it.
+        """Return whether the store has the job's submission.
 
-        :raises StoreError: the store gives no answer.
+        :raises StoreError: the store doesn't answer.
         """
         page = await read_submission(self._store, job_id)
         return any(row.key == job_id for row in page.rows)
 
     async def count_pending(self, queue: Queue) -> int:
-        """Return how many jobs of a queue have not begun.
+        """Return the number of jobs of a queue that have not begun.
 
-        :raises RequestError: the leader gives no answer and gave none lately.
+        :raises RequestError: the leader doesn't answer and the last count is too old.
         """
         leadership = self._peer_server.leadership
         if leadership is not None and leadership.loaded:
@@ -97,7 +97,7 @@
         counted_at, count = self._counts.get(queue.name, (0.0, 0))
         if now - counted_at < COUNT_MAX_AGE_S:
             return count
-        raise _build_refusal("nobody leads")
+        raise _build_refusal("the leader does not answer")
 
     async def _ask(self, job_id: str, queue: str) -> JobAnswer | None:
         link = self._election.link
