--- a/tests/unit/fake_table.py
+++ b/tests/unit/fake_table.py
@@ -1,4 +1,4 @@
-"""A table in memory with faults, for tests of whatever commits to it."""
+"""An in-memory table with fault injection."""
 
 from __future__ import annotations
 
@@ -19,22 +19,22 @@
 
 
 class Fault(StrEnum):
-    """What happens to the next call."""
+    """A fault injected into the next call."""
 
     NONE = "none"
     LOST = "lost"  # takes effect, the answer is lost
     DROPPED = "dropped"  # takes no effect, the answer is lost
     DELAYED = "delayed"  # the answer is lost, takes effect at land_delayed()
-    REFUSED = "refused"  # takes no effect, and says so
+    REFUSED = "refused"  # takes no effect, and the answer says so
     HANGING = "hanging"  # takes effect, no answer until end_hanging()
 
 
 class FakeTable:
     """Implements the ``Table`` protocol.
 
-    :ivar faults: taken one by one by the commits to come.
+    :ivar faults: faults of the next commits, one each.
     :ivar read_faults: the same for reads and scans (LOST or REFUSED).
-    :ivar log: every row that was ever written, in order.
+    :ivar log: every row ever written, in order.
     """
 
     def __init__(self) -> None:
@@ -76,18 +76,18 @@
         return [self.rows[key] for key in keys[:limit]]
 
     async def end_hanging(self) -> None:
-        """Let every hanging commit run into its time-out."""
+        """Let every hanging commit time out."""
         hanging, self._hanging = self._hanging, curio.Event()
         await hanging.set()
 
     def land_delayed(self) -> None:
-        """Let every delayed commit reach the table now."""
+        """Apply every delayed commit now."""
         delayed, self._delayed = self._delayed, []
         for writes in delayed:
             self.apply(writes)
 
     def apply(self, writes: Sequence[Write]) -> CommitResult:
-        """Do a transaction at once, without any fault."""
+        """Apply a transaction at once, without faults."""
         failed = tuple(write.key for write in writes if not self._holds(write))
         if failed:
             return CommitResult(conflicts=failed)
--- a/tests/unit/test_group.py
+++ b/tests/unit/test_group.py
@@ -34,10 +34,10 @@
 
 
 def test_one_conflict_fails_its_own_transaction_only():
-    """Symptom: one repeated key fails every request of its group.
+    """One repeated key failed every request of its batch.
 
-    Sequence: three claims share a commit; the row of one exists already.
-    Cause: a table commit is all or nothing (trap 13).
+    Three claims share a commit and the row of one exists already; a table commit is
+    all or nothing.
     """
     table = FakeTable()
     table.apply(insert("b", b"theirs"))
@@ -53,10 +53,10 @@
 
 @pytest.mark.parametrize("fault", [Fault.LOST, Fault.DROPPED, Fault.DELAYED])
 def test_lost_answer_is_settled_by_reading_back(fault):
-    """Symptom: a write that took effect is reported as a conflict.
+    """A write that took effect was reported as a conflict.
 
-    Sequence: the answer to a commit is lost; the same commit is sent again.
-    Cause: the second one meets the first one's rows (trap 4).
+    The answer to its commit was lost, and the commit sent again conflicted with the
+    rows of the first one.
     """
     table = FakeTable()
     table.faults.append(fault)
@@ -72,10 +72,10 @@
 
 
 def test_conflict_after_a_lost_answer_is_read_back_too():
-    """Symptom: a write in force is reported as a conflict with itself.
+    """A write that took effect was reported as a conflict with itself.
 
-    Sequence: answer lost, read back fails, sent again, conflicts.
-    Cause: the conflicting row is the sender's own.
+    Its answer was lost, reading back failed, and the commit sent again conflicted with
+    the sender's own row.
     """
     table = FakeTable()
     table.faults.append(Fault.LOST)
@@ -88,10 +88,10 @@
 
 
 def test_refusal_is_certain_only_before_a_lost_answer():
-    """Symptom: a write that may be in force is reported as of no effect.
+    """A write that may have taken effect was reported as having none.
 
-    Sequence: answer lost, then the table refuses every further call.
-    Cause: the refusal speaks of the second try only.
+    Its answer was lost and the table refused every further call, but the refusal
+    covers only the second try.
     """
     table = FakeTable()
 
@@ -117,7 +117,7 @@
     run_committer(table, main)
 
 
-def test_transaction_that_could_not_be_settled_is_refused():
+def test_transaction_that_could_not_be_read_back_is_refused():
     async def main(committer: GroupCommitter) -> None:
         with pytest.raises(ValueError, match="conditional"):
             await committer.submit([Write("a", b"x")])
--- a/tests/unit/test_jobentry_acceptance.py
+++ b/tests/unit/test_jobentry_acceptance.py
@@ -1,4 +1,4 @@
-"""What callers are told while the store is away, and what becomes of their rows."""
+"""Outcomes of inserts while the store is unavailable, and whether rows appear."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
 
 @dataclass
 class Callers:
-    """Callers that each hand one row in.
+    """Callers that each insert one row.
 
-    :ivar ends: how each call ended: accepted, ``not_run`` or ``unknown``.
+    :ivar ends: outcome of each call: accepted, ``not_run`` or ``unknown``.
     """
 
     acceptance: Acceptance
@@ -40,7 +40,7 @@
             self.ends[key] = ACCEPTED
 
     async def call_often(self, count: int) -> None:
-        """Let callers come one after another, and wait until all are answered."""
+        """Start a caller every ``PERIOD_S``; wait until all are answered."""
         async with curio.TaskGroup() as group:
             for number in range(count):
                 await group.spawn(self.call, f"{number:04d}")
@@ -62,11 +62,10 @@
 
 
 def test_an_outage_leaves_only_the_calls_of_its_first_moment_unknown():
-    """Symptom: 41 tries of 266 were told "unknown", and so may not be repeated.
+    """During an outage, 41 of 266 inserts had the outcome "unknown": no safe retry.
 
-    Sequence: the store gives no answers for longer than callers wait; a caller comes
-    every 20 ms. Cause: the store was probed with a caller's insert every 0.3 s, and an
-    insert without an answer may still be carried out.
+    The store was probed with a caller's insert every 0.3 s, and an insert without an
+    answer may still be carried out.
     """
 
     async def main():
@@ -76,17 +75,16 @@
             return callers.count()
 
     ends = curio.run(main)
-    # The stand-in takes 0.2 s to give a call up; whoever is in flight by then stays
-    # unknown. Nobody later is.
+    # The stand-in times calls out after 0.2 s. Only calls in flight by then end as
+    # unknown.
     assert ends[Outcome.UNKNOWN] <= 0.2 / PERIOD_S + 1
     assert ends[Outcome.NOT_RUN] >= 80 - ends[Outcome.UNKNOWN]
 
 
 def test_an_insert_without_an_answer_is_settled_while_its_caller_waits():
-    """Symptom: a caller is told "unknown" 0.3 s after an outage began that lasts 0.5 s.
+    """A caller that waits for 1.2 s got "unknown" 0.3 s into an outage of 0.5 s.
 
-    Sequence: the store is silent for 0.5 s, in which an insert gets no answer; its
-    caller would wait for 1.2 s. Cause: an insert was given up after two tries.
+    An insert without an answer was abandoned after two tries.
     """
 
     async def main():
@@ -103,11 +101,11 @@
     assert (JOBS_TABLE, "0001") in rows
 
 
-def test_what_was_called_not_run_never_shows_up():
-    """Symptom: a job runs although its caller was told that it would not.
+def test_an_insert_reported_as_not_run_never_takes_effect():
+    """Guards against a job that runs although its caller was told "not run".
 
-    Sequence: answers are lost and inserts are carried out late, in outages that come
-    and go. Cause to guard against: a row that was sent once is refused as "not run".
+    It would happen if a row that was sent once were refused as "not run": with lost
+    answers and repeated outages, the store may carry it out late.
     """
 
     async def main():
@@ -131,11 +129,10 @@
 
 
 def test_a_store_that_refuses_writes_is_not_written_to_in_a_loop():
-    """Symptom: one entry's repeats use up the rate of writes.
+    """Guards against one entry's retries using up the store's write rate.
 
-    Sequence: an insert has no answer; from then on the store refuses writes and
-    answers reads. Cause to guard against: each answered read sends the insert again
-    at once.
+    It would happen if each successful probe retried an insert without an answer at
+    once, while the store refuses writes and answers reads.
     """
 
     async def main():
@@ -153,7 +150,7 @@
 
 
 def call_with_little_time(budget_s: float) -> tuple[str, int]:
-    """Return how a call of a caller in a hurry ended, and the rows it left."""
+    """Return the outcome of an insert with this time left, and the number of rows."""
 
     async def main() -> tuple[str, int]:
         async with run_acceptance() as (state, callers):
@@ -166,10 +163,10 @@
 
 
 def test_a_caller_with_little_time_left_is_served_by_a_store_that_answers():
-    """Symptom: callers that come back late in their time are told "unknown" at once.
+    """Callers that retried shortly before their deadline got "unknown" at once.
 
-    Sequence: 0.2 s are left of a caller's time; its insert is sent and given up in the
-    same moment. Cause: 0.3 s were kept for the answer's way, whatever was left.
+    With 0.2 s left, the insert was sent and abandoned in the same moment, because 0.3 s
+    were always reserved for sending the response.
     """
     assert call_with_little_time(0.2) == (ACCEPTED, 1)
 
--- a/tests/unit/test_jobentry_api.py
+++ b/tests/unit/test_jobentry_api.py
@@ -1,4 +1,4 @@
-"""Bad input of callers, operators and settings: a clear answer, and nothing changes."""
+"""Invalid requests, configurations and settings get a clear error and no effect."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
 
 async def ask(api: CallerApi, method: str, path: str, body: bytes = b"") -> int:
-    """Return the status of an answer, whether raised or returned."""
+    """Return the status of the response, whether raised or returned."""
     try:
         return (await api.handle(WebRequest(method, path, HEADERS, body))).status
     except RequestError as error:
@@ -92,8 +92,9 @@
 
 
 def test_an_older_or_unreadable_configuration_changes_nothing():
-    """Symptom: a queue that was dropped is back. Sequence: a look that was answered
-    late brings an older version, then one that can't be read. Cause: all were taken.
+    """A removed queue reappeared: a delayed read returned an older version.
+
+    Older and malformed versions were applied, too.
     """
 
     async def main():
@@ -147,7 +148,7 @@
         decode_configuration(value)
 
 
-def test_all_faults_of_the_settings_are_told_at_once(tmp_path):
+def test_all_errors_in_the_settings_are_reported_at_once(tmp_path):
     path = tmp_path / "settings.json"
     path.write_bytes(orjson.dumps({"node": 5, "listen": {}, "store": {"address": 1}}))
     with pytest.raises(SettingsError) as error:
@@ -159,9 +160,9 @@
 
 
 def test_a_log_that_nobody_reads_never_blocks_and_counts_what_it_drops():
-    """Symptom: a process stands still, or is silent from then on. Sequence: the reader
-    of its standard output stops reading; the pipe and the buffer are full; it goes on.
-    Cause: the write waited for it, or a full buffer was never tried again.
+    """A process blocked, or logged nothing more, once its reader had paused.
+
+    With pipe and buffer full, the write blocked, or a full buffer was never flushed.
     """
     reader, writer = os.pipe()
     os.set_blocking(writer, False)
@@ -171,7 +172,7 @@
     assert log.dropped > 0
     os.set_blocking(reader, False)
     data = b""
-    # The next second admits lines again; each one also moves what is in the buffer.
+    # The next second's allowance admits lines again; each also flushes the buffer.
     time.sleep(1.0)
     while b"again" not in data:
         log.emit("again")
@@ -205,13 +206,13 @@
 
 
 def test_a_flood_of_one_event_costs_no_line_of_another(monkeypatch):
-    """Symptom: the leader's decisions of a burst are the lines that are missing.
+    """The leader's decisions during a burst were missing from the log.
 
-    Sequence: another event fills the second's allowance. Cause: all events shared one.
+    All events shared one allowance per second, which another event had used up.
     """
     reader, writer = os.pipe()
     os.set_blocking(writer, False)
-    # Allowances begin anew with each second, also in the middle of a flood.
+    # Allowances are reset every second, also in the middle of a flood.
     monkeypatch.setattr(events, "time", SimpleNamespace(time=lambda: 5.0))
     log = EventLog(writer, "test")
     data = b""
@@ -225,6 +226,6 @@
     lines = [json.loads(line) for line in data.splitlines()]
     os.close(reader)
     os.close(writer)
-    assert [one["task"] for one in lines if one["event"] == "run.place"] == ["t"]
-    dropped = [one["events"] for one in lines if one["event"] == "log.dropped"]
+    assert [line["task"] for line in lines if line["event"] == "run.place"] == ["t"]
+    dropped = [line["events"] for line in lines if line["event"] == "log.dropped"]
     assert dropped == [{"flood": LINES_PER_S}]
--- a/tests/unit/test_jobentry_relay.py
+++ b/tests/unit/test_jobentry_relay.py
@@ -1,4 +1,4 @@
-"""An entry that the store turns away works through the leader."""
+"""An entry that cannot reach the store relays its calls through the leader."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 @asynccontextmanager
 async def run_with_refused_entry() -> AsyncIterator[tuple[JobCluster, EntryProcess]]:
-    """Run a cluster with a follower of the leader that is cut from the store."""
+    """Run a cluster in which a follower is cut off from the store."""
     async with run_cluster(entries=2, agents=2) as cluster:
         while (leader := cluster.find_leader()) is None:
             await curio.sleep(0.01)
@@ -42,11 +42,11 @@
         yield cluster, refused
 
 
-def test_a_job_is_accepted_by_an_entry_that_the_store_turns_away():
-    """Symptom: callers of one entry are refused for nine seconds, all others served.
+def test_a_job_is_accepted_by_an_entry_that_cannot_reach_the_store():
+    """Callers of one entry were refused for nine seconds, while others were served.
 
-    Sequence: the store gives no answer to one entry; its callers hand a job in, ask for
-    it and cancel another. Cause: an entry had no other way to the store than its own.
+    The store didn't answer this entry, which had no other way to reach it. Submission,
+    query and cancellation all have to work.
     """
 
     async def main() -> float:
@@ -62,12 +62,12 @@
             await cluster.wait_for_state(second, JobState.CANCELLED)
             return took_s
 
-    # The stand-in's silence is noticed after 0.2 s; the rest is two relayed calls.
+    # The direct call times out after 0.2 s; the rest is two relayed calls.
     assert curio.run(main) < 1.0
 
 
 def test_nothing_is_relayed_once_the_store_answers_again():
-    """Cause to guard against: a detour that outlives the outage loads the leader."""
+    """Guards against relaying that outlasts the outage and loads the leader."""
     lookups: list[str] = []
 
     def find_link() -> None:
@@ -88,12 +88,11 @@
     assert curio.run(main) == len(lookups) > 0
 
 
-def test_a_relayed_insert_without_an_answer_is_not_called_not_run():
-    """Symptom: a job runs although its caller was told that it would not.
+def test_a_relayed_insert_without_an_answer_is_not_reported_as_not_run():
+    """Guards against a job that runs although its caller was told "not run".
 
-    Sequence: an entry that is cut from the store relays an insert; the leader's own
-    call is done and not answered. Cause to guard against: the leader's uncertainty
-    becomes a refusal on its way back.
+    An entry relays an insert, and the leader's own store call takes effect but its
+    answer is lost. The leader must relay the outcome "uncertain", not a refusal.
     """
 
     async def main() -> Outcome | None:
@@ -109,10 +108,10 @@
 
 
 def test_a_leader_makes_a_bounded_number_of_calls_for_others():
-    """Symptom: a leader stops leading while it works for other entries.
+    """Guards against a leader that stops leading while it relays for other entries.
 
-    Sequence: an entry relays a burst while the store is slow. Cause to guard against:
-    each call is a task of the leader's, without a limit.
+    It would happen if a burst of relayed calls started an unlimited number of tasks
+    while the store is slow.
     """
 
     class Recorder:
--- a/tests/unit/test_platform_advice.py
+++ b/tests/unit/test_platform_advice.py
@@ -1,4 +1,4 @@
-"""What the adapter asks the service that chooses workers."""
+"""Calls of the adapter to the service that approves workers."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 
 
 class AdviceService(base.StandIn):
-    """Approves one runner, and one that nobody asked for."""
+    """Approves one of the requested runners, and one that was not requested."""
 
     def __init__(self) -> None:
         super().__init__()
         self.asked: list[dict] = []
 
     async def handle(self, operation: str, call: base.Call) -> base.Answer:
-        """Answer a question."""
+        """Answer a call."""
         self.asked.append(call.document())
         approved = [["i-1", "ticket"], ["i-9", "other"]]
         return base.answer_json({"approved": approved, "valid_ms": 2_000})
 
 
-def test_runners_are_named_by_their_ids_and_tickets_by_the_start():
-    """The service knows no runner by the name of one start, and refuses all."""
+def test_calls_use_runner_ids_and_tickets_use_incarnations():
+    """The service doesn't know the names of incarnations, and would refuse all."""
 
     async def main():
         service = AdviceService()
--- a/tests/unit/test_platform_breaker.py
+++ b/tests/unit/test_platform_breaker.py
@@ -1,4 +1,4 @@
-"""The breaker, with a clock of its own."""
+"""The circuit breaker, with a simulated clock."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
         clock.now += seconds
 
 
-def test_opens_on_failures_in_a_row_and_refuses_with_the_time_left(
+def test_opens_on_consecutive_failures_and_refuses_with_the_remaining_time(
     breaker: Breaker, clock: Clock
 ) -> None:
     open_by_failures(breaker)
@@ -75,12 +75,10 @@
 
 
 def test_slow_store_does_not_make_callers_wait(breaker: Breaker, clock: Clock) -> None:
-    """Store slow rather than down.
+    """With a hanging store, every caller waited for the whole time-out.
 
-    Symptom: every caller waits for the whole time-out.
-    Sequence: the store stops answering; calls hold all connections; no call
-    has failed yet, so nothing but their age tells.
-    Cause: the breaker counted only calls that had ended.
+    The breaker counted only calls that had ended. While hanging calls occupy all
+    connections and none has failed yet, only their age shows the problem.
     """
     stuck = [breaker.watch("step") for _ in range(CONNECTIONS)]
     for call in stuck:
@@ -91,12 +89,11 @@
     assert breaker.state is BreakerState.OPEN
 
 
-def test_recovery_is_no_wave(breaker: Breaker, clock: Clock) -> None:
-    """A store that comes back meets few calls at first.
+def test_recovery_admits_few_calls_at_first(breaker: Breaker, clock: Clock) -> None:
+    """A recovered store failed again at once under a burst of calls.
 
-    Symptom: the store falls over again as soon as it is back.
-    Sequence: an outage ends; all that waited calls in the same moment.
-    Cause: the breaker closed at the first success.
+    The breaker closed at the first success, and all waiting callers called at the same
+    moment.
     """
     open_by_failures(breaker)
     clock.now += MAX_PAUSE_S
@@ -124,11 +121,10 @@
 def test_late_failure_of_an_older_call_does_not_reopen_it(
     breaker: Breaker, clock: Clock
 ) -> None:
-    """Answers that are late belong to the time before the opening.
+    """The breaker never closed although the store was healthy.
 
-    Symptom: the breaker never closes although the store is well.
-    Sequence: a call hangs; the breaker opens and recovers; the call times out.
-    Cause: its failure was counted against the calls after it.
+    A call that hung before the breaker opened timed out during the recovery, and its
+    failure was counted against the later calls.
     """
     stuck = breaker.watch("step")
     stuck.__enter__()
--- a/tests/unit/test_platform_http.py
+++ b/tests/unit/test_platform_http.py
@@ -1,4 +1,4 @@
-"""The HTTP clients of the platform against the stand-ins, faults included."""
+"""The HTTP clients of the platform against the stand-ins, with injected faults."""
 
 from __future__ import annotations
 
@@ -58,11 +58,10 @@
 
 
 def test_answer_lost_after_the_write_is_uncertain(cluster: Cluster) -> None:
-    """A write that took effect must never be told as failed.
+    """A claim that took effect was reported as not made, and its request ran twice.
 
-    Symptom: a claim is reported as not made, and its request runs twice.
-    Sequence: commit takes effect; the connection is closed without an answer.
-    Cause: a lost answer was mapped to "took no effect".
+    The connection closed after the commit without an answer, and the lost answer was
+    mapped to "took no effect".
     """
 
     async def main() -> None:
@@ -150,9 +149,9 @@
 def test_worker_frozen_past_the_lease_does_no_work_after_it(cluster: Cluster) -> None:
     """The stand-in itself must not run a task past its lease.
 
-    Symptom: a scenario sees a task run in two places although the leases held.
-    Sequence: the worker is frozen, the lease passes, the worker goes on.
-    Cause: progress was counted over the time in which it stood still.
+    A scenario saw a task run in two places although the leases held: the worker was
+    frozen past the end of the lease, and its progress was counted over the time in
+    which it was frozen.
     """
     process = cluster.start_worker("w1")
     run = build_run(Resources(1, 1, 0), run_s=60, lease_s=1.0)
--- a/tests/unit/test_platform_runner.py
+++ b/tests/unit/test_platform_runner.py
@@ -1,4 +1,4 @@
-"""Calls to a runner that starts again at its address, under the id that it had."""
+"""Calls to a runner that restarts at the same address with the same id."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 
 
 class RestartingRunner(base.StandIn):
-    """A runner whose connections end with each of its starts.
+    """A runner whose connections are closed when it restarts.
 
-    :ivar calls: start, path and document of each call that was carried out.
+    :ivar calls: start time, path and document of each call that was carried out.
     """
 
     def __init__(self) -> None:
@@ -35,7 +35,7 @@
         return build_incarnation(RUNNER, self.born)
 
     def connect(self) -> Callable[[base.Call], Awaitable[base.Answer]]:
-        """Return what answers one connection."""
+        """Return the handler of one connection's calls."""
         born = self.born
 
         async def answer(call: base.Call) -> base.Answer:
@@ -46,7 +46,7 @@
         return answer
 
     async def handle(self, operation: str, call: base.Call) -> base.Answer:
-        """Carry a call out."""
+        """Carry out a call."""
         if call.headers.get("expect-instance") != RUNNER:
             return base.answer_json({}, 421)
         self.calls.append((self.born, call.path, call.document()))
@@ -54,12 +54,12 @@
         return base.answer_json({**said, "clock_ms": 50})
 
     def list_calls(self, born: int) -> list[tuple[str, dict[str, Any]]]:
-        """Return what one start was asked."""
+        """Return the calls that one incarnation has carried out."""
         return [(path, document) for at, path, document in self.calls if at == born]
 
 
 async def serve(stand_in: RestartingRunner) -> PlatformRunner:
-    """Serve until the end, and return a client."""
+    """Serve until the end of the test; return a client."""
     address = f"{base.HOST}:{take_port()}"
     port = int(address.rpartition(":")[2])
     await curio.spawn(base.run_stand_in, stand_in, port, daemon=True)
@@ -73,8 +73,8 @@
     return await call()
 
 
-def test_ends_of_an_earlier_start_are_not_acknowledged_at_the_next():
-    """A start whose first ends count as acknowledged never lists them."""
+def test_ends_of_an_earlier_incarnation_are_not_acknowledged_at_the_next():
+    """An incarnation whose first ends were acknowledged that way never lists them."""
 
     async def main():
         stand_in = RestartingRunner()
@@ -93,8 +93,8 @@
     curio.run(main)
 
 
-def test_orders_for_an_earlier_start_are_not_carried_out_by_the_next():
-    """A run that its leader has placed elsewhere starts here, too."""
+def test_orders_for_an_earlier_incarnation_are_not_carried_out_by_the_next():
+    """Otherwise a run that the leader has placed elsewhere starts here, too."""
 
     async def main():
         stand_in = RestartingRunner()
@@ -116,8 +116,8 @@
     curio.run(main)
 
 
-def test_a_start_that_does_not_say_which_it_is_gets_no_orders():
-    """An answer that names no start may be of any; nothing ends because of it."""
+def test_an_incarnation_that_does_not_identify_itself_gets_no_orders():
+    """Such an answer may be from any incarnation, so it doesn't end any either."""
 
     async def main():
         stand_in = RestartingRunner()
@@ -134,8 +134,8 @@
     curio.run(main)
 
 
-def test_a_runner_that_tells_no_start_is_asked_nothing_first():
-    """Its id names the start; a second call doubles what a failing runner can spoil."""
+def test_a_runner_without_a_start_time_gets_no_introduction_call():
+    """Its id identifies the incarnation, and another call is one more that can fail."""
 
     async def main():
         stand_in = RestartingRunner()
@@ -148,8 +148,8 @@
     curio.run(main)
 
 
-def test_a_connection_to_an_earlier_start_carries_no_call_for_the_next():
-    """The first calls to a start that is back are lost with connections of before."""
+def test_a_connection_to_an_earlier_incarnation_carries_no_call_for_the_next():
+    """Otherwise the first calls after a restart are lost on the old connections."""
 
     async def main():
         stand_in = RestartingRunner()
--- a/tests/unit/test_platform_standins.py
+++ b/tests/unit/test_platform_standins.py
@@ -1,4 +1,4 @@
-"""The runner and the relay do what scenarios rest on."""
+"""Behaviour of the runner and relay stand-ins that scenarios rely on."""
 
 from __future__ import annotations
 
--- a/tests/unit/test_store_under_load.py
+++ b/tests/unit/test_store_under_load.py
@@ -1,7 +1,7 @@
-"""What the store still does for us while it is a hundred times slower.
+"""Writes and submissions while the store is a hundred times slower.
 
-The stand-in does the transactions of one partition one after another, 0.3 s each, and
-refuses more than a second of them, beside 0.4 s for each call.
+The stand-in executes the transactions of a partition serially, 0.3 s each, and refuses
+them when more than a second of them are queued; each call takes another 0.4 s.
 """
 
 from __future__ import annotations
@@ -58,13 +58,12 @@
         await task.cancel()
 
 
-def test_a_slow_store_still_ends_the_writes_of_a_leader():
-    """Symptom: while the store was 98 times slower, nearly no write of the leader
-    ended, and four seconds passed without a placement.
+def test_a_slow_store_still_completes_the_writes_of_a_leader():
+    """With a store 98 times slower, four seconds passed without a placement.
 
-    Sequence: three writes at a time go to one partition, each takes 0.4 s and 0.3 s
-    for itself and for those before it; each is given up after 1 s, and sent again.
-    Cause: the limit was fixed. The store carried out both.
+    Three concurrent writes to a partition take 0.4 s each, and 0.3 s more for each of
+    them that comes before and for itself. With a fixed time-out of 1 s nearly all timed
+    out and were sent again, and the store carried out both.
     """
 
     async def main() -> tuple[Counter[str], int]:
@@ -88,7 +87,7 @@
                         version = result.found["progress", key].version
                         ends["written before"] += 1
 
-            # The leader looks at its row all the time; those answers show the speed.
+            # The leader reads its row all the time, so it knows the latency.
             slow_down(state)
             await rows.read("control")
             writers = [
@@ -105,11 +104,10 @@
     assert transactions - ends["written"] <= 3
 
 
-def test_silence_on_a_fast_store_is_noticed_as_soon_as_before():
-    """Symptom: each call on a connection that lost its other end hangs for seconds.
+def test_a_fast_store_gets_the_shortest_timeout():
+    """Guards against calls on a dead connection that hang for seconds.
 
-    Sequence: the store answers within milliseconds, and then not at all.
-    Cause: a limit that is long for slow days would be long on all days.
+    It would happen with a time-out that is always long enough for a slow store.
     """
     timeout = AdaptiveTimeout()
     for _ in range(10):
@@ -117,20 +115,19 @@
     assert timeout.timeout_s == MIN_TIMEOUT_S
 
 
-def test_patience_has_an_end():
-    """The load: answers take longer than any caller waits."""
+def test_the_timeout_has_an_upper_limit():
+    """Answers may take longer than any caller waits."""
     timeout = AdaptiveTimeout()
     timeout.record_latency(30.0)
     assert timeout.timeout_s == MAX_TIMEOUT_S
 
 
-def test_a_slow_store_takes_the_jobs_of_many_entries():
-    """Symptom: while the store was 98 times slower, most callers of 35 entries were
-    refused or told "unknown".
+def test_a_slow_store_accepts_the_jobs_of_many_entries():
+    """With a store 98 times slower, most callers got a refusal or "unknown".
 
-    Sequence: ten callers a second hand jobs in, each at another entry, so that no
-    entry can join their inserts. The store takes three transactions of a partition a
-    second. Cause: all submissions lay in one partition.
+    Ten callers a second submit jobs, each to another of 35 entries, so no entry can
+    batch their inserts. The store executes three transactions of a partition per
+    second, and all submissions were in one partition.
     """
 
     async def main() -> tuple[Counter[str], int]:
@@ -138,7 +135,7 @@
         slow_down(state)
         ends: Counter[str] = Counter()
         entries = [Acceptance(MemoryRows(state), create_quiet_log()) for _ in range(35)]
-        keepers = [await curio.spawn(one.run, daemon=True) for one in entries]
+        tasks = [await curio.spawn(entry.run, daemon=True) for entry in entries]
 
         async def call(number: int) -> None:
             entry = entries[number % len(entries)]
@@ -153,8 +150,8 @@
             for number in range(40):
                 await group.spawn(call, number)
                 await curio.sleep(0.1)
-        for keeper in keepers:
-            await keeper.cancel()
+        for task in tasks:
+            await task.cancel()
         return ends, state.refused
 
     ends, refused = curio.run(main)
@@ -163,8 +160,10 @@
 
 
 def test_a_repeat_at_another_entry_finds_the_first_submission():
-    """Symptom: one job runs twice. Sequence: its caller repeats it at another entry.
-    Cause: each entry would have a partition of its own, and no row to find there.
+    """Guards against a job that runs twice after its caller retried at another entry.
+
+    It would happen if each entry wrote to a partition of its own and so didn't find
+    the first submission.
     """
 
     async def main() -> RowsState:
@@ -179,8 +178,8 @@
     assert curio.run(main).transactions == 1
 
 
-def test_a_cancellation_lies_beside_its_submission():
-    """Both are read in one call, which concerns one partition."""
+def test_a_cancellation_is_in_the_partition_of_its_submission():
+    """Both are read in one call, and a call covers one partition."""
     for number in range(50):
         job_id = f"{number:016x}"
         partition = find_partition(JOBS_TABLE, job_id)
@@ -189,10 +188,10 @@
 
 
 @pytest.mark.parametrize("undivided", [False, True])
-def test_a_submission_is_found_wherever_it_lies(undivided: bool):
-    """Symptom: a caller is told that an accepted job does not exist.
+def test_a_submission_is_found_in_any_partition(undivided: bool):
+    """An accepted job was reported as unknown.
 
-    Sequence: it was accepted before submissions were divided. Cause: only the new
+    It was accepted before submissions were divided into partitions, and only the new
     partitions were read.
     """
 
