--- a/pistachiodeal/jobentry/relay.py
+++ b/pistachiodeal/jobentry/relay.py
@@ -119,7 +119,7 @@
 
 
 class RelayedRows:
-    """A ``RowStore`` that relays calls through the leader while the store is away.
+    """A ``RowStore`` that relays calls through the leader during an outage.
 
     :param find_link: returns the link to the leader, or None if there is none.
     """
--- a/pistachiodeal/platform/advice.py
+++ b/pistachiodeal/platform/advice.py
@@ -28,8 +28,8 @@
     async def advise(self, step: str, workers: tuple[str, ...]) -> Advice:
         """Return the workers that the service approves; see ``Adviser``."""
         # The service identifies a runner by its id without the incarnation.
-        asked = {get_runner(worker): worker for worker in workers}
-        body = orjson.dumps({"step": step, "workers": list(asked)})
+        workers_by_runner = {get_runner(worker): worker for worker in workers}
+        body = orjson.dumps({"step": step, "workers": list(workers_by_runner)})
         headers = (("content-type", "application/json"),)
         peer = self._client.address
         try:
@@ -43,7 +43,7 @@
             detail = f"status {response.status}"
             raise AdviceError(detail, step="advice.ask", peer=peer)
         try:
-            return _decode(orjson.loads(response.body), asked)
+            return _decode(orjson.loads(response.body), workers_by_runner)
         except (ValueError, KeyError, TypeError) as error:
             raise AdviceError(repr(error), step="advice.decode", peer=peer) from None
 
@@ -53,10 +53,10 @@
     return PlatformAdviser(create_client(address, connections=CONNECTIONS))
 
 
-def _decode(document: dict[str, Any], asked: dict[str, str]) -> Advice:
+def _decode(document: dict[str, Any], workers_by_runner: dict[str, str]) -> Advice:
     tickets = {
-        asked[runner]: str(ticket)
+        workers_by_runner[runner]: str(ticket)
         for runner, ticket in document["approved"]
-        if runner in asked
+        if runner in workers_by_runner
     }
     return Advice(tickets, float(document["valid_ms"]) / 1000)
--- a/pistachiodeal/platform/runner.py
+++ b/pistachiodeal/platform/runner.py
@@ -203,7 +203,7 @@
         room = document.get("capacity", {})
         state = document["state"]
         labels = tuple(document.get("labels", ()))
-        beat = WorkerBeat(
+        heartbeat = WorkerBeat(
             _read_incarnation(path.removeprefix(HEARTBEAT_PATH), document),
             document["service"],
             document["address"],
@@ -213,15 +213,18 @@
             Resources(room.get("cpu", 0), room.get("mem_mb", 0), room.get("gpu", 0)),
             labels,
         )
-        check_fields(beat)
-        check_fields(beat.capacity)
-        if state not in STATES or path == HEARTBEAT_PATH or not beat.service:
+        check_fields(heartbeat)
+        check_fields(heartbeat.capacity)
+        if state not in STATES or path == HEARTBEAT_PATH or not heartbeat.service:
             raise ValueError("unknown state, or missing sender")
         if any(type(label) is not str for label in labels):
             raise ValueError("a label is not a string")
-        if min(beat.leaving_ms, beat.sequence, *astuple(beat.capacity)) < 0:
+        if (
+            min(heartbeat.leaving_ms, heartbeat.sequence, *astuple(heartbeat.capacity))
+            < 0
+        ):
             raise ValueError("a number is negative")
-        return beat
+        return heartbeat
     except (ValueError, KeyError, TypeError, AttributeError) as error:
         raise ProtocolError(repr(error), step="heartbeat.decode") from None
 
--- a/tests/unit/test_jobentry_acceptance.py
+++ b/tests/unit/test_jobentry_acceptance.py
@@ -24,20 +24,20 @@
 class Callers:
     """Callers that each insert one row.
 
-    :ivar ends: outcome of each call: accepted, ``not_run`` or ``unknown``.
+    :ivar outcomes: outcome of each call: accepted, ``not_run`` or ``unknown``.
     """
 
     acceptance: Acceptance
     budget_s: float = BUDGET_S
-    ends: dict[str, str] = field(default_factory=dict)
+    outcomes: dict[str, str] = field(default_factory=dict)
 
     async def call(self, key: str) -> None:
         try:
             await self.acceptance.insert(key, b"row", self.budget_s)
         except RequestError as error:
-            self.ends[key] = str(error.outcome)
+            self.outcomes[key] = str(error.outcome)
         else:
-            self.ends[key] = ACCEPTED
+            self.outcomes[key] = ACCEPTED
 
     async def call_often(self, count: int) -> None:
         """Start a caller every ``PERIOD_S``; wait until all are answered."""
@@ -47,7 +47,7 @@
                 await curio.sleep(PERIOD_S)
 
     def count(self) -> Counter[str]:
-        return Counter(self.ends.values())
+        return Counter(self.outcomes.values())
 
 
 @asynccontextmanager
@@ -74,11 +74,11 @@
             await callers.call_often(80)
             return callers.count()
 
-    ends = curio.run(main)
+    outcomes = curio.run(main)
     # The stand-in times calls out after 0.2 s. Only calls in flight by then end as
     # unknown.
-    assert ends[Outcome.UNKNOWN] <= 0.2 / PERIOD_S + 1
-    assert ends[Outcome.NOT_RUN] >= 80 - ends[Outcome.UNKNOWN]
+    assert outcomes[Outcome.UNKNOWN] <= 0.2 / PERIOD_S + 1
+    assert outcomes[Outcome.NOT_RUN] >= 80 - outcomes[Outcome.UNKNOWN]
 
 
 def test_an_insert_without_an_answer_is_settled_while_its_caller_waits():
@@ -94,10 +94,10 @@
             await curio.sleep(0.5)
             state.faults.silent = False
             await call.join()
-            return callers.ends, state.rows
+            return callers.outcomes, state.rows
 
-    ends, rows = curio.run(main)
-    assert ends == {"0001": ACCEPTED}
+    outcomes, rows = curio.run(main)
+    assert outcomes == {"0001": ACCEPTED}
     assert (JOBS_TABLE, "0001") in rows
 
 
@@ -120,12 +120,12 @@
             state.faults.lost = state.faults.late = 0.0
             await sender.join()
             await curio.sleep(1.2)
-            return callers.ends, state.rows
+            return callers.outcomes, state.rows
 
-    ends, rows = curio.run(main)
-    for key, end in ends.items():
+    outcomes, rows = curio.run(main)
+    for key, outcome in outcomes.items():
         there = (JOBS_TABLE, key) in rows
-        assert there if end == ACCEPTED else end == Outcome.UNKNOWN or not there
+        assert there if outcome == ACCEPTED else outcome == Outcome.UNKNOWN or not there
 
 
 def test_a_store_that_refuses_writes_is_not_written_to_in_a_loop():
@@ -142,10 +142,10 @@
             await curio.sleep(0.03)
             state.faults.lost, state.faults.busy = 0.0, True
             await call.join()
-            return state.commits, callers.ends
+            return state.commits, callers.outcomes
 
-    commits, ends = curio.run(main)
-    assert ends == {"0001": Outcome.UNKNOWN}
+    commits, outcomes = curio.run(main)
+    assert outcomes == {"0001": Outcome.UNKNOWN}
     assert 2 <= commits <= BUDGET_S / FIRST_PROBE_DELAY_S + 1
 
 
@@ -157,7 +157,7 @@
             callers.budget_s = budget_s
             await callers.call("0001")
             await curio.sleep(0.05)
-            return callers.ends["0001"], len(state.rows)
+            return callers.outcomes["0001"], len(state.rows)
 
     return curio.run(main)
 
--- a/tests/unit/test_jobentry_api.py
+++ b/tests/unit/test_jobentry_api.py
@@ -70,7 +70,7 @@
             )
             assert await ask(api, "POST", f"/q/{JOB_ID}", BODY) == 503
             write_configuration(cluster.state, build_configuration(3, [ROUTE]))
-            follower = await curio.spawn(watcher.run, daemon=True)
+            task = await curio.spawn(watcher.run, daemon=True)
             while watcher.current is None:
                 await curio.sleep(0.01)
             large = orjson.dumps({"spec": "x" * 3_000, "steps": [{"count": 1}]})
@@ -86,7 +86,7 @@
             assert await ask(api, "POST", f"/q/{JOB_ID}", BODY) == 200
             assert await ask(api, "GET", f"/q/{JOB_ID}") == 200
             assert await ask(api, "GET", "/q/") == 200
-            await follower.cancel()
+            await task.cancel()
 
     curio.run(main)
 
@@ -101,7 +101,7 @@
         state = RowsState()
         watcher = ConfigurationWatcher(MemoryRows(state), create_quiet_log())
         write_configuration(state, build_configuration(5, [ROUTE]))
-        follower = await curio.spawn(watcher.run, daemon=True)
+        task = await curio.spawn(watcher.run, daemon=True)
         await curio.sleep(0.05)
         for value in (build_configuration(4, []), b"{", b"[]"):
             write_configuration(state, value)
@@ -112,7 +112,7 @@
         write_configuration(state, build_configuration(9, []))
         await curio.sleep(0.05)
         assert watcher.find("host", "/q/x") is None
-        await follower.cancel()
+        await task.cancel()
 
     curio.run(main)
 
@@ -226,6 +226,8 @@
     lines = [json.loads(line) for line in data.splitlines()]
     os.close(reader)
     os.close(writer)
-    assert [line["task"] for line in lines if line["event"] == "run.place"] == ["t"]
-    dropped = [line["events"] for line in lines if line["event"] == "log.dropped"]
+    assert [record["task"] for record in lines if record["event"] == "run.place"] == [
+        "t"
+    ]
+    dropped = [record["events"] for record in lines if record["event"] == "log.dropped"]
     assert dropped == [{"flood": LINES_PER_S}]
--- a/tests/unit/test_platform_advice.py
+++ b/tests/unit/test_platform_advice.py
@@ -14,11 +14,11 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.asked: list[dict] = []
+        self.requests: list[dict] = []
 
     async def handle(self, operation: str, call: base.Call) -> base.Answer:
         """Answer a call."""
-        self.asked.append(call.document())
+        self.requests.append(call.document())
         approved = [["i-1", "ticket"], ["i-9", "other"]]
         return base.answer_json({"approved": approved, "valid_ms": 2_000})
 
@@ -33,7 +33,7 @@
         await curio.spawn(base.run_stand_in, service, port, daemon=True)
         await curio.sleep(0.05)
         advice = await create_adviser(address).advise("j.0.0", ("i-1@5", "i-2@6"))
-        assert service.asked == [{"step": "j.0.0", "workers": ["i-1", "i-2"]}]
+        assert service.requests == [{"step": "j.0.0", "workers": ["i-1", "i-2"]}]
         assert advice.tickets == {"i-1@5": "ticket"}
 
     curio.run(main)
--- a/tests/unit/test_platform_runner.py
+++ b/tests/unit/test_platform_runner.py
@@ -50,8 +50,8 @@
         if call.headers.get("expect-instance") != RUNNER:
             return base.answer_json({}, 421)
         self.calls.append((self.born, call.path, call.document()))
-        said = {} if self.born is None else {"born": self.born}
-        return base.answer_json({**said, "clock_ms": 50})
+        identity = {} if self.born is None else {"born": self.born}
+        return base.answer_json({**identity, "clock_ms": 50})
 
     def list_calls(self, born: int) -> list[tuple[str, dict[str, Any]]]:
         """Return the calls that one incarnation has carried out."""
@@ -85,10 +85,10 @@
         stand_in.born = 2_000
         listing = await ask_twice(lambda: runner.renew(earlier, TOKEN, 58, 9_000, 0))
         assert listing.result is CallResult.OTHER_INCARNATION
-        asked = stand_in.list_calls(2_000)
-        assert asked
-        assert {document["last_seen"] for _, document in asked} == {0}
-        assert not any("until_ms" in document for _, document in asked)
+        calls = stand_in.list_calls(2_000)
+        assert calls
+        assert {document["last_seen"] for _, document in calls} == {0}
+        assert not any("until_ms" in document for _, document in calls)
 
     curio.run(main)
 
--- a/tests/unit/test_platform_standins.py
+++ b/tests/unit/test_platform_standins.py
@@ -15,7 +15,7 @@
 from tests.harness import Cluster, call, run_cluster, wait_until
 from tests.harness.documents import build_agent_settings, build_entry_settings
 
-NOBODY = "127.0.0.1:1"
+UNUSED_ADDRESS = "127.0.0.1:1"
 
 
 @pytest.fixture
@@ -30,7 +30,7 @@
 
 
 def test_runner_answers_with_the_case_of_the_request(cluster: Cluster) -> None:
-    runner = cluster.start_runner("orders", NOBODY)
+    runner = cluster.start_runner("orders", UNUSED_ADDRESS)
     address = runner.address()
     headers = {"x-case": "c-1", "idempotency-key": "k"}
     reply = call(address, "POST", "/orders/quote?size=5000", headers, b"two LPs")
@@ -45,7 +45,7 @@
 
 
 def test_runner_finishes_what_is_in_flight_on_sigterm(cluster: Cluster) -> None:
-    runner = cluster.start_runner("orders", NOBODY)
+    runner = cluster.start_runner("orders", UNUSED_ADDRESS)
     address = runner.address()
     replies = []
     thread = threading.Thread(
@@ -81,5 +81,9 @@
 
 
 def test_settings_of_the_harness_are_valid() -> None:
-    EntrySettings.model_validate(build_entry_settings("e1", NOBODY, NOBODY))
-    AgentSettings.model_validate(build_agent_settings("w1", [NOBODY], NOBODY, NOBODY))
+    EntrySettings.model_validate(
+        build_entry_settings("e1", UNUSED_ADDRESS, UNUSED_ADDRESS)
+    )
+    AgentSettings.model_validate(
+        build_agent_settings("w1", [UNUSED_ADDRESS], UNUSED_ADDRESS, UNUSED_ADDRESS)
+    )
--- a/tests/unit/test_store_under_load.py
+++ b/tests/unit/test_store_under_load.py
@@ -67,7 +67,7 @@
     """
 
     async def main() -> tuple[Counter[str], int]:
-        ends: Counter[str] = Counter()
+        outcomes: Counter[str] = Counter()
         async with run_store() as (state, rows):
 
             async def keep_writing(number: int) -> None:
@@ -78,14 +78,14 @@
                     try:
                         result = await rows.commit(Transaction((condition,), (write,)))
                     except StoreError:
-                        ends["given up"] += 1
+                        outcomes["given up"] += 1
                         continue
                     if result.committed:
                         version = result.version
-                        ends["written"] += 1
+                        outcomes["written"] += 1
                     else:
                         version = result.found["progress", key].version
-                        ends["written before"] += 1
+                        outcomes["written before"] += 1
 
             # The leader reads its row all the time, so it knows the latency.
             slow_down(state)
@@ -96,12 +96,12 @@
             await curio.sleep(4.0)
             for writer in writers:
                 await writer.cancel()
-            return ends, state.transactions
+            return outcomes, state.transactions
 
-    ends, transactions = curio.run(main)
-    assert ends["written"] >= 8
-    assert ends["given up"] == ends["written before"] == 0
-    assert transactions - ends["written"] <= 3
+    outcomes, transactions = curio.run(main)
+    assert outcomes["written"] >= 8
+    assert outcomes["given up"] == outcomes["written before"] == 0
+    assert transactions - outcomes["written"] <= 3
 
 
 def test_a_fast_store_gets_the_shortest_timeout():
@@ -133,7 +133,7 @@
     async def main() -> tuple[Counter[str], int]:
         state = RowsState()
         slow_down(state)
-        ends: Counter[str] = Counter()
+        outcomes: Counter[str] = Counter()
         entries = [Acceptance(MemoryRows(state), create_quiet_log()) for _ in range(35)]
         tasks = [await curio.spawn(entry.run, daemon=True) for entry in entries]
 
@@ -142,9 +142,9 @@
             try:
                 await entry.insert(f"{number:016x}", b"row", CALLER_S)
             except RequestError as error:
-                ends[str(error.outcome)] += 1
+                outcomes[str(error.outcome)] += 1
             else:
-                ends["accepted"] += 1
+                outcomes["accepted"] += 1
 
         async with curio.TaskGroup() as group:
             for number in range(40):
@@ -152,10 +152,10 @@
                 await curio.sleep(0.1)
         for task in tasks:
             await task.cancel()
-        return ends, state.refused
+        return outcomes, state.refused
 
-    ends, refused = curio.run(main)
-    assert ends == {"accepted": 40}
+    outcomes, refused = curio.run(main)
+    assert outcomes == {"accepted": 40}
     assert refused == 0
 
 
