--- a/pistachiodeal/store/protocols.py
+++ b/pistachiodeal/store/protocols.py
@@ -129,7 +129,6 @@
     """A task on a worker; its record is kept after its end until it is forgotten.
 
     :param tag: agent's data about it (partition, epoch), for a successor to read.
-    :param progress: share of the work done, 0 to 1, as far as the worker knows.
     """
 
     task_id: str
