--- a/pistachiodeal/jobagent/heartbeats.py
+++ b/pistachiodeal/jobagent/heartbeats.py
@@ -17,10 +17,10 @@
 from pistachiodeal.jobs.model import LossCause
 from pistachiodeal.jobs.runtime import CallResult, Goodbye, WorkerHeartbeat
 from pistachiodeal.platform.runner import (
-    BEAT_PATH,
-    LEAVE_PATH,
-    decode_beat,
+    DEREGISTER_PATH,
+    HEARTBEAT_PATH,
     decode_goodbye,
+    decode_heartbeat,
 )
 from pistachiodeal.web.messages import WebRequest, WebResponse, build_json
 
@@ -54,14 +54,16 @@
 
     async def handle(self, request: WebRequest) -> WebResponse:
         """Answer a heartbeat or a goodbye."""
-        if request.path.startswith(LEAVE_PATH):
+        if request.path.startswith(DEREGISTER_PATH):
             await self._process_goodbye(
                 self._decode(decode_goodbye, request, "goodbye")
             )
             return build_json(200, {})
-        if not request.path.startswith(BEAT_PATH):
+        if not request.path.startswith(HEARTBEAT_PATH):
             raise RequestError("no such path", code="not_found", status=404)
-        await self.process_heartbeat(self._decode(decode_beat, request, "heartbeat"))
+        await self.process_heartbeat(
+            self._decode(decode_heartbeat, request, "heartbeat")
+        )
         return build_json(200, {})
 
     async def process_heartbeat(self, beat: WorkerHeartbeat) -> None:
--- a/pistachiodeal/jobentry/api.py
+++ b/pistachiodeal/jobentry/api.py
@@ -1,4 +1,4 @@
-"""Callers' requests: submit, ask, cancel, count."""
+"""Handles callers' requests: submit, query and cancel jobs, count pending jobs."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from pistachiodeal.events import EventLog
 from pistachiodeal.exceptions import Outcome, RequestError, StoreError
 from pistachiodeal.jobentry.acceptance import Acceptance
-from pistachiodeal.jobentry.configuration import ConfigurationKeeper
+from pistachiodeal.jobentry.configuration import ConfigurationWatcher
 from pistachiodeal.jobentry.states import JobStates
 from pistachiodeal.jobs.model import Queue
 from pistachiodeal.jobs.rows import CANCEL_VALUE, build_cancel_key, encode_job
 from pistachiodeal.platform.callers import (
-    build_pending,
-    build_state,
+    build_pending_response,
+    build_state_response,
     parse_job,
     read_budget_s,
     read_host,
@@ -26,12 +26,12 @@
 class CallerApi:
     """Handles callers' requests.
 
-    :param row_bytes: largest row that the store takes.
+    :param row_bytes: maximum size of a row in the store, bytes.
     """
 
     def __init__(
         self,
-        configuration: ConfigurationKeeper,
+        configuration: ConfigurationWatcher,
         acceptance: Acceptance,
         states: JobStates,
         events: EventLog,
@@ -46,7 +46,7 @@
         self._stats = events.stats
 
     async def handle(self, request: WebRequest) -> WebResponse:
-        """Answer one request."""
+        """Handle one request and record its outcome."""
         began = time.monotonic()
         try:
             response = await self._route(request)
@@ -71,7 +71,7 @@
         configuration = self._configuration.current
         if configuration is None:
             raise RequestError(
-                "no configuration yet",
+                "the configuration is not loaded yet",
                 code="starting",
                 status=503,
                 retry_after=RETRY_AFTER_S,
@@ -80,7 +80,7 @@
         queue = self._configuration.find(read_host(request), request.path)
         if queue is None:
             raise RequestError(
-                f"version {configuration.version} has no such queue",
+                f"configuration version {configuration.version} has no such queue",
                 code="unknown_queue",
                 status=404,
                 step="jobs.route",
@@ -98,11 +98,11 @@
                 step="jobs",
             )
         if not job_id:
-            return build_pending(await self._states.count_pending(queue))
+            return build_pending_response(await self._states.count_pending(queue))
         state = await self._states.find_state(job_id)
         if state is None:
             return self._build_unknown(job_id, "state")
-        return build_state(state)
+        return build_state_response(state)
 
     async def _submit(
         self, queue: Queue, job_id: str, request: WebRequest
--- a/pistachiodeal/jobentry/seat.py
+++ b/pistachiodeal/jobentry/seat.py
@@ -1,4 +1,4 @@
-"""Whether this entry leads, and its links to agents and other entries."""
+"""Accepts links from agents and other entries, and leads while elected."""
 
 from __future__ import annotations
 
@@ -40,23 +40,23 @@
 
 log = Logger("seat")
 
-NOTICE_S = 0.25
-# Nobody waits longer for a link that takes no more bytes when the lead goes over.
-TELL_S = 0.2
-LOAD_POLL_S = 0.03
-LOAD_WAIT_S = 3.0
+NOTICE_INTERVAL_S = 0.25
+# Limits the wait for links that accept no more bytes when leadership is transferred.
+BROADCAST_TIMEOUT_S = 0.2
+LOAD_POLL_INTERVAL_S = 0.03
+LOAD_TIMEOUT_S = 3.0
 
 
 @dataclass(frozen=True, slots=True)
 class Follower:
-    """An entry that follows this one, and could lead in its place."""
+    """An entry that follows this leader and could succeed it."""
 
     link: Link
     holder: LeaderCandidate
 
 
-class Seat:
-    """Leads while this process holds the leader's row, and accepts links."""
+class PeerServer:
+    """Serves links of agents and entries; leads while this process is elected."""
 
     def __init__(
         self,
@@ -81,37 +81,39 @@
 
     @property
     def leadership(self) -> Leadership | None:
-        """Return what this process leads, None while it doesn't."""
+        """Return the current leadership, or None while this process doesn't lead."""
         return self._leadership
 
     @property
     def followers(self) -> Collection[Follower]:
-        """Return the entries that follow; the fitness of one that is stopping is 0."""
+        """Return the followers; the fitness of an entry that is stopping is 0."""
         return self._followers.values()
 
     def find_fittest(self) -> Follower | None:
-        """Return the fittest entry that follows; none that is stopping."""
-        fit = [one for one in self._followers.values() if one.holder.fitness]
-        return max(fit, key=lambda one: one.holder.fitness, default=None)
+        """Return the fittest follower that is not stopping, or None."""
+        fit = [
+            follower for follower in self._followers.values() if follower.holder.fitness
+        ]
+        return max(fit, key=lambda follower: follower.holder.fitness, default=None)
 
     async def appoint(self, follower: Follower, epoch: int) -> None:
-        """Tell a follower that the leader's row names it."""
+        """Notify a follower that the leader's row names it as the successor."""
         try:
             await follower.link.send(Appointment(epoch))
         except LinkClosedError as error:
-            # It, or another entry, finds out by the row.
-            log.info("seat: a successor is gone: {}", error)
+            # The successor, or another entry, will read the row.
+            log.info("seat: cannot notify the successor: {}", error)
 
-    async def make_way(self, epoch: int) -> None:
-        """End leading, since another process leads under a higher epoch."""
+    async def yield_leadership(self, epoch: int) -> None:
+        """Stop leading because another process leads under a higher epoch."""
         leadership = self._leadership
         if leadership is None:
             return
-        await self._tell_all()
+        await self._broadcast_notice()
         await leadership.step_down(epoch)
 
     async def lead(self, authority: LeaderTerm) -> None:
-        """Lead under an authority until another process takes over."""
+        """Lead with the given authority until another process takes over."""
         self._leadership = Leadership(
             self._store,
             authority,
@@ -157,11 +159,12 @@
             return
         waited_s = 0.0
         while not leadership.loaded:
-            # Set against an empty book, all runs of a worker would look like strays.
-            if waited_s > LOAD_WAIT_S or self._leadership is not leadership:
+            # Reconciled before the jobs are loaded, all runs of a worker would look
+            # unknown.
+            if waited_s > LOAD_TIMEOUT_S or self._leadership is not leadership:
                 return
-            await curio.sleep(LOAD_POLL_S)
-            waited_s += LOAD_POLL_S
+            await curio.sleep(LOAD_POLL_INTERVAL_S)
+            waited_s += LOAD_POLL_INTERVAL_S
         self._links.add(link)
         try:
             await leadership.sessions.serve(link)
@@ -171,19 +174,19 @@
     async def _serve_entry(self, link: Link) -> None:
         await link.send(self._build_notice())
         if self._leadership is None:
-            await self._take_news(link)
+            await self._receive_notices(link)
             return
         self._links.add(link)
-        notifier = await curio.spawn(self._notify, link, daemon=True)
+        notifier = await curio.spawn(self._send_notices, link, daemon=True)
         try:
             while True:
                 message = await link.receive()
                 if isinstance(message, LeaderNotice):
-                    await self._take_notice(message)
+                    await self._handle_notice(message)
                 elif isinstance(message, EntryState):
-                    self._take_state(link, message)
+                    self._handle_entry_state(link, message)
                 elif isinstance(message, JobQuery):
-                    await self._answer(link, message)
+                    await self._answer_query(link, message)
                 elif isinstance(message, JobNotice) and self._leadership is not None:
                     self._leadership.announce(message.key)
                 elif isinstance(message, RelayCommit | RelayRead):
@@ -193,20 +196,20 @@
             self._followers.pop(link, None)
             await notifier.cancel()
 
-    async def _take_news(self, link: Link) -> None:
-        """Hear who leads from an entry that has dialled; others only ask, and leave."""
+    async def _receive_notices(self, link: Link) -> None:
+        """Receive leader notices from an entry; those that only query disconnect."""
         while self._leadership is None:
             message = await link.receive()
             if isinstance(message, LeaderNotice):
-                await self._take_notice(message)
+                await self._handle_notice(message)
 
-    async def _take_notice(self, notice: LeaderNotice) -> None:
+    async def _handle_notice(self, notice: LeaderNotice) -> None:
         self._directory.apply_notice(notice)
         leadership = self._leadership
         if leadership is not None and notice.epoch > leadership.epoch:
-            await self.make_way(notice.epoch)
+            await self.yield_leadership(notice.epoch)
 
-    def _take_state(self, link: Link, state: EntryState) -> None:
+    def _handle_entry_state(self, link: Link, state: EntryState) -> None:
         peer = link.peer
         self._directory.note_entry(state.address)
         self._followers[link] = Follower(
@@ -219,30 +222,37 @@
             ),
         )
 
-    async def _tell_all(self) -> None:
-        """Tell agents and entries who leads now, so that nobody has to search."""
+    async def _broadcast_notice(self) -> None:
+        """Send the new leader's address to all agents and entries.
+
+        It spares them the search for the new leader.
+        """
         notice = self._directory.build_notice()
 
-        async def tell(link: Link) -> None:
+        async def send(link: Link) -> None:
             try:
                 await link.send(notice)
             except PistachiodealError as error:
                 log.debug("seat: a link ended: {}", error)
 
-        async with curio.ignore_after(TELL_S), curio.TaskGroup(wait=all) as group:
+        async with (
+            curio.ignore_after(BROADCAST_TIMEOUT_S),
+            curio.TaskGroup(wait=all) as group,
+        ):
             for link in list(self._links):
-                await group.spawn(tell, link)
+                await group.spawn(send, link)
 
-    async def _notify(self, link: Link) -> None:
-        told = 0
+    async def _send_notices(self, link: Link) -> None:
+        sent_revision = 0
         try:
             while not link.closed:
-                # The list of entries goes out when it has changed. With each notice,
-                # the bytes would grow by the square of the number of entries.
-                news = self._directory.revision != told
-                told = self._directory.revision
-                await link.send(self._build_notice(with_entries=news))
-                await curio.sleep(NOTICE_S)
+                # The list of entries is sent only when it has changed. Sent with each
+                # notice, the traffic would grow with the square of the number of
+                # entries.
+                changed = self._directory.revision != sent_revision
+                sent_revision = self._directory.revision
+                await link.send(self._build_notice(with_entries=changed))
+                await curio.sleep(NOTICE_INTERVAL_S)
         except PistachiodealError as error:
             log.debug("seat: a link ended: {}", error)
 
@@ -253,7 +263,7 @@
             age_ms = int(leadership.store_age_s * 1000)
         return self._directory.build_notice(age_ms, with_entries=with_entries)
 
-    async def _answer(self, link: Link, query: JobQuery) -> None:
+    async def _answer_query(self, link: Link, query: JobQuery) -> None:
         leadership = self._leadership
         if leadership is None or not leadership.loaded:
             return
--- a/pistachiodeal/platform/advice.py
+++ b/pistachiodeal/platform/advice.py
@@ -1,4 +1,4 @@
-"""The platform's service that says which workers may run a step."""
+"""Client of the platform's service that approves workers for a step."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 
 OK = 200
 ADVISE_PATH = "/api/advise"
-# The service takes a time of its own for each worker named; 30 take up to a second on
-# the deployments we know, and calls of one VM wait for each other.
+# The service's latency grows with the number of workers in a call: 30 take up to a
+# second on known deployments. Calls of one VM are processed one after another.
 CALL_TIMEOUT_S = 5.0
 CONNECTIONS = 2
 
 
-class PlatformAdvice:
-    """Calls to the service; see ``Adviser``."""
+class PlatformAdviser:
+    """Implements ``Adviser`` by calls to the service."""
 
     def __init__(self, client: WebClient) -> None:
         self._client = client
 
     async def advise(self, step: str, workers: tuple[str, ...]) -> Advice:
-        """Ask which of some workers may run a step; see ``Adviser``."""
-        # The service knows runners by the name that all their starts share.
-        asked = {get_runner(worker): worker for worker in workers}
-        body = orjson.dumps({"step": step, "workers": list(asked)})
+        """Return the workers that the service approves; see ``Adviser``."""
+        # The service identifies a runner by its id without the incarnation.
+        workers_by_runner = {get_runner(worker): worker for worker in workers}
+        body = orjson.dumps({"step": step, "workers": list(workers_by_runner)})
         headers = (("content-type", "application/json"),)
         peer = self._client.address
         try:
@@ -43,20 +43,20 @@
             detail = f"status {response.status}"
             raise AdviceError(detail, step="advice.ask", peer=peer)
         try:
-            return _decode(orjson.loads(response.body), asked)
+            return _decode(orjson.loads(response.body), workers_by_runner)
         except (ValueError, KeyError, TypeError) as error:
             raise AdviceError(repr(error), step="advice.decode", peer=peer) from None
 
 
-def create_advice(address: str) -> PlatformAdvice:
+def create_adviser(address: str) -> PlatformAdviser:
     """Return a client of the service at ``ip:port``."""
-    return PlatformAdvice(create_client(address, connections=CONNECTIONS))
+    return PlatformAdviser(create_client(address, connections=CONNECTIONS))
 
 
-def _decode(document: dict[str, Any], asked: dict[str, str]) -> Advice:
+def _decode(document: dict[str, Any], workers_by_runner: dict[str, str]) -> Advice:
     tickets = {
-        asked[runner]: str(ticket)
+        workers_by_runner[runner]: str(ticket)
         for runner, ticket in document["approved"]
-        if runner in asked
+        if runner in workers_by_runner
     }
     return Advice(tickets, float(document["valid_ms"]) / 1000)
--- a/pistachiodeal/platform/runner.py
+++ b/pistachiodeal/platform/runner.py
@@ -1,4 +1,4 @@
-"""The runner beside an agent: its calls and its heartbeats."""
+"""Client of the runner on an agent's VM, and decoders of the runner's messages."""
 
 from __future__ import annotations
 
@@ -32,12 +32,12 @@
 
 log = Logger("runner")
 
-BEAT_PATH = "/api/Instances.Heartbeat/"
-LEAVE_PATH = "/api/Instances.Deregister/"
+HEARTBEAT_PATH = "/api/Instances.Heartbeat/"
+DEREGISTER_PATH = "/api/Instances.Deregister/"
 HOLD_PATH = "/api/hold"
 DRAINING = "draining"
-# When this start of the runner was.
-BORN = "born"
+# Field with the time at which this incarnation of the runner started.
+START_TIME_FIELD = "born"
 STATES = ("ready", DRAINING)
 OK = 200
 CONFLICT = 409
@@ -49,14 +49,14 @@
     "room": CallResult.NO_ROOM,
     "ticket": CallResult.NO_TICKET,
 }
-# The runner is on the same VM and answers in a millisecond; a call that takes
-# longer has lost its answer, or its connection has gone silent.
+# The runner is on the same VM and answers in a millisecond; if a call takes longer,
+# its answer was lost or the connection is dead.
 CALL_TIMEOUT_S = 0.6
 CONNECTIONS = 16
 
 
 class PlatformRunner:
-    """Calls to one runner; see ``Runtime``."""
+    """Implements ``Runtime`` by calls to one runner."""
 
     def __init__(self, client: WebClient) -> None:
         self._client = client
@@ -74,31 +74,31 @@
             document["last_checkpoint"] = call.checkpoint
         if call.ticket:
             document["ticket"] = call.ticket
-        return await self._order("/api/run-start", call.worker, document)
+        return await self._send_order("/api/run-start", call.worker, document)
 
     async def stop(self, worker: str, token: int, task: str, run: int) -> CallResult:
         """Stop a run."""
         document = {"task": task, "run_id": run, "fencing_token": token}
-        return await self._order("/api/run-stop", worker, document)
+        return await self._send_order("/api/run-stop", worker, document)
 
     async def pace(
         self, worker: str, token: int, task: str, run: int, percent: int
     ) -> CallResult:
-        """Let a run work at a share of its speed."""
+        """Limit a run to a percentage of its full speed."""
         document = {
             "task": task,
             "run_id": run,
             "percent": percent,
             "fencing_token": token,
         }
-        return await self._order("/api/pace", worker, document)
+        return await self._send_order("/api/pace", worker, document)
 
     async def renew(
         self, worker: str, token: int, noted: int, lease_end_ms: int, wait_ms: int
     ) -> Listing:
-        """Renew the lease and list what runs and has ended."""
-        # The field for acknowledged ends speaks of what was seen; it is final, so it
-        # holds what is durable.
+        """Renew the lease; list the running tasks and those that have ended."""
+        # "last_seen" acknowledges ends: the runner drops them for good, so only ends
+        # that are stored durably may be acknowledged.
         document = {"fencing_token": token, "last_seen": noted}
         if lease_end_ms:
             document["until_ms"] = lease_end_ms
@@ -117,13 +117,13 @@
         """Close the idle connections."""
         await self._client.close()
 
-    async def _order(
+    async def _send_order(
         self, path: str, worker: str, document: dict[str, Any]
     ) -> CallResult:
         try:
             result, _ = await self._call(path, worker, document)
         except ProtocolError as error:
-            log.warning("runner: {} for {} was not sent: {}", path, worker, error)
+            log.warning("runner: cannot send {} to {}: {}", path, worker, error)
             return CallResult.REFUSED
         return result
 
@@ -134,10 +134,10 @@
         document: dict[str, Any],
         timeout: float = CALL_TIMEOUT_S,
     ) -> tuple[CallResult, dict[str, Any]]:
-        """Make one call to one start of a runner.
+        """Make one call to one incarnation of a runner.
 
-        :raises ProtocolError: who answers doesn't say which start it is; nothing was
-            asked of it.
+        :raises ProtocolError: the runner doesn't identify its incarnation; the call
+            was not made.
         """
         headers = (
             ("content-type", "application/json"),
@@ -169,10 +169,11 @@
 def _build_introduction(
     worker: str, headers: Headers, document: dict[str, Any]
 ) -> Introduction | None:
-    """Return the first call on each connection, where the headers don't say enough.
+    """Return the first call on each connection, which identifies the incarnation.
 
-    They name all starts of a runner alike; a connection leads to one of them. Sent to
-    another start, a call could acknowledge ends that nobody has seen.
+    The headers name only the runner, not its incarnation, while a connection leads to
+    one incarnation. Sent to another one, a call could acknowledge ends that nobody has
+    seen. Returns None if the runner's id already identifies the incarnation.
     """
     if get_runner(worker) == worker:
         return None
@@ -183,7 +184,7 @@
         HOLD_PATH,
         headers,
         orjson.dumps(question),
-        partial(_read_name, worker),
+        partial(_read_introduction, worker),
     )
 
 
@@ -192,18 +193,18 @@
     return PlatformRunner(create_client(address, connections=CONNECTIONS))
 
 
-def decode_beat(path: str, body: bytes) -> WorkerHeartbeat:
-    """Return a runner's heartbeat.
+def decode_heartbeat(path: str, body: bytes) -> WorkerHeartbeat:
+    """Decode a runner's heartbeat.
 
-    :raises ProtocolError: it can't be read.
+    :raises ProtocolError: it is malformed.
     """
     try:
         document = orjson.loads(body)
         room = document.get("capacity", {})
         state = document["state"]
         labels = tuple(document.get("labels", ()))
-        beat = WorkerHeartbeat(
-            _read_incarnation(path.removeprefix(BEAT_PATH), document),
+        heartbeat = WorkerHeartbeat(
+            _read_incarnation(path.removeprefix(HEARTBEAT_PATH), document),
             document["service"],
             document["address"],
             state == DRAINING,
@@ -212,41 +213,45 @@
             Resources(room.get("cpu", 0), room.get("mem_mb", 0), room.get("gpu", 0)),
             labels,
         )
-        check_fields(beat)
-        check_fields(beat.capacity)
-        if state not in STATES or path == BEAT_PATH or not beat.service:
-            raise ValueError("its state is unknown, or it doesn't say who sent it")
+        check_fields(heartbeat)
+        check_fields(heartbeat.capacity)
+        if state not in STATES or path == HEARTBEAT_PATH or not heartbeat.service:
+            raise ValueError("unknown state, or missing sender")
         if any(type(label) is not str for label in labels):
-            raise ValueError("a label is no text")
-        if min(beat.leaving_ms, beat.sequence, *astuple(beat.capacity)) < 0:
-            raise ValueError("a figure is negative")
-        return beat
+            raise ValueError("a label is not a string")
+        if (
+            min(heartbeat.leaving_ms, heartbeat.sequence, *astuple(heartbeat.capacity))
+            < 0
+        ):
+            raise ValueError("a number is negative")
+        return heartbeat
     except (ValueError, KeyError, TypeError, AttributeError) as error:
         raise ProtocolError(repr(error), step="heartbeat.decode") from None
 
 
 def decode_goodbye(path: str, body: bytes) -> Goodbye:
-    """Return a runner's goodbye.
+    """Decode a runner's deregistration.
 
-    :raises ProtocolError: it can't be read.
+    :raises ProtocolError: it is malformed.
     """
-    runner = path.removeprefix(LEAVE_PATH)
+    runner = path.removeprefix(DEREGISTER_PATH)
     try:
         document = orjson.loads(body) if body else {}
         if not runner or not isinstance(document, dict):
-            raise ValueError("it doesn't say who sent it")
+            raise ValueError("missing sender, or not an object")
         return Goodbye(runner, _read_incarnation(runner, document))
     except ValueError as error:
         raise ProtocolError(repr(error), step="goodbye.decode") from None
 
 
 def decode_listing(worker: str, answer: dict[str, Any]) -> Listing:
-    """Return what a runner answers to a call meant for one incarnation.
+    """Decode a runner's listing, requested from one incarnation.
 
-    One that can't be read tells nothing, least of all that the incarnation has ended.
+    A malformed answer proves nothing; in particular, it doesn't mean that the
+    incarnation has ended.
     """
     try:
-        if _read_answerer(worker, answer) != worker:
+        if _read_responder(worker, answer) != worker:
             return Listing(CallResult.OTHER_INCARNATION)
         listing = Listing(
             CallResult.DONE,
@@ -260,43 +265,47 @@
         return Listing(CallResult.UNREADABLE, detail=repr(error))
 
 
-def _read_name(worker: str, response: WebResponse) -> str:
-    """Return which start of a runner answers, empty where it refuses the call.
+def _read_introduction(worker: str, response: WebResponse) -> str:
+    """Return the incarnation that answers, or an empty string if it refuses the call.
 
-    :raises ProtocolError: its listing doesn't say.
+    :raises ProtocolError: the answer doesn't identify the incarnation.
     """
     if response.status != OK:
         return ""
     try:
-        return _read_answerer(worker, _parse(response.body))
+        return _read_responder(worker, _parse(response.body))
     except ValueError as error:
         raise ProtocolError(str(error), step="runner.introduce") from None
 
 
-def _read_answerer(worker: str, answer: dict[str, Any]) -> str:
-    """Return which start of a runner has answered a call that is meant for one.
+def _read_responder(worker: str, answer: dict[str, Any]) -> str:
+    """Return the incarnation that has answered a call meant for ``worker``.
 
-    :raises ValueError: it doesn't say, and has said so before.
+    :raises ValueError: the answer doesn't identify it, although earlier messages of
+        this runner did.
     """
     runner = get_runner(worker)
     found = _read_incarnation(runner, answer)
     if found == runner != worker:
-        raise ValueError(f"{BORN} is missing")
+        raise ValueError(f"{START_TIME_FIELD} is missing")
     return found
 
 
 def _read_incarnation(runner: str, document: dict[str, Any]) -> str:
-    """Return which start of a runner a message is from.
+    """Return the incarnation of a runner that sent a message.
 
-    A runner of a platform that gives each start an id of its own says nothing more.
+    Without a start time the runner's id is returned: some platforms give each
+    incarnation an id of its own.
 
-    :raises ValueError: what it says makes no sense.
+    :raises ValueError: the start time is not a non-negative integer.
     """
-    if BORN not in document:
+    if START_TIME_FIELD not in document:
         return runner
-    born = document[BORN]
+    born = document[START_TIME_FIELD]
     if type(born) is not int or born < 0:
-        raise ValueError(f"{BORN} is {born!r}, and no whole number of milliseconds")
+        raise ValueError(
+            f"{START_TIME_FIELD} is {born!r}, and no whole number of milliseconds"
+        )
     return build_incarnation(runner, born)
 
 
--- a/pistachiodeal/store/group.py
+++ b/pistachiodeal/store/group.py
@@ -14,29 +14,29 @@
     StoreUnavailableError,
     StoreUncertainError,
 )
-from pistachiodeal.store.protocols import ANY_VERSION, CommitResult, Table, Write
-from pistachiodeal.store.tickets import (
-    Ticket,
+from pistachiodeal.store.pending_transactions import (
+    PendingTransaction,
     build_result,
-    is_in_force,
+    is_applied,
     join_writes,
     reject_all,
     resolve_all,
 )
+from pistachiodeal.store.protocols import ANY_VERSION, CommitResult, Table, Write
 from pistachiodeal.task_groups import run_until_one_ends
 
-LANES = 4
+CONCURRENT_COMMITS = 4
 QUEUE_LIMIT = 10_000
-SETTLE_TRIES = 3
+READ_BACK_TRIES = 3
 PAUSE_S = 0.05
 
 
 class GroupCommitter:
-    """Joins small transactions into commits, and answers each by itself.
+    """Combines small transactions into table commits and answers each separately.
 
     Every write must be conditional, and every transaction must write at least
-    one value that no other transaction writes (one that holds a nonce): that is
-    how a commit whose answer was lost is settled.
+    one value that no other transaction writes (for example with a nonce): reading
+    that value back shows whether a commit whose answer was lost took effect.
     """
 
     def __init__(
@@ -46,32 +46,32 @@
         self._group_s = group_s
         self._group_rows = group_rows
         self._pause_s = pause_s
-        self._queue: deque[Ticket] = deque()
-        self._filled = curio.Event()
-        self._gathering = curio.Lock()
+        self._queue: deque[PendingTransaction] = deque()
+        self._not_empty = curio.Event()
+        self._gather_lock = curio.Lock()
 
     @property
     def queued(self) -> int:
-        """Return how many transactions wait to be sent."""
+        """Return the number of transactions that wait to be sent."""
         return len(self._queue)
 
-    async def submit(self, writes: Sequence[Write]) -> Ticket:
-        """Queue a small transaction and return its ticket.
+    async def submit(self, writes: Sequence[Write]) -> PendingTransaction:
+        """Queue a small transaction and return its handle.
 
         :raises StoreUnavailableError: the queue is full.
         """
         check_transaction(writes, self._group_rows)
         if len(self._queue) >= QUEUE_LIMIT:
             raise StoreUnavailableError("commit queue is full", step="group.submit")
-        ticket = Ticket(tuple(writes))
-        self._queue.append(ticket)
+        transaction = PendingTransaction(tuple(writes))
+        self._queue.append(transaction)
         try:
-            await self._filled.set()
+            await self._not_empty.set()
         except BaseException:
-            # Nobody would hold the ticket, and so nobody end what it began.
-            ticket.withdraw()
+            # The caller gets no handle, so nobody else could withdraw it.
+            transaction.withdraw()
             raise
-        return ticket
+        return transaction
 
     async def commit(self, writes: Sequence[Write]) -> CommitResult:
         """Commit a small transaction together with others.
@@ -79,146 +79,155 @@
         :raises StoreUnavailableError: it took no effect.
         :raises StoreUncertainError: it may have taken effect.
         """
-        ticket = await self.submit(writes)
+        transaction = await self.submit(writes)
         try:
-            return await ticket.wait()
+            return await transaction.wait()
         finally:
-            ticket.withdraw()
+            transaction.withdraw()
 
     async def run(self) -> None:
         """Commit what is queued, until cancelled."""
-        await run_until_one_ends(*[self._run_lane] * LANES)
+        await run_until_one_ends(*[self._run_committer] * CONCURRENT_COMMITS)
 
-    async def _run_lane(self) -> None:
+    async def _run_committer(self) -> None:
         while True:
-            batch = await self._gather()
+            batch = await self._gather_batch()
             if batch:
                 await self._answer_batch(batch)
 
-    async def _gather(self) -> list[Ticket]:
-        async with self._gathering:
-            await self._filled.wait()
+    async def _gather_batch(self) -> list[PendingTransaction]:
+        async with self._gather_lock:
+            await self._not_empty.wait()
             if len(self._queue) < self._group_rows:
                 await curio.sleep(self._group_s)
-            return self._take()
+            return self._take_batch()
 
-    def _take(self) -> list[Ticket]:
-        """Take tickets for one commit: no key twice, at most ``group_rows`` rows."""
-        batch: list[Ticket] = []
-        later: list[Ticket] = []
+    def _take_batch(self) -> list[PendingTransaction]:
+        """Dequeue a batch for one commit: no key twice, at most ``group_rows`` rows."""
+        batch: list[PendingTransaction] = []
+        later: list[PendingTransaction] = []
         keys: set[str] = set()
         rows = 0
         while self._queue:
-            ticket = self._queue.popleft()
-            if ticket.withdrawn:
+            transaction = self._queue.popleft()
+            if transaction.withdrawn:
                 continue
-            if rows + ticket.rows > self._group_rows:
-                later.append(ticket)
+            if rows + transaction.rows > self._group_rows:
+                later.append(transaction)
                 break
-            if keys & ticket.keys:
-                later.append(ticket)
+            if keys & transaction.keys:
+                later.append(transaction)
                 continue
-            ticket.sent = True
-            batch.append(ticket)
-            keys |= ticket.keys
-            rows += ticket.rows
+            transaction.sent = True
+            batch.append(transaction)
+            keys |= transaction.keys
+            rows += transaction.rows
         self._queue.extendleft(reversed(later))
         if not self._queue:
-            self._filled.clear()
+            self._not_empty.clear()
         return batch
 
-    async def _answer_batch(self, batch: list[Ticket]) -> None:
+    async def _answer_batch(self, batch: list[PendingTransaction]) -> None:
         try:
             await self._commit_batch(batch)
         finally:
-            # A lane that is cancelled or fails would leave its callers waiting
-            # for good: they get the only true answer there is.
-            for ticket in batch:
-                await ticket.reject(
-                    StoreUncertainError("commit was cut off", step="group.commit")
+            # A committer that is cancelled or fails would leave its callers waiting
+            # for ever. Whether their transactions took effect is unknown.
+            for transaction in batch:
+                await transaction.reject(
+                    StoreUncertainError("commit was interrupted", step="group.commit")
                 )
 
-    async def _commit_batch(self, batch: list[Ticket]) -> None:
-        open_tickets = list(batch)
+    async def _commit_batch(self, batch: list[PendingTransaction]) -> None:
+        pending = list(batch)
         uncertain: StoreError | None = None
-        tries = SETTLE_TRIES
-        while open_tickets:
+        tries = READ_BACK_TRIES
+        while pending:
             try:
-                result = await self._table.commit(join_writes(open_tickets))
+                result = await self._table.commit(join_writes(pending))
             except StoreUnavailableError as error:
                 if uncertain is None:
-                    await reject_all(open_tickets, error)
+                    await reject_all(pending, error)
                     return
             except StoreError as error:
                 uncertain = error
             else:
                 if result.committed:
-                    await resolve_all(open_tickets, result)
+                    await resolve_all(pending, result)
                     return
-                open_tickets = await self._drop_conflicting(
-                    open_tickets, result, uncertain
-                )
+                pending = await self._drop_conflicting(pending, result, uncertain)
                 continue
             tries -= 1
             with contextlib.suppress(StoreError):
-                open_tickets = await self._settle(open_tickets)
+                pending = await self._read_back(pending)
             if tries == 0:
-                await reject_all(open_tickets, uncertain)
+                await reject_all(pending, uncertain)
                 return
-            if open_tickets:
+            if pending:
                 await curio.sleep(self._pause_s * random.uniform(0.5, 1.5))
 
-    async def _settle(self, tickets: list[Ticket]) -> list[Ticket]:
-        """Read back after a lost answer; return the tickets that are not in force.
+    async def _read_back(
+        self, transactions: list[PendingTransaction]
+    ) -> list[PendingTransaction]:
+        """Read back after a lost answer; return the transactions not yet applied.
 
-        A commit that took effect whose answer was lost would read as a conflict
-        when sent again, and a write that is in force would be reported as
-        failed. One would notice by a row that holds the reporter's own nonce.
-        What is not there yet is sent again: the conditions let only one of the
-        two commits take effect, however late the first one lands.
+        Sent again, a commit that took effect would conflict with its own rows and
+        be reported as failed. A row that holds the sender's own nonce shows that it
+        took effect. Transactions that are not found are sent again: the conditions
+        let only one of the two commits take effect, however late the first one is
+        carried out.
 
         :raises StoreError: the table did not answer.
         """
-        keys = [key for ticket in tickets for key in sorted(ticket.keys)]
+        keys = [key for transaction in transactions for key in sorted(transaction.keys)]
         rows = await self._table.read(keys)
-        left = []
-        for ticket in tickets:
-            if is_in_force(ticket, rows):
-                await ticket.resolve(build_result(ticket, rows))
+        remaining = []
+        for transaction in transactions:
+            if is_applied(transaction, rows):
+                await transaction.resolve(build_result(transaction, rows))
             else:
-                left.append(ticket)
-        return left
+                remaining.append(transaction)
+        return remaining
 
     async def _drop_conflicting(
-        self, tickets: list[Ticket], result: CommitResult, uncertain: StoreError | None
-    ) -> list[Ticket]:
-        """Answer the tickets whose condition failed; return the others.
-
-        One row's failed condition fails the whole commit, so without this a
-        single repeated key would fail every other caller in its group.
+        self,
+        transactions: list[PendingTransaction],
+        result: CommitResult,
+        uncertain: StoreError | None,
+    ) -> list[PendingTransaction]:
+        """Answer the transactions whose condition failed; return the others.
+
+        One failed condition fails the whole commit, so without this a single
+        repeated key would fail every other caller of the batch.
         """
         conflicts = frozenset(result.conflicts)
-        hit = [ticket for ticket in tickets if ticket.keys & conflicts]
-        left = [ticket for ticket in tickets if not ticket.keys & conflicts]
-        if uncertain is not None and hit:
+        conflicting = [
+            transaction for transaction in transactions if transaction.keys & conflicts
+        ]
+        remaining = [
+            transaction
+            for transaction in transactions
+            if not transaction.keys & conflicts
+        ]
+        if uncertain is not None and conflicting:
             try:
-                hit = await self._settle(hit)
+                conflicting = await self._read_back(conflicting)
             except StoreError:
-                await reject_all(hit, uncertain)
-        for ticket in hit:
-            own = tuple(sorted(ticket.keys & conflicts))
-            await ticket.resolve(CommitResult(conflicts=own))
-        if len(left) == len(tickets):
+                await reject_all(conflicting, uncertain)
+        for transaction in conflicting:
+            own = tuple(sorted(transaction.keys & conflicts))
+            await transaction.resolve(CommitResult(conflicts=own))
+        if len(remaining) == len(transactions):
             error = StoreUncertainError("conflict on unknown keys", step="group.commit")
-            await reject_all(left, error)
+            await reject_all(remaining, error)
             return []
-        return left
+        return remaining
 
 
 def check_transaction(writes: Sequence[Write], limit: int) -> None:
-    """Refuse what could not be settled after a lost answer.
+    """Check that the transaction can be read back after a lost answer.
 
-    :raises ValueError: a programming error of the caller of this module.
+    :raises ValueError: it can't; this is a programming error of the caller.
     """
     if len(writes) > limit:
         raise ValueError("transaction is larger than a group")
@@ -231,10 +240,10 @@
 def create_group_committer(
     table: Table, *, group_s: float, group_rows: int, pause_s: float = PAUSE_S
 ) -> GroupCommitter:
-    """Return a group committer; :meth:`GroupCommitter.run` must run beside it.
+    """Return a group committer; the caller must run :meth:`GroupCommitter.run`.
 
     :param group_s: seconds to wait for more transactions before a commit.
-    :param group_rows: most rows of one commit.
-    :param pause_s: mean seconds between two tries to settle a lost answer.
+    :param group_rows: maximum number of rows in one commit.
+    :param pause_s: mean pause between two tries after a lost answer, seconds.
     """
     return GroupCommitter(table, group_s, group_rows, pause_s)
--- a/pistachiodeal/store/tickets.py
+++ b/pistachiodeal/store/pending_transactions.py
@@ -1,4 +1,4 @@
-"""Transactions that wait to be answered by a group commit."""
+"""Transactions that wait for the result of a group commit."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 log = logbook.Logger("pistachiodeal.store")
 
 
-class Ticket:
-    """One small transaction on its way.
+class PendingTransaction:
+    """One small transaction and, once it is known, its result.
 
-    :ivar sent: some commit that holds it was handed to the table; until then it
-        can be withdrawn without effect.
+    :ivar sent: a commit that includes it was sent to the table; until then it can
+        be withdrawn without effect.
     """
 
     def __init__(self, writes: tuple[Write, ...]) -> None:
@@ -44,7 +44,7 @@
         return frozenset(write.key for write in self.writes)
 
     def withdraw(self) -> bool:
-        """Keep it from being sent; False when it was sent already."""
+        """Prevent it from being sent; return False if it was sent already."""
         self.withdrawn = not self.sent
         return self.withdrawn
 
@@ -61,28 +61,28 @@
         return self._result
 
     async def resolve(self, result: CommitResult) -> None:
-        """Answer with a result; later answers are ignored."""
+        """Set the result, unless the transaction has been answered."""
         if self.answered:
             return
         self._result = result
         await self._done.set()
 
     async def reject(self, error: StoreError) -> None:
-        """Answer with an error; later answers are ignored."""
+        """Set the error, unless the transaction has been answered."""
         if self.answered:
             return
         self._error = error
         await self._done.set()
 
 
-def join_writes(tickets: Sequence[Ticket]) -> list[Write]:
-    """Return the writes of all tickets as one transaction."""
-    return [write for ticket in tickets for write in ticket.writes]
+def join_writes(transactions: Sequence[PendingTransaction]) -> list[Write]:
+    """Return the writes of all transactions as one list."""
+    return [write for transaction in transactions for write in transaction.writes]
 
 
-def is_in_force(ticket: Ticket, rows: dict[str, Row]) -> bool:
-    """Tell whether every value of a transaction is what the table holds."""
-    for write in ticket.writes:
+def is_applied(transaction: PendingTransaction, rows: dict[str, Row]) -> bool:
+    """Tell whether the table holds every value that a transaction writes."""
+    for write in transaction.writes:
         if write.check_only or write.value is None:
             continue
         row = rows.get(write.key)
@@ -91,25 +91,29 @@
     return True
 
 
-def build_result(ticket: Ticket, rows: dict[str, Row]) -> CommitResult:
-    """Return a transaction's result from the rows that were read back."""
+def build_result(transaction: PendingTransaction, rows: dict[str, Row]) -> CommitResult:
+    """Return an applied transaction's result from the rows that were read back."""
     return CommitResult(
-        versions={key: rows[key].version for key in ticket.keys if key in rows}
+        versions={key: rows[key].version for key in transaction.keys if key in rows}
     )
 
 
-async def resolve_all(tickets: Sequence[Ticket], result: CommitResult) -> None:
-    """Answer each ticket with its own part of a commit's result."""
-    for ticket in tickets:
-        own = {k: v for k, v in result.versions.items() if k in ticket.keys}
-        await ticket.resolve(CommitResult(versions=own))
+async def resolve_all(
+    transactions: Sequence[PendingTransaction], result: CommitResult
+) -> None:
+    """Answer each transaction with its own part of a commit's result."""
+    for transaction in transactions:
+        own = {k: v for k, v in result.versions.items() if k in transaction.keys}
+        await transaction.resolve(CommitResult(versions=own))
 
 
-async def reject_all(tickets: Sequence[Ticket], error: StoreError | None) -> None:
-    """Answer all tickets with one error."""
-    if not tickets:
+async def reject_all(
+    transactions: Sequence[PendingTransaction], error: StoreError | None
+) -> None:
+    """Answer all transactions with the same error."""
+    if not transactions:
         return
-    cause = error or StoreUncertainError("commit not settled", step="group.commit")
-    log.debug("platform: {} grouped transactions failed: {}", len(tickets), cause)
-    for ticket in tickets:
-        await ticket.reject(cause)
+    cause = error or StoreUncertainError("commit result unknown", step="group.commit")
+    log.debug("platform: {} grouped transactions failed: {}", len(transactions), cause)
+    for transaction in transactions:
+        await transaction.reject(cause)
--- a/tests/unit/test_platform_breaker.py
+++ b/tests/unit/test_platform_breaker.py
@@ -1,4 +1,4 @@
-"""The breaker, with a clock of its own."""
+"""The circuit breaker, with a simulated clock."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
     StoreUncertainError,
 )
 from pistachiodeal.store.breaker import (
-    FULL_ALLOWANCE,
-    LONGEST_PAUSE_S,
-    STRIKES,
+    CLOSING_ALLOWANCE,
+    FAILURE_THRESHOLD,
+    MAX_PAUSE_S,
     Breaker,
     BreakerState,
     create_breaker,
@@ -45,7 +45,7 @@
 
 
 def open_by_failures(breaker: Breaker) -> None:
-    for _ in range(STRIKES):
+    for _ in range(FAILURE_THRESHOLD):
         fail(breaker, StoreUncertainError("late"))
     assert breaker.state is BreakerState.OPEN
 
@@ -55,32 +55,30 @@
         clock.now += seconds
 
 
-def test_opens_on_failures_in_a_row_and_refuses_with_the_time_left(
+def test_opens_on_consecutive_failures_and_refuses_with_the_remaining_time(
     breaker: Breaker, clock: Clock
 ) -> None:
     open_by_failures(breaker)
     with pytest.raises(StoreUnavailableError) as refused, breaker.watch("step"):
         pytest.fail("the call was made")
     wait = refused.value.retry_after
-    assert 0 < wait <= LONGEST_PAUSE_S
+    assert 0 < wait <= MAX_PAUSE_S
     clock.now += wait
     succeed(breaker, clock)
     assert breaker.state is BreakerState.RECOVERING
 
 
 def test_refused_requests_do_not_open_it(breaker: Breaker) -> None:
-    for _ in range(10 * STRIKES):
+    for _ in range(10 * FAILURE_THRESHOLD):
         fail(breaker, StoreError("malformed"))
     assert breaker.state is BreakerState.CLOSED
 
 
 def test_slow_store_does_not_make_callers_wait(breaker: Breaker, clock: Clock) -> None:
-    """Store slow rather than down.
+    """With a hanging store, every caller waited for the whole time-out.
 
-    Symptom: every caller waits for the whole time-out.
-    Sequence: the store stops answering; calls hold all connections; no call
-    has failed yet, so nothing but their age tells.
-    Cause: the breaker counted only calls that had ended.
+    The breaker counted only calls that had ended. While hanging calls occupy all
+    connections and none has failed yet, only their age shows the problem.
     """
     stuck = [breaker.watch("step") for _ in range(CONNECTIONS)]
     for call in stuck:
@@ -91,19 +89,18 @@
     assert breaker.state is BreakerState.OPEN
 
 
-def test_recovery_is_no_wave(breaker: Breaker, clock: Clock) -> None:
-    """A store that comes back meets few calls at first.
+def test_recovery_admits_few_calls_at_first(breaker: Breaker, clock: Clock) -> None:
+    """A recovered store failed again at once under a burst of calls.
 
-    Symptom: the store falls over again as soon as it is back.
-    Sequence: an outage ends; all that waited calls in the same moment.
-    Cause: the breaker closed at the first success.
+    The breaker closed at the first success, and all waiting callers called at the same
+    moment.
     """
     open_by_failures(breaker)
-    clock.now += LONGEST_PAUSE_S
+    clock.now += MAX_PAUSE_S
     with breaker.watch("probe"):
         with pytest.raises(StoreUnavailableError), breaker.watch("second"):
             pytest.fail("two calls at once")
-    for _ in range(FULL_ALLOWANCE):
+    for _ in range(CLOSING_ALLOWANCE):
         succeed(breaker, clock)
     assert breaker.state is BreakerState.CLOSED
 
@@ -118,22 +115,21 @@
         clock.now += refused.value.retry_after
         fail(breaker, StoreUnavailableError("down"))
     assert pauses == sorted(pauses)
-    assert pauses[0] < pauses[-1] <= LONGEST_PAUSE_S
+    assert pauses[0] < pauses[-1] <= MAX_PAUSE_S
 
 
 def test_late_failure_of_an_older_call_does_not_reopen_it(
     breaker: Breaker, clock: Clock
 ) -> None:
-    """Answers that are late belong to the time before the opening.
+    """The breaker never closed although the store was healthy.
 
-    Symptom: the breaker never closes although the store is well.
-    Sequence: a call hangs; the breaker opens and recovers; the call times out.
-    Cause: its failure was counted against the calls after it.
+    A call that hung before the breaker opened timed out during the recovery, and its
+    failure was counted against the later calls.
     """
     stuck = breaker.watch("step")
     stuck.__enter__()
     open_by_failures(breaker)
-    clock.now += LONGEST_PAUSE_S
+    clock.now += MAX_PAUSE_S
     succeed(breaker, clock)
     error = StoreUncertainError("late")
     assert not stuck.__exit__(type(error), error, None)
@@ -144,8 +140,8 @@
     breaker: Breaker, clock: Clock
 ) -> None:
     open_by_failures(breaker)
-    clock.now += LONGEST_PAUSE_S
-    for _ in range(3 * STRIKES):
+    clock.now += MAX_PAUSE_S
+    for _ in range(3 * FAILURE_THRESHOLD):
         succeed(breaker, clock, TIMEOUT_S * 0.9)
     assert breaker.state is BreakerState.RECOVERING
     with breaker.watch("probe"):
--- a/tests/unit/test_store_under_load.py
+++ b/tests/unit/test_store_under_load.py
@@ -1,7 +1,7 @@
-"""What the store still does for us while it is a hundred times slower.
+"""Writes and submissions while the store is a hundred times slower.
 
-The stand-in does the transactions of one partition one after another, 0.3 s each, and
-refuses more than a second of them, beside 0.4 s for each call.
+The stand-in executes the transactions of a partition serially, 0.3 s each, and refuses
+them when more than a second of them are queued; each call takes another 0.4 s.
 """
 
 from __future__ import annotations
@@ -23,7 +23,11 @@
 )
 from pistachiodeal.jobs.tables import read_submission, read_submissions
 from pistachiodeal.platform.rows import PlatformRows, create_rows
-from pistachiodeal.store.patience import LONGEST_S, SHORTEST_S, Patience
+from pistachiodeal.store.adaptive_timeout import (
+    MAX_TIMEOUT_S,
+    MIN_TIMEOUT_S,
+    AdaptiveTimeout,
+)
 from pistachiodeal.store.row_store import ABSENT, RowCondition, RowWrite, Transaction
 from tests.harness.ports import take_port
 from tests.soak.platform import StoreServer
@@ -54,17 +58,16 @@
         await task.cancel()
 
 
-def test_a_slow_store_still_ends_the_writes_of_a_leader():
-    """Symptom: while the store was 98 times slower, nearly no write of the leader
-    ended, and four seconds passed without a placement.
+def test_a_slow_store_still_completes_the_writes_of_a_leader():
+    """With a store 98 times slower, four seconds passed without a placement.
 
-    Sequence: three writes at a time go to one partition, each takes 0.4 s and 0.3 s
-    for itself and for those before it; each is given up after 1 s, and sent again.
-    Cause: the limit was fixed. The store carried out both.
+    Three concurrent writes to a partition take 0.4 s each, and 0.3 s more for each of
+    them that comes before and for itself. With a fixed time-out of 1 s nearly all timed
+    out and were sent again, and the store carried out both.
     """
 
     async def main() -> tuple[Counter[str], int]:
-        ends: Counter[str] = Counter()
+        outcomes: Counter[str] = Counter()
         async with run_store() as (state, rows):
 
             async def keep_writing(number: int) -> None:
@@ -75,16 +78,16 @@
                     try:
                         result = await rows.commit(Transaction((condition,), (write,)))
                     except StoreError:
-                        ends["given up"] += 1
+                        outcomes["given up"] += 1
                         continue
                     if result.committed:
                         version = result.version
-                        ends["written"] += 1
+                        outcomes["written"] += 1
                     else:
                         version = result.found["progress", key].version
-                        ends["written before"] += 1
+                        outcomes["written before"] += 1
 
-            # The leader looks at its row all the time; those answers show the speed.
+            # The leader reads its row all the time, so it knows the latency.
             slow_down(state)
             await rows.read("control")
             writers = [
@@ -93,74 +96,74 @@
             await curio.sleep(4.0)
             for writer in writers:
                 await writer.cancel()
-            return ends, state.transactions
+            return outcomes, state.transactions
 
-    ends, transactions = curio.run(main)
-    assert ends["written"] >= 8
-    assert ends["given up"] == ends["written before"] == 0
-    assert transactions - ends["written"] <= 3
+    outcomes, transactions = curio.run(main)
+    assert outcomes["written"] >= 8
+    assert outcomes["given up"] == outcomes["written before"] == 0
+    assert transactions - outcomes["written"] <= 3
 
 
-def test_silence_on_a_fast_store_is_noticed_as_soon_as_before():
-    """Symptom: each call on a connection that lost its other end hangs for seconds.
+def test_a_fast_store_gets_the_shortest_timeout():
+    """Guards against calls on a dead connection that hang for seconds.
 
-    Sequence: the store answers within milliseconds, and then not at all.
-    Cause: a limit that is long for slow days would be long on all days.
+    It would happen with a time-out that is always long enough for a slow store.
     """
-    patience = Patience()
+    timeout = AdaptiveTimeout()
     for _ in range(10):
-        patience.note_answer(0.005)
-    assert patience.limit_s == SHORTEST_S
+        timeout.record_latency(0.005)
+    assert timeout.timeout_s == MIN_TIMEOUT_S
 
 
-def test_patience_has_an_end():
-    """The load: answers take longer than any caller waits."""
-    patience = Patience()
-    patience.note_answer(30.0)
-    assert patience.limit_s == LONGEST_S
+def test_the_timeout_has_an_upper_limit():
+    """Answers may take longer than any caller waits."""
+    timeout = AdaptiveTimeout()
+    timeout.record_latency(30.0)
+    assert timeout.timeout_s == MAX_TIMEOUT_S
 
 
-def test_a_slow_store_takes_the_jobs_of_many_entries():
-    """Symptom: while the store was 98 times slower, most callers of 35 entries were
-    refused or told "unknown".
+def test_a_slow_store_accepts_the_jobs_of_many_entries():
+    """With a store 98 times slower, most callers got a refusal or "unknown".
 
-    Sequence: ten callers a second hand jobs in, each at another entry, so that no
-    entry can join their inserts. The store takes three transactions of a partition a
-    second. Cause: all submissions lay in one partition.
+    Ten callers a second submit jobs, each to another of 35 entries, so no entry can
+    batch their inserts. The store executes three transactions of a partition per
+    second, and all submissions were in one partition.
     """
 
     async def main() -> tuple[Counter[str], int]:
         state = RowsState()
         slow_down(state)
-        ends: Counter[str] = Counter()
+        outcomes: Counter[str] = Counter()
         entries = [Acceptance(MemoryRows(state), create_quiet_log()) for _ in range(35)]
-        keepers = [await curio.spawn(one.run, daemon=True) for one in entries]
+        tasks = [await curio.spawn(entry.run, daemon=True) for entry in entries]
 
         async def call(number: int) -> None:
             entry = entries[number % len(entries)]
             try:
                 await entry.insert(f"{number:016x}", b"row", CALLER_S)
             except RequestError as error:
-                ends[str(error.outcome)] += 1
+                outcomes[str(error.outcome)] += 1
             else:
-                ends["accepted"] += 1
+                outcomes["accepted"] += 1
 
         async with curio.TaskGroup() as group:
             for number in range(40):
                 await group.spawn(call, number)
                 await curio.sleep(0.1)
-        for keeper in keepers:
-            await keeper.cancel()
-        return ends, state.refused
+        for task in tasks:
+            await task.cancel()
+        return outcomes, state.refused
 
-    ends, refused = curio.run(main)
-    assert ends == {"accepted": 40}
+    outcomes, refused = curio.run(main)
+    assert outcomes == {"accepted": 40}
     assert refused == 0
 
 
 def test_a_repeat_at_another_entry_finds_the_first_submission():
-    """Symptom: one job runs twice. Sequence: its caller repeats it at another entry.
-    Cause: each entry would have a partition of its own, and no row to find there.
+    """Guards against a job that runs twice after its caller retried at another entry.
+
+    It would happen if each entry wrote to a partition of its own and so didn't find
+    the first submission.
     """
 
     async def main() -> RowsState:
@@ -175,8 +178,8 @@
     assert curio.run(main).transactions == 1
 
 
-def test_a_cancellation_lies_beside_its_submission():
-    """Both are read in one call, which concerns one partition."""
+def test_a_cancellation_is_in_the_partition_of_its_submission():
+    """Both are read in one call, and a call covers one partition."""
     for number in range(50):
         job_id = f"{number:016x}"
         partition = find_partition(JOBS_TABLE, job_id)
@@ -185,10 +188,10 @@
 
 
 @pytest.mark.parametrize("undivided", [False, True])
-def test_a_submission_is_found_wherever_it_lies(undivided: bool):
-    """Symptom: a caller is told that an accepted job does not exist.
+def test_a_submission_is_found_in_any_partition(undivided: bool):
+    """An accepted job was reported as unknown.
 
-    Sequence: it was accepted before submissions were divided. Cause: only the new
+    It was accepted before submissions were divided into partitions, and only the new
     partitions were read.
     """
 
