--- a/bench/batch.py
+++ b/bench/batch.py
@@ -10,7 +10,7 @@
 from bench.fakes import RESUME_S, FakeTask, FakeWorker, generate_tasks
 from bench.policies import Policy
 from bench.shapes import Deployment, Shape
-from pistachiodeal.batch.placement import PendingTask, Planner, WorkerRoom
+from pistachiodeal.batch.placement import PendingTask, PlacementPlanner, WorkerCandidate
 from pistachiodeal.learning.health import create_worker_health
 from pistachiodeal.learning.sizes import create_size_model
 from pistachiodeal.model.resources import Resources
@@ -66,7 +66,7 @@
             for task in self._queue
         ]
         rooms = [self._room(worker, now) for worker in self._workers if worker.alive]
-        planner = Planner(lambda name: self._health.usable(name, now))
+        planner = PlacementPlanner(lambda name: self._health.usable(name, now))
         by_name = {worker.name: worker for worker in self._workers}
         for placement in planner.plan([{TEAM: pending}], rooms, {}, {}, now):
             task = tasks.pop(placement.task.task_id)
@@ -123,7 +123,7 @@
         ran_s = now - task.started_at
         self._sizes.observe(TEAM, task.kind.name, task.kind.true, ran_s)
 
-    def _room(self, worker: FakeWorker, now: float) -> WorkerRoom:
+    def _room(self, worker: FakeWorker, now: float) -> WorkerCandidate:
         room = worker.capacity - worker.reserved(now)
         if self._policy.batch_part < 1.0:
             kept = 1.0 - self._policy.batch_part
@@ -132,6 +132,6 @@
             others = worker.base
             room += others - others.enlarge(Resources(cpu, memory))
         teams = Counter({TEAM: len(worker.tasks)})
-        return WorkerRoom(
+        return WorkerCandidate(
             worker.name, worker.data_centre, worker.rack, worker.capacity, room, teams
         )
--- a/bench/fault_deployment.py
+++ b/bench/fault_deployment.py
@@ -10,7 +10,7 @@
 from functools import partial
 from typing import Any
 
-from pistachiodeal.batch.ownership import choose_winner
+from pistachiodeal.batch.ownership import choose_preferred_owner
 from pistachiodeal.config.agent import AgentSettings, RuntimeSettings
 from pistachiodeal.config.common import LinkSettings, StoreSettings
 from pistachiodeal.config.entry import BatchSettings, EntrySettings
@@ -168,7 +168,7 @@
         def look() -> bool:
             owned = {name: self._list_owned(name) for name in ENTRIES}
             return all(
-                str(partition) in owned[choose_winner(partition, ENTRIES)]
+                str(partition) in owned[choose_preferred_owner(partition, ENTRIES)]
                 for partition in range(PARTITIONS)
             )
 
--- a/bench/slopes/inner.py
+++ b/bench/slopes/inner.py
@@ -13,7 +13,7 @@
 from bench.slopes.service import Agents, Session, build_service, submit_all
 from pistachiodeal.batch.keys import ENTRY_PREFIX, partition_key
 from pistachiodeal.batch.membership import Membership
-from pistachiodeal.batch.ownership import choose_winner
+from pistachiodeal.batch.ownership import choose_preferred_owner
 from pistachiodeal.batch.rows import EntryRow
 from pistachiodeal.claims.keeper import Claimed, ClaimKeeper, create_claim_keeper
 from pistachiodeal.model.policies import Profile
@@ -83,7 +83,7 @@
 
 async def _run_rounds(workers: int, tasks: int, free: Resources) -> float:
     service = build_service(MemoryTable(), MemoryObjects())
-    await service._keeper.run_round()
+    await service._partition_manager.run_once()
     agents = Agents(service)
     for number in range(workers):
         session = Session(agents, number)
@@ -92,8 +92,8 @@
     await submit_all(service, tasks)
     with watch_cpu() as spent:
         for _ in range(ROUNDS):
-            await service._placer.run_round()
-    for task in service._keeper._tasks.values():
+            await service._placement_loop.run_once()
+    for task in service._partition_manager._tasks.values():
         await task.cancel()
     return 1000 * spent.cpu_s / ROUNDS
 
@@ -136,10 +136,10 @@
     membership = Membership(
         table, _build_entry_row(999), owner_lease_s=10, margin_s=1, clock=lambda: 0.0
     )
-    await membership.look()
+    await membership.refresh()
     with watch_cpu() as spent:
         for _ in range(ROUNDS):
-            await membership.look()
+            await membership.refresh()
     return 1000 * spent.cpu_s / ROUNDS, table.bytes
 
 
@@ -155,7 +155,7 @@
     with watch_cpu() as spent:
         for _ in range(ROUNDS):
             for partition in range(partitions):
-                choose_winner(partition, nodes)
+                choose_preferred_owner(partition, nodes)
     return 1000 * spent.cpu_s / ROUNDS
 
 
--- a/bench/slopes/journal.py
+++ b/bench/slopes/journal.py
@@ -20,7 +20,7 @@
     submit_steadily,
     submit_task,
 )
-from pistachiodeal.batch.appends import Position
+from pistachiodeal.batch.append_request import JournalPosition
 from pistachiodeal.batch.events import (
     Event,
     Finished,
@@ -30,7 +30,7 @@
 )
 from pistachiodeal.batch.keys import journal_key
 from pistachiodeal.batch.partition import PartitionState, replay
-from pistachiodeal.batch.snapshots import SnapshotKeeper
+from pistachiodeal.batch.snapshots import SnapshotManager
 from pistachiodeal.model.resources import Resources
 
 STARTS = (1_000, 2_000, 4_000, 8_000)
@@ -189,7 +189,7 @@
 
 async def _load(table: MemoryTable, objects: MemoryObjects) -> float:
     state = PartitionState(lambda profile: 0)
-    keeper = SnapshotKeeper(table, objects, 0)
+    keeper = SnapshotManager(table, objects, 0)
     with watch_cpu() as spent:
         await keeper.load(state)
     return 1000 * spent.cpu_s
@@ -211,12 +211,12 @@
 
 async def _fold(count: int, ended: bool) -> dict[str, float]:
     table, objects = MemoryTable(), MemoryObjects()
-    state = PartitionState(lambda profile: 0, kept=count)
+    state = PartitionState(lambda profile: 0, max_ended=count)
     for number in range(count):
         replay(state, _build_events(number, ended=ended))
-    keeper = SnapshotKeeper(table, objects, 0)
+    keeper = SnapshotManager(table, objects, 0)
     with watch_cpu() as folding:
-        await keeper.fold(state, 1, Position(0, 1, 0, 1))
+        await keeper.write_snapshot(state, 1, JournalPosition(0, 1, 0, 1))
     return {
         "snapshot bytes": objects.bytes,
         "cpu of a fold": 1000 * folding.cpu_s,
--- a/pistachiodeal/batch/admission.py
+++ b/pistachiodeal/batch/admission.py
@@ -7,7 +7,7 @@
 
 import curio
 
-from pistachiodeal.batch.appends import Append
+from pistachiodeal.batch.append_request import Append
 from pistachiodeal.batch.context import HostContext
 from pistachiodeal.batch.events import CancelAsked, Submitted
 from pistachiodeal.batch.host import PartitionHost
--- a/pistachiodeal/batch/appends.py
+++ b/pistachiodeal/batch/append_request.py
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Position:
+class JournalPosition:
     """Where an owner stands in a partition's journal.
 
     :param row_version: version of the partition row that makes it the owner.
--- a/pistachiodeal/batch/host.py
+++ b/pistachiodeal/batch/host.py
@@ -8,7 +8,7 @@
 import curio
 from logbook import Logger
 
-from pistachiodeal.batch.appends import Append, Position
+from pistachiodeal.batch.append_request import Append, JournalPosition
 from pistachiodeal.batch.checkpoints import CheckpointCleaner
 from pistachiodeal.batch.context import HostContext
 from pistachiodeal.batch.events import Event, Placed, RequeueCause, Requeued
@@ -18,7 +18,7 @@
 from pistachiodeal.batch.rows import OwnerRow
 from pistachiodeal.batch.runs import RunTable
 from pistachiodeal.batch.sender import Sender
-from pistachiodeal.batch.snapshots import SnapshotKeeper, fold_quietly
+from pistachiodeal.batch.snapshots import SnapshotManager, fold_quietly
 from pistachiodeal.batch.watchers import Watchers
 from pistachiodeal.exceptions import Outcome
 from pistachiodeal.model.tasks import TaskRecord
@@ -38,7 +38,7 @@
         batch = context.settings.batch
         self._context = context
         self._owner = owner
-        self._keeper = SnapshotKeeper(context.table, context.objects, owner.partition)
+        self._keeper = SnapshotManager(context.table, context.objects, owner.partition)
         self._cleaner = CheckpointCleaner(context.objects)
         self._sender = Sender()
         self._journal: Journal | None = None
@@ -197,7 +197,7 @@
         owner = self._owner
         return Journal(
             self._context.table,
-            Position(owner.partition, owner.epoch, owner.version, seq),
+            JournalPosition(owner.partition, owner.epoch, owner.version, seq),
             self._apply,
             self._sender.put,
             self.watchers.wake_ended,
@@ -246,5 +246,5 @@
             if seq - self._keeper.folded_seq < rows:
                 continue
             owner = self._owner
-            place = Position(owner.partition, owner.epoch, owner.version, seq)
+            place = JournalPosition(owner.partition, owner.epoch, owner.version, seq)
             await fold_quietly(self._keeper, self.state, seq, place)
--- a/pistachiodeal/batch/journal.py
+++ b/pistachiodeal/batch/journal.py
@@ -10,7 +10,7 @@
 import orjson
 from logbook import Logger
 
-from pistachiodeal.batch.appends import Append, Position
+from pistachiodeal.batch.append_request import Append, JournalPosition
 from pistachiodeal.batch.events import Event, encode_events
 from pistachiodeal.batch.keys import (
     journal_key,
@@ -51,7 +51,7 @@
     def __init__(
         self,
         table: Table,
-        position: Position,
+        position: JournalPosition,
         apply: Callable[[Event], object],
         emit: Callable[[Outgoing], Awaitable[None]],
         after_row: Callable[[], Awaitable[None]],
--- a/pistachiodeal/batch/membership.py
+++ b/pistachiodeal/batch/membership.py
@@ -144,7 +144,7 @@
         self._me = row
         self._beat_until = sent_at + self._lease_s
 
-    async def look(self) -> None:
+    async def refresh(self) -> None:
         """Read the rows of entries and partitions.
 
         :raises StoreError: what was known before still stands.
--- a/pistachiodeal/batch/ownership.py
+++ b/pistachiodeal/batch/ownership.py
@@ -28,7 +28,7 @@
 HANDOVER_ROUNDS = 5
 
 
-def choose_winner(partition: int, nodes: Iterable[str]) -> str:
+def choose_preferred_owner(partition: int, nodes: Iterable[str]) -> str:
     """Return the node that should own a partition."""
     return max(nodes, key=lambda node: _weigh(partition, node), default="")
 
@@ -64,7 +64,7 @@
         """
         live = self._membership.live_entries()
         me = self._membership.me.node
-        winners = {p: choose_winner(p, live) for p in range(self._partitions)}
+        winners = {p: choose_preferred_owner(p, live) for p in range(self._partitions)}
         takes = [p for p in winners if p not in held and self._may_take(p, winners[p])]
         share = -(-self._partitions // len(live))
         limit = max(MIN_TAKEOVERS, -(-share // TAKEOVER_ROUNDS))
--- a/pistachiodeal/batch/owning.py
+++ b/pistachiodeal/batch/owning.py
@@ -56,7 +56,7 @@
             while not self._draining:
                 try:
                     async with self._round:
-                        await self.run_round()
+                        await self.run_once()
                 except StoreError as error:
                     log.notice("batch: round not done: {}", error)
                 # Jitter, so that entries started together don't beat, look and
@@ -65,7 +65,7 @@
         finally:
             await self._cancel_all()
 
-    async def run_round(self) -> None:
+    async def run_once(self) -> None:
         """Beat, look at the others, then change what is owned.
 
         :raises StoreError: the round ended early.
@@ -73,7 +73,7 @@
         if self._draining:
             return
         await self._membership.beat(self._context.workers.team_cpu)
-        await self._membership.look()
+        await self._membership.refresh()
         await self._drop_lost()
         held = {p: host.owner.epoch for p, host in self._hosts.items()}
         plan = self._planner.plan(held)
--- a/pistachiodeal/batch/partition.py
+++ b/pistachiodeal/batch/partition.py
@@ -39,10 +39,10 @@
     """
 
     def __init__(
-        self, urgency_of: Callable[[str], int], kept: int = KEPT_RECORDS
+        self, urgency_of: Callable[[str], int], max_ended: int = KEPT_RECORDS
     ) -> None:
         self._urgency_of = urgency_of
-        self._kept = kept
+        self._max_ended = max_ended
         self._records: dict[str, TaskRecord] = {}
         self._ended: dict[str, None] = {}
         self.waiting = WaitingTasks()
@@ -81,7 +81,7 @@
 
     def prune(self) -> None:
         """Drop the oldest of the ended tasks over the limit."""
-        while len(self._ended) > self._kept:
+        while len(self._ended) > self._max_ended:
             task_id = next(iter(self._ended))
             del self._ended[task_id]
             del self._records[task_id]
--- a/pistachiodeal/batch/placement.py
+++ b/pistachiodeal/batch/placement.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(slots=True)
-class WorkerRoom:
+class WorkerCandidate:
     """Room on a worker, less what was placed since its last report.
 
     :param teams: runs of each team which this owner placed there.
@@ -61,7 +61,7 @@
 Level = Mapping[str, Sequence[PendingTask]]
 
 
-class Planner:
+class PlacementPlanner:
     """Plans placements; remembers only which task has waited in front.
 
     :param usable: asked just before a worker is chosen; False when it is set
@@ -76,7 +76,7 @@
     def plan(
         self,
         levels: Sequence[Level],
-        rooms: Sequence[WorkerRoom],
+        rooms: Sequence[WorkerCandidate],
         team_cpu: Mapping[str, int],
         quotas: Mapping[str, int],
         now: float,
@@ -110,7 +110,7 @@
 class _Plan:
     def __init__(
         self,
-        rooms: list[WorkerRoom],
+        rooms: list[WorkerCandidate],
         team_cpu: dict[str, int],
         quotas: Mapping[str, int],
         usable: Callable[[str], bool],
@@ -167,7 +167,7 @@
         held = self._team_cpu.get(task.team, 0)
         return quota is not None and held + task.size.cpu_milli > quota
 
-    def _choose(self, task: PendingTask) -> WorkerRoom | None:
+    def _choose(self, task: PendingTask) -> WorkerCandidate | None:
         if any(misfit.fits(task.size) for misfit in self._misfits):
             return None
         fitting = [room for room in self._rooms if task.size.fits(room.room)]
@@ -184,14 +184,16 @@
                 return room
         return None
 
-    def _score(self, task: PendingTask, room: WorkerRoom) -> tuple[int, int, float]:
+    def _score(
+        self, task: PendingTask, room: WorkerCandidate
+    ) -> tuple[int, int, float]:
         return (
             self._racks[task.team, room.data_centre, ""],
             self._racks[task.team, room.data_centre, room.rack],
             -_weigh_room(room),
         )
 
-    def _take(self, task: PendingTask, room: WorkerRoom) -> None:
+    def _take(self, task: PendingTask, room: WorkerCandidate) -> None:
         room.room = room.room - task.size
         held = self._team_cpu.get(task.team, 0)
         self._team_cpu[task.team] = held + task.size.cpu_milli
@@ -200,7 +202,7 @@
         self.placements.append(Placement(task, room.worker))
 
 
-def _weigh_room(room: WorkerRoom) -> float:
+def _weigh_room(room: WorkerCandidate) -> float:
     """Return the free share of a worker's scarcer resource."""
     cpu = room.room.cpu_milli / max(1, room.capacity.cpu_milli)
     memory = room.room.memory_mib / max(1, room.capacity.memory_mib)
--- a/pistachiodeal/batch/placer.py
+++ b/pistachiodeal/batch/placer.py
@@ -13,7 +13,7 @@
 from pistachiodeal.batch.events import Placed, RequeueCause, Requeued
 from pistachiodeal.batch.gathering import gather_tasks
 from pistachiodeal.batch.host import PartitionHost
-from pistachiodeal.batch.placement import Placement, Planner
+from pistachiodeal.batch.placement import Placement, PlacementPlanner
 from pistachiodeal.batch.protocols import Outgoing, WorkerSession
 from pistachiodeal.batch.runs import PlacedRun
 from pistachiodeal.exceptions import Outcome
@@ -45,7 +45,7 @@
     ) -> None:
         self._context = context
         self._hosts = hosts
-        self._planner = Planner(self._is_usable)
+        self._planner = PlacementPlanner(self._is_usable)
         self._look_ahead = MIN_LOOK_AHEAD
 
     async def run(self) -> None:
@@ -53,9 +53,9 @@
         period = self._context.settings.batch.place_s
         while True:
             await curio.sleep(random.uniform(0.8 * period, 1.2 * period))
-            await self.run_round()
+            await self.run_once()
 
-    async def run_round(self) -> None:
+    async def run_once(self) -> None:
         """Requeue what is overdue, then place what fits."""
         for host in self._hosts():
             if host.may_decide and host.has_authority:
--- a/pistachiodeal/batch/service.py
+++ b/pistachiodeal/batch/service.py
@@ -67,14 +67,14 @@
         self._context = context
         self._forwarder = forwarder
         self._workers = context.workers
-        self._keeper = PartitionKeeper(context)
-        self._placer = Placer(context, self._keeper.serving_hosts)
+        self._partition_manager = PartitionKeeper(context)
+        self._placement_loop = Placer(context, self._partition_manager.serving_hosts)
         self._endings = EndHandler(context)
         self._api = TaskApi(
             context,
             TaskAdmission(context),
             forwarder,
-            self._keeper.find_serving,
+            self._partition_manager.find_serving,
             context.membership.find_owner,
         )
 
@@ -82,13 +82,13 @@
         """Run until cancelled."""
         supervisor = Supervisor("batch")
         supervisor.add("forward", self._forwarder.run)
-        supervisor.add("partitions", self._keeper.run)
-        supervisor.add("placement", self._placer.run)
+        supervisor.add("partitions", self._partition_manager.run)
+        supervisor.add("placement", self._placement_loop.run)
         await supervisor.run()
 
     async def drain(self) -> None:
         """Hand the partitions over and delete this entry's row."""
-        await self._keeper.drain()
+        await self._partition_manager.drain()
 
     async def handle(self, request: WebRequest) -> WebResponse:
         """Answer a caller's ``/tasks`` request.
@@ -154,7 +154,7 @@
         return {
             "partitions": {
                 str(host.owner.partition): host.describe()
-                for host in self._keeper.hosts()
+                for host in self._partition_manager.hosts()
             },
             "entries": sorted(membership.live_entries()),
             "authority_s": max(0.0, round(membership.authority_until() - now, 3)),
@@ -164,7 +164,11 @@
 
     def _find_host(self, task_id: str) -> PartitionHost | None:
         partition = parse_partition(task_id, self._context.settings.batch.partitions)
-        return None if partition is None else self._keeper.find_serving(partition)
+        return (
+            None
+            if partition is None
+            else self._partition_manager.find_serving(partition)
+        )
 
     async def _answer_report(self, session: WorkerSession, report: Report) -> None:
         if not self._workers.note_report(session, report):
@@ -172,7 +176,7 @@
         refs = self._group_refs(report.tasks)
         grants: list[LeaseGrant] = []
         stops: list[Stop] = []
-        for host in self._keeper.serving_hosts():
+        for host in self._partition_manager.serving_hosts():
             # Without authority neither leases nor stops go out: a successor may
             # own the partition, and what is "not the current attempt" here may be
             # a run that it has started.
--- a/pistachiodeal/batch/snapshots.py
+++ b/pistachiodeal/batch/snapshots.py
@@ -7,7 +7,7 @@
 import orjson
 from logbook import Logger
 
-from pistachiodeal.batch.appends import Position
+from pistachiodeal.batch.append_request import JournalPosition
 from pistachiodeal.batch.events import decode_events
 from pistachiodeal.batch.keys import (
     journal_key,
@@ -45,7 +45,7 @@
     version: int = ABSENT
 
 
-class SnapshotKeeper:
+class SnapshotManager:
     """Loads and folds one partition for its owner."""
 
     def __init__(self, table: Table, objects: ObjectStore, partition: int) -> None:
@@ -80,7 +80,9 @@
             state.load(data)
         return await self._replay(state)
 
-    async def fold(self, state: PartitionState, seq: int, place: Position) -> None:
+    async def write_snapshot(
+        self, state: PartitionState, seq: int, place: JournalPosition
+    ) -> None:
         """Store a snapshot of the state at ``seq``, then delete the rows up to it.
 
         :raises FencedError: another entry owns the partition.
@@ -142,7 +144,7 @@
         self._first = first or seq + 1
         return seq
 
-    async def _delete_rows(self, place: Position, seq: int) -> None:
+    async def _delete_rows(self, place: JournalPosition, seq: int) -> None:
         while self._first <= seq:
             last = min(seq, self._first + DELETE_ROWS - 1)
             numbers = range(self._first, last + 1)
@@ -150,7 +152,9 @@
             await self._commit(place, deletes)
             self._first = last + 1
 
-    async def _commit(self, place: Position, writes: list[Write]) -> dict[str, int]:
+    async def _commit(
+        self, place: JournalPosition, writes: list[Write]
+    ) -> dict[str, int]:
         check = Write(
             partition_key(self._partition), expect=place.row_version, check_only=True
         )
@@ -166,11 +170,11 @@
 
 
 async def fold_quietly(
-    keeper: SnapshotKeeper, state: PartitionState, seq: int, place: Position
+    keeper: SnapshotManager, state: PartitionState, seq: int, place: JournalPosition
 ) -> bool:
     """Fold, and tell whether it worked; a store in trouble is no reason to stop."""
     try:
-        await keeper.fold(state, seq, place)
+        await keeper.write_snapshot(state, seq, place)
     except StoreError as error:
         log.notice("batch: partition {} not folded: {}", place.partition, error)
         return False
--- a/pistachiodeal/batch/workers.py
+++ b/pistachiodeal/batch/workers.py
@@ -6,7 +6,7 @@
 from collections import Counter, OrderedDict
 from dataclasses import dataclass, field
 
-from pistachiodeal.batch.placement import WorkerRoom
+from pistachiodeal.batch.placement import WorkerCandidate
 from pistachiodeal.batch.protocols import WorkerSession
 from pistachiodeal.clock import Clock
 from pistachiodeal.model.resources import Resources
@@ -141,7 +141,7 @@
         if not self._team_cpu[team]:
             del self._team_cpu[team]
 
-    def rooms(self) -> list[WorkerRoom]:
+    def rooms(self) -> list[WorkerCandidate]:
         """Return the workers that may be given tasks now."""
         now = self._clock()
         return [
@@ -186,7 +186,7 @@
                 room = room + size
         return room
 
-    def _build_room(self, worker: _Worker) -> WorkerRoom:
+    def _build_room(self, worker: _Worker) -> WorkerCandidate:
         assert worker.report is not None
         session = worker.session
         room = worker.report.free
@@ -196,7 +196,7 @@
             teams = Counter(reserved.teams)
             for size in reserved.unreported.values():
                 room = room - size
-        return WorkerRoom(
+        return WorkerCandidate(
             worker=session.worker,
             data_centre=session.data_centre,
             rack=session.rack,
--- a/tests/unit/fake_batch.py
+++ b/tests/unit/fake_batch.py
@@ -122,8 +122,8 @@
             clock,
             refresh_profiles=self.refresh_profiles,
         )
-        self.keeper = self.service._keeper
-        self.placer = self.service._placer
+        self.keeper = self.service._partition_manager
+        self.placer = self.service._placement_loop
         self.context = self.service._context
         self.desk = TaskAdmission(self.context)
         self.endings = EndHandler(self.context)
--- a/tests/unit/test_batch_placement.py
+++ b/tests/unit/test_batch_placement.py
@@ -2,7 +2,12 @@
 
 from __future__ import annotations
 
-from pistachiodeal.batch.placement import HOLD_S, PendingTask, Planner, WorkerRoom
+from pistachiodeal.batch.placement import (
+    HOLD_S,
+    PendingTask,
+    PlacementPlanner,
+    WorkerCandidate,
+)
 from pistachiodeal.batch.waiting import WaitingTasks
 from pistachiodeal.model.resources import Resources
 from pistachiodeal.model.tasks import TaskSpec
@@ -10,8 +15,8 @@
 BIG = Resources(8_000, 8_000)
 
 
-def room(name: str, rack: str, free: Resources = BIG) -> WorkerRoom:
-    return WorkerRoom(name, "dc1", rack, BIG, free)
+def room(name: str, rack: str, free: Resources = BIG) -> WorkerCandidate:
+    return WorkerCandidate(name, "dc1", rack, BIG, free)
 
 
 def task(name: str, team: str = "t", cpu: int = 1_000, **more) -> PendingTask:
@@ -19,7 +24,7 @@
 
 
 def plan(levels, rooms, quotas=None, held=None, usable=lambda worker: True):
-    planner = Planner(usable)
+    planner = PlacementPlanner(usable)
     return [
         (p.task.task_id, p.worker)
         for p in planner.plan(levels, rooms, held or {}, quotas or {}, 0.0)
@@ -64,7 +69,7 @@
     Sequence: small tasks keep coming and fit into whatever comes free.
     Cause: nothing was ever left free for long enough.
     """
-    planner = Planner(lambda worker: True)
+    planner = PlacementPlanner(lambda worker: True)
     small = Resources(2_000, 8_000)
     for now in (0.0, HOLD_S):
         rooms = [room("w1", "r1", small)]
--- a/tests/unit/test_batch_service.py
+++ b/tests/unit/test_batch_service.py
@@ -46,7 +46,7 @@
 
     async def round(self, *entries: Entry) -> None:
         for entry in entries:
-            await entry.keeper.run_round()
+            await entry.keeper.run_once()
         await settle()
 
     async def connect(self, entry: Entry, agent: Agent | None = None) -> Session:
@@ -70,7 +70,7 @@
         await settle()
 
     async def place(self, entry: Entry, session: Session) -> None:
-        await entry.placer.run_round()
+        await entry.placer.run_once()
         await self.deliver(entry, session)
 
     async def finish(self, entry: Entry, session: Session, task_id: str) -> None:
@@ -211,7 +211,7 @@
         host = successor.host(task_id)
         assert host.state.find(task_id) is not None
         place = host._journal._position
-        await host._keeper.fold(host.state, host._journal.seq, place)
+        await host._keeper.write_snapshot(host.state, host._journal.seq, place)
         await entry.gate.thaw()
         with pytest.raises(curio.TaskError) as caught:
             await caller.join()
@@ -438,8 +438,8 @@
         entry, session = await world.open("a")
         task_id = await submit(entry, "k1")
         entry.gate.freeze()  # the table's answers are held back
-        await entry.placer.run_round()
-        await entry.placer.run_round()
+        await entry.placer.run_once()
+        await entry.placer.run_once()
         with pytest.raises(RequestError) as caught:
             await call(entry, "DELETE", task_id)
         assert caught.value.code == "in_progress"
@@ -491,7 +491,7 @@
         first, other = world.entry("e1"), world.entry("e0")
         world.table.faults.extend([Fault.NONE, Fault.DELAYED])
         with pytest.raises(StoreUncertainError):
-            await first.keeper.run_round()
+            await first.keeper.run_once()
         await other.context.membership.beat({})
         world.table.land_delayed()
         for _ in range(15):
--- a/tests/unit/test_fuzz_batch.py
+++ b/tests/unit/test_fuzz_batch.py
@@ -125,18 +125,18 @@
     def round(self, entry: int) -> None:
         target = self.entries[entry]
         if not target.gate.frozen:
-            self.drive(self.run_round, target)
+            self.drive(self.run_once, target)
 
-    async def run_round(self, entry: Entry) -> None:
+    async def run_once(self, entry: Entry) -> None:
         if not entry.keeper._round.locked():
             async with entry.keeper._round:
-                await entry.keeper.run_round()
+                await entry.keeper.run_once()
 
     @rule(entry=INDEX, fault=FAULT)
     def place(self, entry: int, fault: Fault = Fault.NONE) -> None:
         if not self.entries[entry].gate.frozen:
             self.table.faults.appendleft(fault)
-            self.drive(self.entries[entry].placer.run_round)
+            self.drive(self.entries[entry].placer.run_once)
 
     @rule(entry=INDEX, fault=FAULT)
     def submit(self, entry: int, fault: Fault = Fault.NONE) -> None:
