--- a/pistachiodeal/batch/admission.py
+++ b/pistachiodeal/batch/admission.py
@@ -7,17 +7,17 @@
 
 import curio
 
-from pistachiodeal.batch.append_request import Append
-from pistachiodeal.batch.context import HostContext
+from pistachiodeal.batch.append_request import AppendRequest
+from pistachiodeal.batch.context import BatchContext
 from pistachiodeal.batch.events import CancelAsked, Submitted
-from pistachiodeal.batch.host import PartitionHost
-from pistachiodeal.batch.protocols import Outgoing
+from pistachiodeal.batch.partition_server import PartitionServer
+from pistachiodeal.batch.protocols import OutgoingMessage
 from pistachiodeal.exceptions import Outcome, RequestError
 from pistachiodeal.model.tasks import TaskRecord, TaskSpec
 
 MAX_WAITING_BYTES = 32 * 1024 * 1024
 MAX_ADMITTING = 10_000
-SETTLE_S = 2.0
+OUTCOME_WAIT_S = 2.0
 CANCEL_WAIT_S = 1.0
 QUEUE_RETRY_S = 5.0
 RETRY_S = 1.0
@@ -34,61 +34,63 @@
 class TaskAdmission:
     """Submits and cancels; every answer says truly what is known."""
 
-    def __init__(self, context: HostContext) -> None:
+    def __init__(self, context: BatchContext) -> None:
         self._context = context
-        self._admitting: dict[str, tuple[TaskSpec, Append]] = {}
+        self._admitting: dict[str, tuple[TaskSpec, AppendRequest]] = {}
 
-    async def submit(self, host: PartitionHost, spec: TaskSpec) -> Admitted:
+    async def submit(self, server: PartitionServer, spec: TaskSpec) -> Admitted:
         """Admit a task; return once it is durable.
 
         :raises RequestError: with the outcome that is known.
         """
-        known = host.state.find(spec.task_id)
+        known = server.state.find(spec.task_id)
         if known is not None:
-            if not host.state.matches(known, spec):
+            if not server.state.matches(known, spec):
                 raise _build_key_reused(spec.task_id)
             return Admitted(known, created=False)
-        append = await self._join_or_propose(host, spec)
-        await self._wait(host, append, spec.task_id)
-        record = host.state.find(spec.task_id) or TaskRecord(spec)
+        append = await self._join_or_propose(server, spec)
+        await self._wait_until_settled(server, append, spec.task_id)
+        record = server.state.find(spec.task_id) or TaskRecord(spec)
         self._context.metrics.count("batch.submitted")
         return Admitted(record, created=True)
 
-    async def cancel(self, host: PartitionHost, task_id: str) -> TaskRecord:
+    async def cancel(self, server: PartitionServer, task_id: str) -> TaskRecord:
         """Cancel a task; return its record, final if that was known in time.
 
         :raises RequestError: unknown task, or with the outcome that is known.
         """
-        record = find_task(host, task_id)
+        record = find_task(server, task_id)
         if not record.state.final and not record.cancel_asked:
-            await self._ask(host, record)
+            await self._request_cancel(server, record)
         if not record.state.final:
-            await host.watchers.wait(task_id, CANCEL_WAIT_S)
+            await server.waiters.wait(task_id, CANCEL_WAIT_S)
         return record
 
-    async def _join_or_propose(self, host: PartitionHost, spec: TaskSpec) -> Append:
+    async def _join_or_propose(
+        self, server: PartitionServer, spec: TaskSpec
+    ) -> AppendRequest:
         under_way = self._admitting.get(spec.task_id)
         if under_way is not None:
             if under_way[0] != spec:
                 raise _build_key_reused(spec.task_id)
             return under_way[1]
-        self._check_room(host, spec)
+        self._check_capacity(server, spec)
 
-        def finish(outcome: Outcome) -> Sequence[Outgoing]:
+        def finish(outcome: Outcome) -> Sequence[OutgoingMessage]:
             self._admitting.pop(spec.task_id, None)
             return ()
 
-        append = host.prepare([Submitted(spec)], finish, len(spec.payload))
+        append = server.prepare([Submitted(spec)], finish, len(spec.payload))
         if append is None:
             raise _build_unavailable("the partition is changing hands")
         self._admitting[spec.task_id] = (spec, append)
-        await host.submit(append)
+        await server.submit(append)
         return append
 
-    def _check_room(self, host: PartitionHost, spec: TaskSpec) -> None:
-        if not host.has_authority or host.stalled:
+    def _check_capacity(self, server: PartitionServer, spec: TaskSpec) -> None:
+        if not server.has_authority or server.stalled:
             raise _build_unavailable()
-        waiting = host.state.waiting
+        waiting = server.state.waiting
         limit = self._context.settings.batch.queue_limit
         full = len(waiting) + len(self._admitting) >= limit
         large = waiting.total_bytes + len(spec.payload) > MAX_WAITING_BYTES
@@ -101,7 +103,7 @@
                 step="batch.submit",
             )
         workers = self._context.workers
-        if workers.settled and not workers.could_fit(spec.declared):
+        if workers.startup_complete and not workers.could_fit(spec.declared):
             raise RequestError(
                 workers.explain_misfit(spec.declared),
                 code="never_fits",
@@ -109,15 +111,17 @@
                 step="batch.submit",
             )
 
-    async def _ask(self, host: PartitionHost, record: TaskRecord) -> None:
+    async def _request_cancel(
+        self, server: PartitionServer, record: TaskRecord
+    ) -> None:
         task_id = record.spec.task_id
-        if not host.has_authority or host.stalled:
+        if not server.has_authority or server.stalled:
             raise _build_unavailable()
 
-        def finish(outcome: Outcome) -> Sequence[Outgoing]:
-            return self._stop(host, task_id) if outcome is Outcome.RAN else ()
+        def finish(outcome: Outcome) -> Sequence[OutgoingMessage]:
+            return self._build_stop(server, task_id) if outcome is Outcome.RAN else ()
 
-        append = await host.propose([CancelAsked(task_id)], finish)
+        append = await server.propose([CancelAsked(task_id)], finish)
         if append is None:
             raise RequestError(
                 "another change of this task is under way",
@@ -126,22 +130,26 @@
                 retry_after=RETRY_S,
                 step="batch.cancel",
             )
-        await self._wait(host, append, task_id)
+        await self._wait_until_settled(server, append, task_id)
 
-    def _stop(self, host: PartitionHost, task_id: str) -> Sequence[Outgoing]:
-        run = host.runs.find(task_id)
+    def _build_stop(
+        self, server: PartitionServer, task_id: str
+    ) -> Sequence[OutgoingMessage]:
+        run = server.runs.find(task_id)
         if run is None:
             return ()
         run.stopping = True
         session = self._context.workers.find_session(run.placed.worker)
         if session is None:
             return ()
-        stop = host.runs.stop(run, session)
-        return (Outgoing(session, lambda: stop),)
-
-    async def _wait(self, host: PartitionHost, append: Append, task_id: str) -> None:
-        await curio.ignore_after(SETTLE_S, append.settled.wait)
-        if append.outcome is None and not await host.withdraw(append):
+        stop = server.runs.request_stop(run, session)
+        return (OutgoingMessage(session, lambda: stop),)
+
+    async def _wait_until_settled(
+        self, server: PartitionServer, append: AppendRequest, task_id: str
+    ) -> None:
+        await curio.ignore_after(OUTCOME_WAIT_S, append.settled.wait)
+        if append.outcome is None and not await server.withdraw(append):
             raise _build_unknown(task_id)
         if append.outcome is Outcome.UNKNOWN:
             raise _build_unknown(task_id)
@@ -149,13 +157,13 @@
             raise _build_unavailable(retry_after=append.retry_after)
 
 
-def find_task(host: PartitionHost, task_id: str) -> TaskRecord:
+def find_task(server: PartitionServer, task_id: str) -> TaskRecord:
     """Return a task's record.
 
     :raises RequestError: there is none.
     """
-    record = host.state.find(task_id)
-    if record is None and not host.has_authority:
+    record = server.state.find(task_id)
+    if record is None and not server.has_authority:
         raise _build_unavailable()
     if record is None:
         raise RequestError(
--- a/pistachiodeal/batch/api.py
+++ b/pistachiodeal/batch/api.py
@@ -11,11 +11,11 @@
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
 from pistachiodeal.batch.admission import TaskAdmission, find_task
-from pistachiodeal.batch.context import HostContext
-from pistachiodeal.batch.forward import Forwarder
-from pistachiodeal.batch.host import PartitionHost
+from pistachiodeal.batch.context import BatchContext
+from pistachiodeal.batch.forwarder import Forwarder
 from pistachiodeal.batch.keys import build_task_id, parse_partition
 from pistachiodeal.batch.partition import describe_task
+from pistachiodeal.batch.partition_server import PartitionServer
 from pistachiodeal.batch.rows import OwnerRow
 from pistachiodeal.exceptions import Outcome, RequestError
 from pistachiodeal.model.policies import NAME_PATTERN
@@ -30,7 +30,7 @@
 MAX_PAYLOAD = 8_192
 FORWARD_S = 4.0
 
-HostLookup = Callable[[int], PartitionHost | None]
+ServerLookup = Callable[[int], PartitionServer | None]
 OwnerLookup = Callable[[int], OwnerRow | None]
 
 
@@ -54,16 +54,16 @@
 
     def __init__(
         self,
-        context: HostContext,
+        context: BatchContext,
         admission: TaskAdmission,
         forwarder: Forwarder,
-        find_host: HostLookup,
+        find_server: ServerLookup,
         find_owner: OwnerLookup,
     ) -> None:
         self._context = context
         self._admission = admission
         self._forwarder = forwarder
-        self._find_host = find_host
+        self._find_server = find_server
         self._find_owner = find_owner
         self._partitions = context.settings.batch.partitions
 
@@ -83,13 +83,13 @@
             raise RequestError(f"no task {task_id}", code="unknown_task", status=404)
         if request.method not in ("GET", "DELETE"):
             raise _build_method_error("GET, DELETE")
-        host = self._find_host(partition)
-        if host is None:
+        server = self._find_server(partition)
+        if server is None:
             return await self._forward(partition, request, forward)
         if request.method == "GET":
-            return _build_answer(200, find_task(host, task_id), host)
-        record = await self._admission.cancel(host, task_id)
-        return _build_answer(200 if record.state.final else 202, record, host)
+            return _build_answer(200, find_task(server, task_id), server)
+        record = await self._admission.cancel(server, task_id)
+        return _build_answer(200 if record.state.final else 202, record, server)
 
     async def _submit(self, request: WebRequest, forward: bool) -> WebResponse:
         if request.method != "POST":
@@ -99,13 +99,13 @@
         key = request.header(KEY_HEADER)
         task_id = build_task_id(body.team, key, self._partitions)
         partition = int(task_id.partition("-")[0])
-        host = self._find_host(partition)
-        if host is None:
+        server = self._find_server(partition)
+        if server is None:
             return await self._forward_submit(partition, task_id, request, forward)
         await self._check_profile(body.profile)
-        admitted = await self._admission.submit(host, _build_spec(task_id, body))
+        admitted = await self._admission.submit(server, _build_spec(task_id, body))
         status = 201 if admitted.created else 200
-        return _build_answer(status, admitted.record, host)
+        return _build_answer(status, admitted.record, server)
 
     async def _forward_submit(
         self, partition: int, task_id: str, request: WebRequest, forward: bool
@@ -121,7 +121,7 @@
         self, partition: int, request: WebRequest, forward: bool
     ) -> WebResponse:
         owner = self._find_owner(partition)
-        me = self._context.membership.me.node
+        me = self._context.membership.own_row.node
         if not forward or owner is None or owner.node in ("", me):
             raise RequestError(
                 f"partition {partition} has no owner here",
@@ -183,9 +183,11 @@
     )
 
 
-def _build_answer(status: int, record: TaskRecord, host: PartitionHost) -> WebResponse:
+def _build_answer(
+    status: int, record: TaskRecord, server: PartitionServer
+) -> WebResponse:
     document: dict[str, Any] = describe_task(record)
-    document["confirmed"] = host.has_authority
+    document["confirmed"] = server.has_authority
     location = (("location", f"{TASKS_PATH}/{record.spec.task_id}"),)
     return build_json(status, document, location if status == 201 else ())
 
--- a/pistachiodeal/batch/append_request.py
+++ b/pistachiodeal/batch/append_request.py
@@ -8,31 +8,31 @@
 import curio
 
 from pistachiodeal.batch.events import Event
-from pistachiodeal.batch.protocols import Outgoing
+from pistachiodeal.batch.protocols import OutgoingMessage
 from pistachiodeal.exceptions import Outcome
 
-Settled = Callable[[Outcome], Sequence[Outgoing]]
+SettledCallback = Callable[[Outcome], Sequence[OutgoingMessage]]
 
 
-def _settle_nothing(outcome: Outcome) -> Sequence[Outgoing]:
+def _send_nothing(outcome: Outcome) -> Sequence[OutgoingMessage]:
     return ()
 
 
 @dataclass(eq=False, slots=True)
-class Append:
+class AppendRequest:
     """Events that are to become durable together.
 
     :ivar payload: size of what callers and tasks wrote into the events, characters.
     :ivar outcome: None until settled; then ``ran`` (durable), ``not_run`` (no
         effect, for certain) or ``unknown``.
-    :ivar then: called without an await once settled, after the events were
+    :ivar on_settled: called without an await once settled, after the events were
         applied; returns the messages to be sent.
     :ivar retry_after: after how many seconds another try makes sense.
     """
 
     events: tuple[Event, ...]
     payload: int = 0
-    then: Settled = _settle_nothing
+    on_settled: SettledCallback = _send_nothing
     outcome: Outcome | None = None
     retry_after: float = 1.0
     settled: curio.Event = field(default_factory=curio.Event)
--- a/pistachiodeal/batch/checkpoints.py
+++ b/pistachiodeal/batch/checkpoints.py
@@ -23,7 +23,7 @@
         self._objects = objects
         self._keys: deque[str] = deque(maxlen=MAX_QUEUED)
 
-    def note(self, before: str, record: TaskRecord) -> None:
+    def enqueue_superseded(self, before: str, record: TaskRecord) -> None:
         """Compare a record's checkpoint with the one before a durable event."""
         if before and before != record.checkpoint:
             self._keys.append(before)
--- a/pistachiodeal/batch/watchers.py
+++ b/pistachiodeal/batch/completion_waiters.py
@@ -6,10 +6,10 @@
 
 from pistachiodeal.model.tasks import TaskRecord
 
-MAX_WATCHED = 1_000
+MAX_WAITED_TASKS = 1_000
 
 
-class Watchers:
+class CompletionWaiters:
     """Wakes those who wait for a task's final state; bounded."""
 
     def __init__(self) -> None:
@@ -17,7 +17,7 @@
         self._counts: dict[str, int] = {}
         self._ended: list[curio.Event] = []
 
-    def note(self, record: TaskRecord) -> None:
+    def update(self, record: TaskRecord) -> None:
         """Note a changed record; called where nothing may be awaited."""
         if record.state.final and record.spec.task_id in self._events:
             self._ended.append(self._events.pop(record.spec.task_id))
@@ -39,16 +39,16 @@
 
         :param timeout: seconds.
         """
-        if task_id not in self._events and len(self._counts) >= MAX_WATCHED:
+        if task_id not in self._events and len(self._counts) >= MAX_WAITED_TASKS:
             return
         event = self._events.setdefault(task_id, curio.Event())
         self._counts[task_id] = self._counts.get(task_id, 0) + 1
         try:
             await curio.ignore_after(timeout, event.wait)
         finally:
-            self._leave(task_id)
+            self._remove_waiter(task_id)
 
-    def _leave(self, task_id: str) -> None:
+    def _remove_waiter(self, task_id: str) -> None:
         self._counts[task_id] -= 1
         if not self._counts[task_id]:
             del self._counts[task_id]
--- a/pistachiodeal/batch/context.py
+++ b/pistachiodeal/batch/context.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HostContext:
+class BatchContext:
     """The parts of an entry that every partition's host uses."""
 
     settings: EntrySettings
--- a/pistachiodeal/batch/forward.py
+++ b/pistachiodeal/batch/forwarder.py
@@ -31,7 +31,7 @@
 log = Logger("batch")
 
 TASKS_SERVICE = "@tasks"
-MAX_OPEN = 2_000
+MAX_PENDING_REQUESTS = 2_000
 MAX_PEERS = 256
 MILLI = 1_000
 
@@ -50,16 +50,16 @@
         self._identity = identity
         self._secret = secret
         self._link: Link | None = None
-        self._up = curio.Event()
+        self._connected = curio.Event()
         self._pending: dict[int, _Pending] = {}
         self._next_id = 1
-        self._used = True
+        self._recently_used = True
 
     async def run(self, timings: LinkTimings) -> None:
         """Keep the link up; return when it is lost and nobody has used it since."""
         failures = 0
-        while self._used:
-            self._used = False
+        while self._recently_used:
+            self._recently_used = False
             try:
                 async with dial_link(
                     self._address, self._identity, self._secret, timings
@@ -77,15 +77,15 @@
         :param timeout: seconds for everything.
         :raises RequestError: ``not_run`` only if the peer cannot have seen it.
         """
-        self._used = True
-        if len(self._pending) >= MAX_OPEN:
+        self._recently_used = True
+        if len(self._pending) >= MAX_PENDING_REQUESTS:
             raise self._build_error("overloaded", "too many requests for this peer")
         link = await self._wait_for_link(timeout)
         request_id = self._next_id
         self._next_id += 1
         pending = self._pending[request_id] = _Pending()
         try:
-            await link.send(_build_wire(request_id, request, timeout))
+            await link.send(_build_request(request_id, request, timeout))
             await curio.ignore_after(timeout, pending.done.wait)
         except LinkClosedError:
             raise self._build_error("owner_unreachable", "link closed") from None
@@ -95,20 +95,20 @@
 
     async def _wait_for_link(self, timeout: float) -> Link:
         if self._link is None:
-            await curio.ignore_after(timeout / 2, self._up.wait)
+            await curio.ignore_after(timeout / 2, self._connected.wait)
         if self._link is None:
             raise self._build_error("owner_unreachable", "no link to the owner")
         return self._link
 
     async def _serve(self, link: Link) -> None:
         self._link = link
-        await self._up.set()
+        await self._connected.set()
         try:
             while True:
                 await self._dispatch(await link.receive())
         finally:
             self._link = None
-            self._up.clear()
+            self._connected.clear()
             for pending in list(self._pending.values()):
                 await pending.done.set()
 
@@ -184,10 +184,12 @@
                 "no link to the owner", code="owner_unreachable", status=503
             )
         peer = self._peers[address] = PeerLink(address, self._identity, self._secret)
-        self._tasks[address] = await curio.spawn(self._keep, address, peer, daemon=True)
+        self._tasks[address] = await curio.spawn(
+            self._run_peer, address, peer, daemon=True
+        )
         return peer
 
-    async def _keep(self, address: str, peer: PeerLink) -> None:
+    async def _run_peer(self, address: str, peer: PeerLink) -> None:
         try:
             await peer.run(self._timings)
         except Exception as error:
@@ -198,7 +200,7 @@
                 del self._tasks[address]
 
 
-def _build_wire(request_id: int, request: WebRequest, timeout: float) -> Request:
+def _build_request(request_id: int, request: WebRequest, timeout: float) -> Request:
     return Request(
         request_id=request_id,
         service=TASKS_SERVICE,
--- a/pistachiodeal/batch/journal.py
+++ b/pistachiodeal/batch/journal.py
@@ -10,7 +10,7 @@
 import orjson
 from logbook import Logger
 
-from pistachiodeal.batch.append_request import Append, JournalPosition
+from pistachiodeal.batch.append_request import AppendRequest, JournalPosition
 from pistachiodeal.batch.events import Event, encode_events
 from pistachiodeal.batch.keys import (
     journal_key,
@@ -18,7 +18,7 @@
     read_snapshot_seq,
     snapshot_key,
 )
-from pistachiodeal.batch.protocols import Outgoing
+from pistachiodeal.batch.protocols import OutgoingMessage
 from pistachiodeal.exceptions import (
     FencedError,
     Outcome,
@@ -44,7 +44,7 @@
 
     :param apply: called for each durable event, in journal order, with no await
         between the commit's answer and the call.
-    :param emit: takes the messages that a settled append asks for.
+    :param enqueue_message: takes the messages that a settled append asks for.
     :param after_row: called once the events of a row are applied.
     """
 
@@ -53,7 +53,7 @@
         table: Table,
         position: JournalPosition,
         apply: Callable[[Event], object],
-        emit: Callable[[Outgoing], Awaitable[None]],
+        enqueue_message: Callable[[OutgoingMessage], Awaitable[None]],
         after_row: Callable[[], Awaitable[None]],
         *,
         group_s: float,
@@ -62,10 +62,10 @@
         self._position = position
         self._seq = position.seq
         self._apply = apply
-        self._emit = emit
+        self._enqueue_message = enqueue_message
         self._after_row = after_row
         self._group_s = group_s
-        self._pending: deque[Append] = deque()
+        self._pending: deque[AppendRequest] = deque()
         self._wake = curio.Event()
         self._unsettled = False
         self._closed = False
@@ -96,15 +96,15 @@
         """Tell whether no further append is taken."""
         return self._closed or len(self._pending) >= MAX_PENDING
 
-    async def submit(self, append: Append) -> None:
-        """Queue an append; :attr:`Append.settled` tells when its fate is known."""
+    async def submit(self, append: AppendRequest) -> None:
+        """Queue an append; ``append.settled`` is set once its outcome is known."""
         if self.full:
             await self._settle([append], Outcome.NOT_RUN)
             return
         self._pending.append(append)
         await self._wake.set()
 
-    async def withdraw(self, append: Append) -> bool:
+    async def withdraw(self, append: AppendRequest) -> bool:
         """Take back an append that is not on its way to the table yet."""
         try:
             self._pending.remove(append)
@@ -118,7 +118,7 @@
 
         :raises FencedError: another entry owns the partition.
         """
-        batch: list[Append] = []
+        batch: list[AppendRequest] = []
         try:
             while True:
                 await self._wake.wait()
@@ -126,15 +126,15 @@
                 while self._pending:
                     if self._group_s:
                         await curio.sleep(self._group_s)
-                    batch = self._take()
+                    batch = self._next_batch()
                     await self._write(batch)
                     batch = []
         finally:
             self._closed = True
-            await self._abandon(batch)
+            await self._settle_remaining(batch)
 
-    def _take(self) -> list[Append]:
-        batch: list[Append] = []
+    def _next_batch(self) -> list[AppendRequest]:
+        batch: list[AppendRequest] = []
         events = payload = 0
         while self._pending:
             head = self._pending[0]
@@ -146,7 +146,7 @@
             batch.append(self._pending.popleft())
         return batch
 
-    async def _write(self, batch: list[Append]) -> None:
+    async def _write(self, batch: list[AppendRequest]) -> None:
         nonce = secrets.token_hex(8)
         writes = self._build(batch, nonce)
         try:
@@ -155,36 +155,36 @@
             await self._settle(batch, Outcome.NOT_RUN, error.retry_after)
             return
         except StoreError:
-            await self._resolve(batch, writes, nonce)
+            await self._resolve_uncertain(batch, writes, nonce)
             return
         if result.committed:
-            await self._accept(batch)
+            await self._apply_batch(batch)
             return
-        await self._resolve(batch, writes, nonce)
+        await self._resolve_uncertain(batch, writes, nonce)
 
-    def _build(self, batch: list[Append], nonce: str) -> tuple[Write, Write]:
-        place = self._position
+    def _build(self, batch: list[AppendRequest], nonce: str) -> tuple[Write, Write]:
+        position = self._position
         events = [event for append in batch for event in append.events]
         document = {
             "nonce": nonce,
-            "epoch": place.epoch,
+            "epoch": position.epoch,
             "events": encode_events(events),
         }
         return (
             Write(
-                partition_key(place.partition),
-                expect=place.row_version,
+                partition_key(position.partition),
+                expect=position.row_version,
                 check_only=True,
             ),
             Write(
-                journal_key(place.partition, self._seq + 1),
+                journal_key(position.partition, self._seq + 1),
                 orjson.dumps(document),
                 expect=ABSENT,
             ),
         )
 
-    async def _resolve(
-        self, batch: list[Append], writes: Sequence[Write], nonce: str
+    async def _resolve_uncertain(
+        self, batch: list[AppendRequest], writes: Sequence[Write], nonce: str
     ) -> None:
         # The commit may have taken effect, or may do so later. Reading an absent
         # row back proves nothing, since the commit may still be under way; a
@@ -205,7 +205,7 @@
                 pause = min(2 * pause, MAX_SETTLE_PAUSE_S)
         self._unsettled = False
         if outcome is Outcome.RAN:
-            await self._accept(batch)
+            await self._apply_batch(batch)
             return
         await self._settle(batch, outcome)
         raise FencedError(
@@ -225,7 +225,7 @@
         folded = snapshot in rows and read_snapshot_seq(rows[snapshot]) > self._seq
         return Outcome.UNKNOWN if folded else Outcome.NOT_RUN
 
-    async def _accept(self, batch: list[Append]) -> None:
+    async def _apply_batch(self, batch: list[AppendRequest]) -> None:
         self._seq += 1
         self._rows += 1
         for append in batch:
@@ -235,23 +235,23 @@
         await self._after_row()
 
     async def _settle(
-        self, batch: list[Append], outcome: Outcome, retry_after: float = 1.0
+        self, batch: list[AppendRequest], outcome: Outcome, retry_after: float = 1.0
     ) -> None:
-        messages: list[Outgoing] = []
+        messages: list[OutgoingMessage] = []
         for append in batch:
             append.outcome = outcome
             append.retry_after = retry_after
-            messages.extend(append.then(outcome))
+            messages.extend(append.on_settled(outcome))
         for append in batch:
             await append.settled.set()
         if outcome is not Outcome.RAN:
             return
         for message in messages:
-            await self._emit(message)
+            await self._enqueue_message(message)
 
-    async def _abandon(self, batch: list[Append]) -> None:
-        open_ones = [append for append in batch if append.outcome is None]
-        await self._settle(open_ones, Outcome.UNKNOWN)
+    async def _settle_remaining(self, batch: list[AppendRequest]) -> None:
+        unsettled = [append for append in batch if append.outcome is None]
+        await self._settle(unsettled, Outcome.UNKNOWN)
         waiting = list(self._pending)
         self._pending.clear()
         await self._settle(waiting, Outcome.NOT_RUN)
--- a/pistachiodeal/batch/membership.py
+++ b/pistachiodeal/batch/membership.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(slots=True)
-class _Sight:
+class _Observation:
     """When another entry's row was last seen to change.
 
     :param stamp: its incarnation and beat.
@@ -44,30 +44,30 @@
     def __init__(
         self,
         table: Table,
-        me: EntryRow,
+        own_row: EntryRow,
         *,
         owner_lease_s: float,
         margin_s: float,
         clock: Clock,
     ) -> None:
         self._table = table
-        self._me = me
-        self._beat = 0
+        self._own_row = own_row
+        self._heartbeat_number = 0
         self._lease_s = owner_lease_s
-        self._dead_s = owner_lease_s + margin_s
+        self._dead_after_s = owner_lease_s + margin_s
         self._clock = clock
-        self._beat_until = float("-inf")
-        self._looked_at = float("-inf")
+        self._lease_until = float("-inf")
+        self._read_at = float("-inf")
         self._verified: dict[int, tuple[int, float]] = {}
-        self._sights: dict[str, _Sight] = {}
-        self._absent: dict[str, float] = {}
+        self._observations: dict[str, _Observation] = {}
+        self._absent_since: dict[str, float] = {}
         self._entries: dict[str, EntryRow] = {}
         self._owners: dict[int, OwnerRow] = {}
 
     @property
-    def me(self) -> EntryRow:
+    def own_row(self) -> EntryRow:
         """Return this entry's own row."""
-        return self._me
+        return self._own_row
 
     @property
     def owners(self) -> Mapping[int, OwnerRow]:
@@ -83,7 +83,7 @@
 
         :returns: monotonic clock, seconds.
         """
-        return self._beat_until
+        return self._lease_until
 
     def has_authority(self, partition: int, epoch: int) -> bool:
         """Tell whether leases of this partition may be granted right now.
@@ -92,14 +92,14 @@
         again would go on granting leases for what others have taken over.
         """
         known, until = self._verified.get(partition, (0, 0.0))
-        return known == epoch and self._clock() < min(until, self._beat_until)
+        return known == epoch and self._clock() < min(until, self._lease_until)
 
-    def note_owned(self, row: OwnerRow, sent_at: float) -> None:
+    def record_owned(self, row: OwnerRow, sent_at: float) -> None:
         """Record that the store named us owner at ``sent_at`` or later."""
         self._owners[row.partition] = row
         self._verified[row.partition] = (row.epoch, sent_at + self._lease_s)
 
-    def note_released(self, partition: int) -> None:
+    def record_released(self, partition: int) -> None:
         """Record that this entry no longer owns a partition."""
         self._verified.pop(partition, None)
 
@@ -108,41 +108,44 @@
         live = {
             node: row
             for node, row in self._entries.items()
-            if self._looked_at - self._sights[node].changed_at < self._dead_s
+            if self._read_at - self._observations[node].changed_at < self._dead_after_s
         }
-        live[self._me.node] = self._me
+        live[self._own_row.node] = self._own_row
         return live
 
     def is_dead(self, row: OwnerRow) -> bool:
         """Tell whether a partition's owner has certainly lost its authority."""
-        if row.node == self._me.node:
-            return row.incarnation != self._me.incarnation
+        if row.node == self._own_row.node:
+            return row.incarnation != self._own_row.incarnation
         # Measured up to the last look, not up to now: a store outage or a freeze of
         # this process would otherwise make every other entry look dead.
-        sight = self._sights.get(row.node)
-        if sight is not None:
+        observation = self._observations.get(row.node)
+        if observation is not None:
             # The row of a node that was restarted goes on changing while the owner,
             # an earlier process of that name, is gone: nobody but the new process
             # would ever take its partitions, and that only if they are its own.
-            replaced = sight.stamp[0] != row.incarnation
-            since = sight.started_at if replaced else sight.changed_at
-            return self._looked_at - since >= self._dead_s
-        since = self._absent.setdefault(row.node, self._looked_at)
-        return self._looked_at - since >= self._dead_s
+            replaced = observation.stamp[0] != row.incarnation
+            since = observation.started_at if replaced else observation.changed_at
+            return self._read_at - since >= self._dead_after_s
+        since = self._absent_since.setdefault(row.node, self._read_at)
+        return self._read_at - since >= self._dead_after_s
 
-    async def beat(self, team_cpu: dict[str, int]) -> None:
+    async def send_heartbeat(self, team_cpu: dict[str, int]) -> None:
         """Write this entry's row.
 
         :raises StoreError: the beat does not count, even if it took effect.
         """
-        self._beat += 1
-        fields = asdict(self._me) | {"beat": self._beat, "team_cpu": team_cpu}
+        self._heartbeat_number += 1
+        fields = asdict(self._own_row) | {
+            "beat": self._heartbeat_number,
+            "team_cpu": team_cpu,
+        }
         row = EntryRow(**fields)
         sent_at = self._clock()
         value = orjson.dumps(asdict(row))
         await self._table.commit([Write(ENTRY_PREFIX + row.node, value)])
-        self._me = row
-        self._beat_until = sent_at + self._lease_s
+        self._own_row = row
+        self._lease_until = sent_at + self._lease_s
 
     async def refresh(self) -> None:
         """Read the rows of entries and partitions.
@@ -151,16 +154,16 @@
         """
         sent_at = self._clock()
         entries = await self._scan(ENTRY_PREFIX)
-        self._note_entries(entries, sent_at)
+        self._update_entries(entries, sent_at)
         sent_at = self._clock()
         owners = await self._scan(PARTITION_PREFIX)
-        self._note_owners(owners, sent_at)
+        self._update_owners(owners, sent_at)
 
-    async def leave(self) -> None:
+    async def deregister(self) -> None:
         """Delete this entry's row, so that nobody waits for it."""
-        self._beat_until = float("-inf")
+        self._lease_until = float("-inf")
         try:
-            await self._table.commit([Write(ENTRY_PREFIX + self._me.node)])
+            await self._table.commit([Write(ENTRY_PREFIX + self._own_row.node)])
         except StoreError as error:
             log.notice("batch: own row not deleted: {}", error)
 
@@ -173,36 +176,36 @@
             if len(page) < SCAN_ROWS:
                 return rows
 
-    def _note_entries(self, rows: list[Row], sent_at: float) -> None:
+    def _update_entries(self, rows: list[Row], sent_at: float) -> None:
         now = self._clock()
-        self._looked_at = sent_at
+        self._read_at = sent_at
         found: dict[str, EntryRow] = {}
         for row in rows:
             entry = EntryRow(**orjson.loads(row.value))
-            if entry.node == self._me.node:
+            if entry.node == self._own_row.node:
                 continue
             found[entry.node] = entry
             stamp = (entry.incarnation, entry.beat)
-            sight = self._sights.get(entry.node)
-            if sight is None or sight.stamp[0] != entry.incarnation:
-                self._sights[entry.node] = _Sight(stamp, now, now)
-            elif sight.stamp != stamp:
-                sight.stamp = stamp
-                sight.changed_at = now
+            observation = self._observations.get(entry.node)
+            if observation is None or observation.stamp[0] != entry.incarnation:
+                self._observations[entry.node] = _Observation(stamp, now, now)
+            elif observation.stamp != stamp:
+                observation.stamp = stamp
+                observation.changed_at = now
         for node in self._entries.keys() - found.keys():
-            self._absent[node] = sent_at
-            del self._sights[node]
-        for node in found.keys() & self._absent.keys():
-            del self._absent[node]
+            self._absent_since[node] = sent_at
+            del self._observations[node]
+        for node in found.keys() & self._absent_since.keys():
+            del self._absent_since[node]
         self._entries = found
 
-    def _note_owners(self, rows: list[Row], sent_at: float) -> None:
+    def _update_owners(self, rows: list[Row], sent_at: float) -> None:
         owners: dict[int, OwnerRow] = {}
         for row in rows:
             owner = parse_owner(row)
             owners[owner.partition] = owner
             mine = (owner.node, owner.incarnation)
-            if mine == (self._me.node, self._me.incarnation):
+            if mine == (self._own_row.node, self._own_row.incarnation):
                 self._verified[owner.partition] = (
                     owner.epoch,
                     sent_at + self._lease_s,
@@ -211,4 +214,4 @@
                 self._verified.pop(owner.partition, None)
         self._owners = owners
         named = {owner.node for owner in owners.values()}
-        self._absent = {n: t for n, t in self._absent.items() if n in named}
+        self._absent_since = {n: t for n, t in self._absent_since.items() if n in named}
--- a/pistachiodeal/batch/ownership.py
+++ b/pistachiodeal/batch/ownership.py
@@ -30,10 +30,10 @@
 
 def choose_preferred_owner(partition: int, nodes: Iterable[str]) -> str:
     """Return the node that should own a partition."""
-    return max(nodes, key=lambda node: _weigh(partition, node), default="")
+    return max(nodes, key=lambda node: _compute_weight(partition, node), default="")
 
 
-def _weigh(partition: int, node: str) -> tuple[int, str]:
+def _compute_weight(partition: int, node: str) -> tuple[int, str]:
     return xxhash.xxh64_intdigest(f"{partition}/{node}".encode()), node
 
 
@@ -55,7 +55,7 @@
     def __init__(self, membership: Membership, partitions: int) -> None:
         self._membership = membership
         self._partitions = partitions
-        self._waits: dict[int, tuple[str, int]] = {}
+        self._handover_waits: dict[int, tuple[str, int]] = {}
 
     def plan(self, held: Mapping[int, int]) -> OwnershipPlan:
         """Return this round's changes.
@@ -63,19 +63,27 @@
         :param held: partitions that this process serves, with their epochs.
         """
         live = self._membership.live_entries()
-        me = self._membership.me.node
-        winners = {p: choose_preferred_owner(p, live) for p in range(self._partitions)}
-        takes = [p for p in winners if p not in held and self._may_take(p, winners[p])]
+        me = self._membership.own_row.node
+        preferred_owners = {
+            p: choose_preferred_owner(p, live) for p in range(self._partitions)
+        }
+        takeovers = [
+            p
+            for p in preferred_owners
+            if p not in held and self._may_take_over(p, preferred_owners[p])
+        ]
         share = -(-self._partitions // len(live))
         limit = max(MIN_TAKEOVERS, -(-share // TAKEOVER_ROUNDS))
         owners = self._membership.owners
         return OwnershipPlan(
-            tuple((p, owners.get(p)) for p in takes[:limit]),
-            tuple(p for p in held if self._should_hand_over(p, winners[p], me)),
+            tuple((p, owners.get(p)) for p in takeovers[:limit]),
+            tuple(
+                p for p in held if self._should_hand_over(p, preferred_owners[p], me)
+            ),
         )
 
-    def _may_take(self, partition: int, winner: str) -> bool:
-        me = self._membership.me
+    def _may_take_over(self, partition: int, preferred_owner: str) -> bool:
+        me = self._membership.own_row
         row = self._membership.owners.get(partition)
         # A row that names this very process, which doesn't serve the partition:
         # reading it failed, its tasks crashed, or a take-over that was given up
@@ -86,22 +94,22 @@
             me.incarnation,
         ):
             return True
-        if winner != me.node:
+        if preferred_owner != me.node:
             return False
         return row is None or not row.node or self._membership.is_dead(row)
 
-    def _should_hand_over(self, partition: int, winner: str, me: str) -> bool:
-        if winner == me:
-            self._waits.pop(partition, None)
+    def _should_hand_over(self, partition: int, preferred_owner: str, me: str) -> bool:
+        if preferred_owner == me:
+            self._handover_waits.pop(partition, None)
             return False
         # An entry that comes and goes would otherwise pull its partitions back
         # and forth, and each move makes the new owner read the whole journal.
-        last, rounds = self._waits.get(partition, (winner, 0))
-        rounds = rounds + 1 if last == winner else 1
-        self._waits[partition] = (winner, rounds)
+        last, rounds = self._handover_waits.get(partition, (preferred_owner, 0))
+        rounds = rounds + 1 if last == preferred_owner else 1
+        self._handover_waits[partition] = (preferred_owner, rounds)
         if rounds < HANDOVER_ROUNDS:
             return False
-        del self._waits[partition]
+        del self._handover_waits[partition]
         return True
 
 
@@ -118,7 +126,7 @@
 
         :raises StoreError: not known, or not done; the next round shows.
         """
-        me = self._membership.me
+        me = self._membership.own_row
         row = OwnerRow(
             partition=partition,
             node=me.node,
@@ -132,7 +140,7 @@
         if version is None:
             return None
         row = replace(row, version=version)
-        self._membership.note_owned(row, sent_at)
+        self._membership.record_owned(row, sent_at)
         return row
 
     async def release(self, row: OwnerRow) -> None:
@@ -140,7 +148,7 @@
 
         :raises StoreError: not known, or not done; the owner's lease runs out then.
         """
-        self._membership.note_released(row.partition)
+        self._membership.record_released(row.partition)
         free = replace(row, node="", address="", incarnation=0, nonce="")
         await self._swap(free, row.version)
 
--- a/pistachiodeal/batch/partition.py
+++ b/pistachiodeal/batch/partition.py
@@ -26,7 +26,7 @@
 
 log = Logger("batch")
 
-KEPT_RECORDS = 10_000
+MAX_ENDED_RECORDS = 10_000
 MAX_CHECKPOINT_MISSES = 3
 _EVICTIONS = (RequeueCause.STOPPED, RequeueCause.EXPIRED)
 
@@ -39,7 +39,7 @@
     """
 
     def __init__(
-        self, urgency_of: Callable[[str], int], max_ended: int = KEPT_RECORDS
+        self, urgency_of: Callable[[str], int], max_ended: int = MAX_ENDED_RECORDS
     ) -> None:
         self._urgency_of = urgency_of
         self._max_ended = max_ended
@@ -153,7 +153,7 @@
         if event.cause in _EVICTIONS:
             record.evictions += 1
         if event.cause is RequeueCause.CHECKPOINT_MISSING:
-            _note_missing_checkpoint(record)
+            _record_missing_checkpoint(record)
         if record.cancel_asked:
             self._end(record, TaskState.CANCELLED)
             return record
@@ -208,7 +208,7 @@
         state.apply(event)
 
 
-def _note_missing_checkpoint(record: TaskRecord) -> None:
+def _record_missing_checkpoint(record: TaskRecord) -> None:
     # An object that was lost for good would have the task placed and refused for
     # ever, seen as refusals with no end and a task that never runs. A store may
     # show an object late, so the work in it is given up only after some tries.
--- a/pistachiodeal/batch/owning.py
+++ b/pistachiodeal/batch/partition_manager.py
@@ -7,9 +7,9 @@
 import curio
 from logbook import Logger
 
-from pistachiodeal.batch.context import HostContext
-from pistachiodeal.batch.host import PartitionHost
+from pistachiodeal.batch.context import BatchContext
 from pistachiodeal.batch.ownership import OwnershipPlanner, OwnershipWriter
+from pistachiodeal.batch.partition_server import PartitionServer
 from pistachiodeal.batch.rows import OwnerRow
 from pistachiodeal.exceptions import FencedError, StoreError
 
@@ -18,36 +18,36 @@
 RELEASE_S = 2.0
 
 
-class PartitionKeeper:
+class PartitionManager:
     """Beats, reads the others' rows, takes partitions over and hands them over.
 
     Each partition that is held has a task of its own.
     """
 
-    def __init__(self, context: HostContext) -> None:
+    def __init__(self, context: BatchContext) -> None:
         self._context = context
         self._membership = context.membership
         self._planner = OwnershipPlanner(
             context.membership, context.settings.batch.partitions
         )
         self._writer = OwnershipWriter(context.table, context.membership, context.clock)
-        self._hosts: dict[int, PartitionHost] = {}
+        self._servers: dict[int, PartitionServer] = {}
         self._tasks: dict[int, curio.Task] = {}
         self._draining = False
-        self._round = curio.Lock()
+        self._round_lock = curio.Lock()
 
-    def hosts(self) -> list[PartitionHost]:
+    def servers(self) -> list[PartitionServer]:
         """Return all partitions held, also those still being read."""
-        return list(self._hosts.values())
+        return list(self._servers.values())
 
-    def serving_hosts(self) -> list[PartitionHost]:
+    def list_serving(self) -> list[PartitionServer]:
         """Return the partitions that are served."""
-        return [host for host in self._hosts.values() if host.serving]
+        return [server for server in self._servers.values() if server.serving]
 
-    def find_serving(self, partition: int) -> PartitionHost | None:
+    def find_serving(self, partition: int) -> PartitionServer | None:
         """Return a partition if it is served here."""
-        host = self._hosts.get(partition)
-        return host if host is not None and host.serving else None
+        server = self._servers.get(partition)
+        return server if server is not None and server.serving else None
 
     async def run(self) -> None:
         """Do a round every ``beat_s``."""
@@ -55,7 +55,7 @@
         try:
             while not self._draining:
                 try:
-                    async with self._round:
+                    async with self._round_lock:
                         await self.run_once()
                 except StoreError as error:
                     log.notice("batch: round not done: {}", error)
@@ -72,10 +72,10 @@
         """
         if self._draining:
             return
-        await self._membership.beat(self._context.workers.team_cpu)
+        await self._membership.send_heartbeat(self._context.workers.team_cpu)
         await self._membership.refresh()
-        await self._drop_lost()
-        held = {p: host.owner.epoch for p, host in self._hosts.items()}
+        await self._stop_superseded()
+        held = {p: server.owner.epoch for p, server in self._servers.items()}
         plan = self._planner.plan(held)
         for partition in plan.hand_over:
             await self._hand_over(partition, self._context.clock() + RELEASE_S)
@@ -87,31 +87,31 @@
     async def drain(self) -> None:
         """Hand everything over, then delete this entry's row."""
         self._draining = True
-        for host in self.hosts():
-            host.stop_taking()
+        for server in self.servers():
+            server.stop_accepting()
         # A round under way may still take partitions and beat; a beat that lands
         # after the row is deleted would make the others wait for a dead entry.
-        async with self._round:
+        async with self._round_lock:
             deadline = self._context.clock() + RELEASE_S
-            for partition in list(self._hosts):
-                await self._release_quietly(partition, deadline)
-            await self._membership.leave()
+            for partition in list(self._servers):
+                await self._try_release(partition, deadline)
+            await self._membership.deregister()
 
-    async def _release_quietly(self, partition: int, deadline: float) -> None:
+    async def _try_release(self, partition: int, deadline: float) -> None:
         try:
             await self._hand_over(partition, deadline)
         except StoreError as error:
             log.notice("batch: partition {} not released: {}", partition, error)
 
     async def _start(self, row: OwnerRow) -> None:
-        host = PartitionHost(self._context, row)
-        self._hosts[row.partition] = host
-        self._tasks[row.partition] = await curio.spawn(self._serve, host, daemon=True)
+        server = PartitionServer(self._context, row)
+        self._servers[row.partition] = server
+        self._tasks[row.partition] = await curio.spawn(self._serve, server, daemon=True)
 
-    async def _serve(self, host: PartitionHost) -> None:
-        partition = host.owner.partition
+    async def _serve(self, server: PartitionServer) -> None:
+        partition = server.owner.partition
         try:
-            await host.run()
+            await server.run()
         except FencedError as error:
             log.notice("batch: partition {} lost: {}", partition, error)
         except StoreError as error:
@@ -119,24 +119,24 @@
         except Exception as error:
             log.error("batch: partition {} failed: {!r}", partition, error)
         finally:
-            if self._hosts.get(partition) is host:
-                del self._hosts[partition]
+            if self._servers.get(partition) is server:
+                del self._servers[partition]
 
-    async def _drop_lost(self) -> None:
-        for partition, host in list(self._hosts.items()):
+    async def _stop_superseded(self) -> None:
+        for partition, server in list(self._servers.items()):
             row = self._membership.owners.get(partition)
-            if row is not None and row.epoch > host.owner.epoch:
+            if row is not None and row.epoch > server.owner.epoch:
                 log.notice("batch: partition {} was taken over", partition)
                 await self._cancel(partition)
 
     async def _hand_over(self, partition: int, deadline: float) -> None:
-        host = self._hosts.get(partition)
-        if host is None:
+        server = self._servers.get(partition)
+        if server is None:
             return
-        if not await host.close(deadline):
+        if not await server.close(deadline):
             log.notice("batch: partition {} released unsettled", partition)
         await self._cancel(partition)
-        await self._writer.release(host.owner)
+        await self._writer.release(server.owner)
         log.notice("batch: partition {} handed over", partition)
 
     async def _cancel(self, partition: int) -> None:
--- a/pistachiodeal/batch/host.py
+++ b/pistachiodeal/batch/partition_server.py
@@ -8,37 +8,39 @@
 import curio
 from logbook import Logger
 
-from pistachiodeal.batch.append_request import Append, JournalPosition
+from pistachiodeal.batch.append_request import AppendRequest, JournalPosition
 from pistachiodeal.batch.checkpoints import CheckpointCleaner
-from pistachiodeal.batch.context import HostContext
+from pistachiodeal.batch.completion_waiters import CompletionWaiters
+from pistachiodeal.batch.context import BatchContext
 from pistachiodeal.batch.events import Event, Placed, RequeueCause, Requeued
 from pistachiodeal.batch.journal import Journal
 from pistachiodeal.batch.partition import PartitionState
-from pistachiodeal.batch.protocols import Outgoing
+from pistachiodeal.batch.protocols import OutgoingMessage
 from pistachiodeal.batch.rows import OwnerRow
 from pistachiodeal.batch.runs import RunTable
 from pistachiodeal.batch.sender import Sender
-from pistachiodeal.batch.snapshots import SnapshotManager, fold_quietly
-from pistachiodeal.batch.watchers import Watchers
+from pistachiodeal.batch.snapshots import SnapshotManager, try_write_snapshot
 from pistachiodeal.exceptions import Outcome
 from pistachiodeal.model.tasks import TaskRecord
 from pistachiodeal.task_groups import run_until_one_ends
 
 log = Logger("batch")
 
-FOLD_CHECK_S = 1.0
-FLUSH_STEP_S = 0.01
+SNAPSHOT_CHECK_S = 1.0
+FLUSH_POLL_S = 0.01
 PAUSE_S = 1.0
 
 
-class PartitionHost:
+class PartitionServer:
     """Serves a partition from the take-over until it is fenced or released."""
 
-    def __init__(self, context: HostContext, owner: OwnerRow) -> None:
+    def __init__(self, context: BatchContext, owner: OwnerRow) -> None:
         batch = context.settings.batch
         self._context = context
         self._owner = owner
-        self._keeper = SnapshotManager(context.table, context.objects, owner.partition)
+        self._snapshot_manager = SnapshotManager(
+            context.table, context.objects, owner.partition
+        )
         self._cleaner = CheckpointCleaner(context.objects)
         self._sender = Sender()
         self._journal: Journal | None = None
@@ -46,7 +48,7 @@
         self._closing = False
         self._paused_until = float("-inf")
         self.state = PartitionState(lambda name: context.find_profile(name).urgency)
-        self.watchers = Watchers()
+        self.waiters = CompletionWaiters()
         self.runs = RunTable(
             owner.partition,
             owner.epoch,
@@ -78,7 +80,7 @@
         )
 
     @property
-    def may_decide(self) -> bool:
+    def may_propose(self) -> bool:
         """Tell whether a round may put decisions of its own on their way."""
         paused = self._context.clock() < self._paused_until
         return self.serving and not self.stalled and not paused
@@ -90,31 +92,31 @@
     def prepare(
         self,
         events: Sequence[Event],
-        then: Callable[[Outcome], Sequence[Outgoing]] | None = None,
+        on_settled: Callable[[Outcome], Sequence[OutgoingMessage]] | None = None,
         payload: int = 0,
-    ) -> Append | None:
+    ) -> AppendRequest | None:
         """Lock the events' tasks; None if one of them is locked already.
 
         Two decisions on one task can never both reach the journal. What this
         returns must go to :meth:`submit` with no await in between.
 
-        :param then: see :class:`Append`.
-        :param payload: see :class:`Append`.
+        :param on_settled: see :class:`AppendRequest`.
+        :param payload: see :class:`AppendRequest`.
         """
         names = [event.task_id for event in events]
         if not self.serving or not self._locked.isdisjoint(names):
             return None
         self._locked.update(names)
 
-        def finish(outcome: Outcome) -> Sequence[Outgoing]:
+        def finish(outcome: Outcome) -> Sequence[OutgoingMessage]:
             self._locked.difference_update(names)
             if outcome is Outcome.NOT_RUN:
                 self._pause()
-            return then(outcome) if then is not None else ()
+            return on_settled(outcome) if on_settled is not None else ()
 
-        return Append(tuple(events), payload, finish)
+        return AppendRequest(tuple(events), payload, finish)
 
-    async def submit(self, append: Append) -> None:
+    async def submit(self, append: AppendRequest) -> None:
         """Put prepared events on their way to the journal."""
         assert self._journal is not None
         await self._journal.submit(append)
@@ -122,20 +124,20 @@
     async def propose(
         self,
         events: Sequence[Event],
-        then: Callable[[Outcome], Sequence[Outgoing]] | None = None,
+        on_settled: Callable[[Outcome], Sequence[OutgoingMessage]] | None = None,
         payload: int = 0,
-    ) -> Append | None:
+    ) -> AppendRequest | None:
         """Prepare events and submit them; None if one of the tasks is locked."""
-        append = self.prepare(events, then, payload)
+        append = self.prepare(events, on_settled, payload)
         if append is not None:
             await self.submit(append)
         return append
 
-    async def emit(self, outgoing: Outgoing) -> None:
+    async def enqueue_message(self, outgoing: OutgoingMessage) -> None:
         """Send a message after those that wait already."""
         await self._sender.put(outgoing)
 
-    async def withdraw(self, append: Append) -> bool:
+    async def withdraw(self, append: AppendRequest) -> bool:
         """Take an append back if it is not on its way to the table yet."""
         return self._journal is not None and await self._journal.withdraw(append)
 
@@ -146,8 +148,8 @@
         :raises StoreError: the partition could not be read.
         """
         try:
-            seq = await self._keeper.load(self.state)
-            self._adopt()
+            seq = await self._snapshot_manager.load(self.state)
+            self._restore_runs()
             self._journal = self._create_journal(seq)
             log.notice(
                 "batch: partition {} taken at epoch {}, {} tasks",
@@ -155,13 +157,15 @@
                 self._owner.epoch,
                 len(self.state),
             )
-            await run_until_one_ends(self._journal.run, self._sender.run, self._fold)
+            await run_until_one_ends(
+                self._journal.run, self._sender.run, self._write_snapshots
+            )
         finally:
             self._closing = True
             self.runs.clear()
-            await self.watchers.wake_all()
+            await self.waiters.wake_all()
 
-    def stop_taking(self) -> None:
+    def stop_accepting(self) -> None:
         """Take nothing new."""
         self._closing = True
 
@@ -171,11 +175,11 @@
         :param deadline: on the context's clock, seconds.
         :returns: False when something is unsettled at the deadline.
         """
-        self.stop_taking()
+        self.stop_accepting()
         while self._journal is not None and not self._journal.idle:
             if self._context.clock() >= deadline:
                 return False
-            await curio.sleep(FLUSH_STEP_S)
+            await curio.sleep(FLUSH_POLL_S)
         return True
 
     def describe(self) -> dict[str, int | bool]:
@@ -200,11 +204,11 @@
             JournalPosition(owner.partition, owner.epoch, owner.version, seq),
             self._apply,
             self._sender.put,
-            self.watchers.wake_ended,
+            self.waiters.wake_ended,
             group_s=self._context.settings.store.group_s,
         )
 
-    def _adopt(self) -> None:
+    def _restore_runs(self) -> None:
         for placed in list(self.state.placed.values()):
             record = self.state.find(placed.task_id)
             if record is None:
@@ -218,33 +222,33 @@
         record = self.state.apply(event)
         if record is None:
             return
-        self._cleaner.note(checkpoint, record)
+        self._cleaner.enqueue_superseded(checkpoint, record)
         if isinstance(event, Placed):
             run = self.runs.find(event.task_id)
             if run is not None:
                 run.durable = True
             return
-        self._drop_run(record, event)
-        self.watchers.note(record)
+        self._remove_run(record, event)
+        self.waiters.update(record)
 
-    def _drop_run(self, record: TaskRecord, event: Event) -> None:
+    def _remove_run(self, record: TaskRecord, event: Event) -> None:
         task_id = record.spec.task_id
         if task_id in self.state.placed:
             return
         if isinstance(event, Requeued) and event.cause is RequeueCause.LOST:
             self.runs.remove(task_id)
         else:
-            self.runs.note_ended(task_id)
+            self.runs.record_ended(task_id)
 
-    async def _fold(self) -> None:
+    async def _write_snapshots(self) -> None:
         rows = self._context.settings.batch.snapshot_rows
         while True:
-            await curio.sleep(FOLD_CHECK_S)
+            await curio.sleep(SNAPSHOT_CHECK_S)
             await self._cleaner.clean()
             assert self._journal is not None
             seq = self._journal.seq
-            if seq - self._keeper.folded_seq < rows:
+            if seq - self._snapshot_manager.snapshot_seq < rows:
                 continue
             owner = self._owner
-            place = JournalPosition(owner.partition, owner.epoch, owner.version, seq)
-            await fold_quietly(self._keeper, self.state, seq, place)
+            position = JournalPosition(owner.partition, owner.epoch, owner.version, seq)
+            await try_write_snapshot(self._snapshot_manager, self.state, seq, position)
--- a/pistachiodeal/batch/placement.py
+++ b/pistachiodeal/batch/placement.py
@@ -14,8 +14,8 @@
 
 from pistachiodeal.model.resources import Resources
 
-HOLD_S = 10.0
-MISFITS = 16
+RESERVE_AFTER_S = 10.0
+MAX_MISFITS = 16
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,7 +46,7 @@
     data_centre: str
     rack: str
     capacity: Resources
-    room: Resources
+    free: Resources
     teams: Counter[str] = field(default_factory=Counter)
 
 
@@ -70,13 +70,13 @@
 
     def __init__(self, usable: Callable[[str], bool]) -> None:
         self._usable = usable
-        self._front = ""
-        self._front_since = 0.0
+        self._blocked_id = ""
+        self._blocked_since = 0.0
 
     def plan(
         self,
         levels: Sequence[Level],
-        rooms: Sequence[WorkerCandidate],
+        candidates: Sequence[WorkerCandidate],
         team_cpu: Mapping[str, int],
         quotas: Mapping[str, int],
         now: float,
@@ -87,46 +87,46 @@
         :param team_cpu: thousandths of cores that each team holds already.
         :param quotas: thousandths of cores a team may hold; others have no limit.
         """
-        plan = _Plan(list(rooms), dict(team_cpu), quotas, self._usable)
+        plan = _Plan(list(candidates), dict(team_cpu), quotas, self._usable)
         for level in levels:
             plan.place_level(level)
-            if plan.front is not None:
-                self._guard_front(plan, now)
-        if plan.front is None:
-            self._front = ""
+            if plan.blocked_task is not None:
+                self._reserve_for_blocked(plan, now)
+        if plan.blocked_task is None:
+            self._blocked_id = ""
         return plan.placements
 
-    def _guard_front(self, plan: _Plan, now: float) -> None:
+    def _reserve_for_blocked(self, plan: _Plan, now: float) -> None:
         # Small tasks would otherwise take every piece of room that comes free, and
         # a large one would wait for ever: after a while one worker is kept for it.
-        assert plan.front is not None
-        if plan.front.task_id != self._front:
-            self._front = plan.front.task_id
-            self._front_since = now
-        if now - self._front_since >= HOLD_S:
-            plan.hold_worker(plan.front)
+        assert plan.blocked_task is not None
+        if plan.blocked_task.task_id != self._blocked_id:
+            self._blocked_id = plan.blocked_task.task_id
+            self._blocked_since = now
+        if now - self._blocked_since >= RESERVE_AFTER_S:
+            plan.reserve_worker(plan.blocked_task)
 
 
 class _Plan:
     def __init__(
         self,
-        rooms: list[WorkerCandidate],
+        candidates: list[WorkerCandidate],
         team_cpu: dict[str, int],
         quotas: Mapping[str, int],
         usable: Callable[[str], bool],
     ) -> None:
-        self._rooms = rooms
+        self._candidates = candidates
         self._team_cpu = team_cpu
         self._quotas = quotas
         self._usable = usable
         self._misfits: list[Resources] = []
-        self._racks: Counter[tuple[str, str, str]] = Counter()
-        for room in rooms:
-            for team, count in room.teams.items():
-                self._racks[team, room.data_centre, room.rack] += count
-                self._racks[team, room.data_centre, ""] += count
+        self._runs_by_rack: Counter[tuple[str, str, str]] = Counter()
+        for candidate in candidates:
+            for team, count in candidate.teams.items():
+                self._runs_by_rack[team, candidate.data_centre, candidate.rack] += count
+                self._runs_by_rack[team, candidate.data_centre, ""] += count
         self.placements: list[Placement] = []
-        self.front: PendingTask | None = None
+        self.blocked_task: PendingTask | None = None
 
     def place_level(self, level: Level) -> None:
         """Place the tasks of a level in the order of fair shares."""
@@ -140,12 +140,16 @@
             if queue:
                 heapq.heappush(order, (self._rank(queue[0]), team))
 
-    def hold_worker(self, task: PendingTask) -> None:
+    def reserve_worker(self, task: PendingTask) -> None:
         """Keep the worker that comes closest to holding the task out of the plan."""
-        able = [room for room in self._rooms if task.size.fits(room.capacity)]
-        if not able:
+        large_enough = [
+            candidate
+            for candidate in self._candidates
+            if task.size.fits(candidate.capacity)
+        ]
+        if not large_enough:
             return
-        self._rooms.remove(max(able, key=_weigh_room))
+        self._candidates.remove(max(large_enough, key=_compute_free_share))
 
     def _rank(self, task: PendingTask) -> float:
         return self._team_cpu.get(task.team, 0) / task.share
@@ -156,11 +160,11 @@
             task = queue.popleft()
             if self._over_quota(task):
                 continue
-            room = self._choose(task)
-            if room is not None:
-                self._take(task, room)
+            candidate = self._choose(task)
+            if candidate is not None:
+                self._assign(task, candidate)
                 return
-            self.front = self.front or task
+            self.blocked_task = self.blocked_task or task
 
     def _over_quota(self, task: PendingTask) -> bool:
         quota = self._quotas.get(task.team)
@@ -170,40 +174,48 @@
     def _choose(self, task: PendingTask) -> WorkerCandidate | None:
         if any(misfit.fits(task.size) for misfit in self._misfits):
             return None
-        fitting = [room for room in self._rooms if task.size.fits(room.room)]
+        fitting = [
+            candidate
+            for candidate in self._candidates
+            if task.size.fits(candidate.free)
+        ]
         if not fitting:
-            if len(self._misfits) < MISFITS:
+            if len(self._misfits) < MAX_MISFITS:
                 self._misfits.append(task.size)
             return None
-        fresh = [room for room in fitting if room.worker not in task.failed_workers]
-        known = {room.worker for room in self._rooms}
-        if not fresh and known.difference(task.failed_workers):
+        untried = [
+            candidate
+            for candidate in fitting
+            if candidate.worker not in task.failed_workers
+        ]
+        known = {candidate.worker for candidate in self._candidates}
+        if not untried and known.difference(task.failed_workers):
             return None
-        for room in sorted(fresh or fitting, key=lambda r: self._score(task, r)):
-            if self._usable(room.worker):
-                return room
+        for candidate in sorted(untried or fitting, key=lambda r: self._score(task, r)):
+            if self._usable(candidate.worker):
+                return candidate
         return None
 
     def _score(
-        self, task: PendingTask, room: WorkerCandidate
+        self, task: PendingTask, candidate: WorkerCandidate
     ) -> tuple[int, int, float]:
         return (
-            self._racks[task.team, room.data_centre, ""],
-            self._racks[task.team, room.data_centre, room.rack],
-            -_weigh_room(room),
+            self._runs_by_rack[task.team, candidate.data_centre, ""],
+            self._runs_by_rack[task.team, candidate.data_centre, candidate.rack],
+            -_compute_free_share(candidate),
         )
 
-    def _take(self, task: PendingTask, room: WorkerCandidate) -> None:
-        room.room = room.room - task.size
+    def _assign(self, task: PendingTask, candidate: WorkerCandidate) -> None:
+        candidate.free = candidate.free - task.size
         held = self._team_cpu.get(task.team, 0)
         self._team_cpu[task.team] = held + task.size.cpu_milli
-        self._racks[task.team, room.data_centre, room.rack] += 1
-        self._racks[task.team, room.data_centre, ""] += 1
-        self.placements.append(Placement(task, room.worker))
+        self._runs_by_rack[task.team, candidate.data_centre, candidate.rack] += 1
+        self._runs_by_rack[task.team, candidate.data_centre, ""] += 1
+        self.placements.append(Placement(task, candidate.worker))
 
 
-def _weigh_room(room: WorkerCandidate) -> float:
+def _compute_free_share(candidate: WorkerCandidate) -> float:
     """Return the free share of a worker's scarcer resource."""
-    cpu = room.room.cpu_milli / max(1, room.capacity.cpu_milli)
-    memory = room.room.memory_mib / max(1, room.capacity.memory_mib)
+    cpu = candidate.free.cpu_milli / max(1, candidate.capacity.cpu_milli)
+    memory = candidate.free.memory_mib / max(1, candidate.capacity.memory_mib)
     return min(cpu, memory)
--- a/pistachiodeal/batch/placer.py
+++ b/pistachiodeal/batch/placement_loop.py
@@ -9,13 +9,13 @@
 import curio
 from logbook import Logger
 
-from pistachiodeal.batch.context import HostContext
+from pistachiodeal.batch.context import BatchContext
 from pistachiodeal.batch.events import Placed, RequeueCause, Requeued
-from pistachiodeal.batch.gathering import gather_tasks
-from pistachiodeal.batch.host import PartitionHost
+from pistachiodeal.batch.partition_server import PartitionServer
 from pistachiodeal.batch.placement import Placement, PlacementPlanner
-from pistachiodeal.batch.protocols import Outgoing, WorkerSession
+from pistachiodeal.batch.protocols import OutgoingMessage, WorkerSession
 from pistachiodeal.batch.runs import PlacedRun
+from pistachiodeal.batch.task_selection import select_tasks
 from pistachiodeal.exceptions import Outcome
 from pistachiodeal.wire.messages import Message
 from pistachiodeal.wire.task_messages import Start
@@ -30,21 +30,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Planned:
+class _PlannedStart:
     run: PlacedRun
     session: WorkerSession | None
     series: str
     waited_s: float
 
 
-class Placer:
+class PlacementLoop:
     """Places waiting tasks, and requeues attempts that are over for certain."""
 
     def __init__(
-        self, context: HostContext, hosts: Callable[[], Sequence[PartitionHost]]
+        self, context: BatchContext, servers: Callable[[], Sequence[PartitionServer]]
     ) -> None:
         self._context = context
-        self._hosts = hosts
+        self._servers = servers
         self._planner = PlacementPlanner(self._is_usable)
         self._look_ahead = MIN_LOOK_AHEAD
 
@@ -57,50 +57,50 @@
 
     async def run_once(self) -> None:
         """Requeue what is overdue, then place what fits."""
-        for host in self._hosts():
-            if host.may_decide and host.has_authority:
-                await self._requeue_overdue(host)
-        hosts = {
-            host.owner.partition: host
-            for host in self._hosts()
-            if host.may_decide and host.has_authority
+        for server in self._servers():
+            if server.may_propose and server.has_authority:
+                await self._requeue_overdue(server)
+        servers = {
+            server.owner.partition: server
+            for server in self._servers()
+            if server.may_propose and server.has_authority
         }
-        if not any(host.state.waiting for host in hosts.values()):
+        if not any(server.state.waiting for server in servers.values()):
             return
-        rooms = self._context.workers.rooms()
-        if not rooms:
+        candidates = self._context.workers.list_candidates()
+        if not candidates:
             return
-        gathered = gather_tasks(self._context, hosts, self._look_ahead)
+        selected = select_tasks(self._context, servers, self._look_ahead)
         placements = self._planner.plan(
-            gathered.levels,
-            rooms,
+            selected.levels,
+            candidates,
             self._count_team_cpu(),
             self._quotas(),
             self._context.clock(),
         )
-        await self._place(hosts, placements)
-        for partition, failures in gathered.impossible.items():
-            await hosts[partition].propose(failures)
-        self._adapt(len(placements), gathered.count)
+        await self._place(servers, placements)
+        for partition, failures in selected.unplaceable.items():
+            await servers[partition].propose(failures)
+        self._adapt_look_ahead(len(placements), selected.count)
 
-    def _adapt(self, placed: int, gathered: int) -> None:
+    def _adapt_look_ahead(self, placed: int, selected: int) -> None:
         """Look further ahead while all that is looked at can start."""
-        if placed and placed == gathered:
+        if placed and placed == selected:
             self._look_ahead = min(2 * self._look_ahead, MAX_LOOK_AHEAD)
         else:
             self._look_ahead = max(self._look_ahead // 2, MIN_LOOK_AHEAD)
 
-    async def _requeue_overdue(self, host: PartitionHost) -> None:
-        overdue = [r for r in host.runs.overdue() if not host.is_locked(r.key[0])]
+    async def _requeue_overdue(self, server: PartitionServer) -> None:
+        overdue = [r for r in server.runs.overdue() if not server.is_locked(r.key[0])]
         if not overdue:
             return
         events = [_build_requeued(run) for run in overdue[:MAX_OVERDUE]]
         log.notice(
             "batch: partition {} requeues {} lost runs",
-            host.owner.partition,
+            server.owner.partition,
             len(events),
         )
-        await host.propose(events)
+        await server.propose(events)
 
     def _is_usable(self, worker: str) -> bool:
         return self._context.health.usable(worker, self._context.clock())
@@ -111,7 +111,7 @@
 
     def _count_team_cpu(self) -> dict[str, int]:
         total = dict(self._context.workers.team_cpu)
-        me = self._context.membership.me.node
+        me = self._context.membership.own_row.node
         for node, entry in self._context.membership.live_entries().items():
             if node == me:
                 continue
@@ -120,19 +120,19 @@
         return total
 
     async def _place(
-        self, hosts: Mapping[int, PartitionHost], placements: Sequence[Placement]
+        self, servers: Mapping[int, PartitionServer], placements: Sequence[Placement]
     ) -> None:
-        by_partition: dict[int, list[_Planned]] = {}
+        by_partition: dict[int, list[_PlannedStart]] = {}
         for placement in placements:
-            host = hosts[placement.task.partition]
+            server = servers[placement.task.partition]
             by_partition.setdefault(placement.task.partition, []).append(
-                self._reserve(host, placement)
+                self._reserve(server, placement)
             )
         for partition, planned in by_partition.items():
-            await self._journal(hosts[partition], planned)
+            await self._propose(servers[partition], planned)
 
-    def _reserve(self, host: PartitionHost, placement: Placement) -> _Planned:
-        record = host.state.find(placement.task.task_id)
+    def _reserve(self, server: PartitionServer, placement: Placement) -> _PlannedStart:
+        record = server.state.find(placement.task.task_id)
         assert record is not None
         profile = self._context.find_profile(record.spec.profile)
         placed = Placed(
@@ -142,57 +142,63 @@
             placement.task.size,
             int(profile.task_lease_s * MILLI),
         )
-        run = host.runs.add(placed, record.spec.team, durable=False)
-        return _Planned(
+        run = server.runs.add(placed, record.spec.team, durable=False)
+        return _PlannedStart(
             run,
             self._context.workers.find_session(placement.worker),
             TASK_START + record.spec.profile,
-            host.state.waiting.waited(record.spec.task_id),
+            server.state.waiting.compute_wait_s(record.spec.task_id),
         )
 
-    async def _journal(self, host: PartitionHost, planned: Sequence[_Planned]) -> None:
-        def finish(outcome: Outcome) -> Sequence[Outgoing]:
+    async def _propose(
+        self, server: PartitionServer, planned: Sequence[_PlannedStart]
+    ) -> None:
+        def finish(outcome: Outcome) -> Sequence[OutgoingMessage]:
             if outcome is not Outcome.RAN:
                 for item in planned:
-                    host.runs.remove(item.run.placed.task_id)
+                    server.runs.remove(item.run.placed.task_id)
                 return ()
-            return [out for item in planned for out in self._start(host, item)]
+            return [
+                out for item in planned for out in self._prepare_start(server, item)
+            ]
 
         events = [item.run.placed for item in planned]
-        append = await host.propose(events, finish)
+        append = await server.propose(events, finish)
         if append is None:
             finish(Outcome.NOT_RUN)
         else:
             self._context.metrics.count("batch.placed", len(events))
 
-    def _start(self, host: PartitionHost, planned: _Planned) -> Sequence[Outgoing]:
+    def _prepare_start(
+        self, server: PartitionServer, planned: _PlannedStart
+    ) -> Sequence[OutgoingMessage]:
         run, session = planned.run, planned.session
         self._context.histograms.record(run.team, planned.series, planned.waited_s)
         if session is None:
-            host.runs.note_unsent(run)
+            server.runs.mark_unsent(run)
             return ()
-        host.runs.note_start(run, session)
+        server.runs.record_start(run, session)
         return (
-            Outgoing(
+            OutgoingMessage(
                 session,
-                lambda: self._build_start(host, run, session),
-                lambda: self._note_unsent(host, run),
+                lambda: self._build_start(server, run, session),
+                lambda: self._mark_unsent(server, run),
             ),
         )
 
-    def _note_unsent(self, host: PartitionHost, run: PlacedRun) -> None:
-        if host.runs.find(run.placed.task_id) is run:
-            host.runs.note_unsent(run)
+    def _mark_unsent(self, server: PartitionServer, run: PlacedRun) -> None:
+        if server.runs.find(run.placed.task_id) is run:
+            server.runs.mark_unsent(run)
 
     def _build_start(
-        self, host: PartitionHost, run: PlacedRun, session: WorkerSession
+        self, server: PartitionServer, run: PlacedRun, session: WorkerSession
     ) -> Message | None:
         """Return the start, unless authority, session or task has gone since."""
         placed = run.placed
-        record = host.state.find(placed.task_id)
+        record = server.state.find(placed.task_id)
         beat = self._context.workers.latest_beat(session)
-        current = host.runs.find(placed.task_id) is run
-        if beat is None or record is None or not current or not host.has_authority:
+        current = server.runs.find(placed.task_id) is run
+        if beat is None or record is None or not current or not server.has_authority:
             return None
         if record.cancel_asked:
             return None
@@ -200,8 +206,8 @@
         return Start(
             task_id=placed.task_id,
             attempt=placed.attempt,
-            partition=host.owner.partition,
-            epoch=host.owner.epoch,
+            partition=server.owner.partition,
+            epoch=server.owner.epoch,
             beat=beat,
             lease_ms=placed.lease_ms,
             kind=record.spec.kind,
--- a/pistachiodeal/batch/protocols.py
+++ b/pistachiodeal/batch/protocols.py
@@ -52,13 +52,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Outgoing:
+class OutgoingMessage:
     """A message for an agent, built at the moment it is sent.
 
     :param build: returns None when by then it must not be sent.
-    :param unsent: called when it was not sent, for certain.
+    :param on_unsent: called when it was not sent, for certain.
     """
 
     session: WorkerSession
     build: Callable[[], Message | None]
-    unsent: Callable[[], None] = _ignore
+    on_unsent: Callable[[], None] = _ignore
--- a/pistachiodeal/batch/runs.py
+++ b/pistachiodeal/batch/runs.py
@@ -17,10 +17,10 @@
 from pistachiodeal.clock import Clock
 from pistachiodeal.wire.task_messages import LeaseGrant, Stop, TaskRef
 
-ASK_AGAIN_S = 30.0
+RESEND_S = 30.0
 GRACE_S = 5.0
 END_REPEAT_S = 20.0
-KNOWN_ENDED = 10_000
+MAX_ENDED_KEYS = 10_000
 NEVER_STARTED = float("-inf")
 
 
@@ -29,23 +29,23 @@
     """An attempt that may be running.
 
     :param durable: False between the decision and its journal row.
-    :param over_at: from then on it certainly runs no more, own monotonic clock,
+    :param expires_at: from then on it certainly runs no more, own monotonic clock,
         seconds.
-    :param sent_on: session on which its start was sent, None for one that an
+    :param start_sent_on: session on which its start was sent, None for one that an
         earlier owner placed.
-    :param asked_on: session on which a stop was last sent, at ``asked_at``.
-    :param end_heard_at: when its agent last told its end, which is not journaled yet.
+    :param stop_sent_on: session on which a stop was last sent, at ``last_sent_at``.
+    :param end_reported_at: when its agent last reported its end, not journaled yet.
     """
 
     placed: Placed
     team: str
-    over_at: float
+    expires_at: float
     durable: bool = True
-    sent_on: WorkerSession | None = None
-    asked_on: WorkerSession | None = None
-    asked_at: float = float("-inf")
+    start_sent_on: WorkerSession | None = None
+    stop_sent_on: WorkerSession | None = None
+    last_sent_at: float = float("-inf")
     stopping: bool = False
-    end_heard_at: float = float("-inf")
+    end_reported_at: float = float("-inf")
 
     @property
     def key(self) -> tuple[str, int]:
@@ -55,7 +55,7 @@
     @property
     def never_started(self) -> bool:
         """Tell whether it never ran, for certain."""
-        return self.over_at == NEVER_STARTED
+        return self.expires_at == NEVER_STARTED
 
 
 class RunTable:
@@ -82,7 +82,7 @@
         self._runs: dict[str, PlacedRun] = {}
         self._by_worker: dict[str, dict[str, PlacedRun]] = {}
         self._ended: OrderedDict[tuple[str, int], None] = OrderedDict()
-        self._taken_at = clock()
+        self._acquired_at = clock()
 
     def __iter__(self) -> Iterator[PlacedRun]:
         return iter(list(self._runs.values()))
@@ -93,7 +93,7 @@
 
     def add(self, placed: Placed, team: str, *, durable: bool) -> PlacedRun:
         """Count an attempt as possibly running from now on."""
-        run = PlacedRun(placed, team, self._extend(placed), durable)
+        run = PlacedRun(placed, team, self._compute_expiry(placed), durable)
         self._runs[placed.task_id] = run
         self._by_worker.setdefault(placed.worker, {})[placed.task_id] = run
         self._workers.add_run(placed.worker, run.key, placed.size, team)
@@ -110,13 +110,13 @@
             del self._by_worker[worker]
         self._workers.remove_run(worker, run.key, run.team)
 
-    def note_ended(self, task_id: str) -> None:
+    def record_ended(self, task_id: str) -> None:
         """Forget an attempt whose own agent said that it is over."""
         run = self._runs.get(task_id)
         if run is None:
             return
         self._ended[run.key] = None
-        if len(self._ended) > KNOWN_ENDED:
+        if len(self._ended) > MAX_ENDED_KEYS:
             self._ended.popitem(last=False)
         self.remove(task_id)
 
@@ -132,19 +132,19 @@
             run
             for run in self
             if run.durable
-            and now >= run.over_at
-            and now >= run.end_heard_at + END_REPEAT_S
+            and now >= run.expires_at
+            and now >= run.end_reported_at + END_REPEAT_S
         ]
 
-    def note_end_heard(self, run: PlacedRun) -> None:
+    def record_end_reported(self, run: PlacedRun) -> None:
         """Leave an attempt to its agent, who tells its end until it is journaled.
 
         Right after a store outage the attempt is overdue, too. Queued as lost it
         would start again from the beginning, although its agent holds a checkpoint.
         """
-        run.end_heard_at = self._clock()
+        run.end_reported_at = self._clock()
 
-    def answer(
+    def answer_report(
         self, session: WorkerSession, refs: Sequence[TaskRef]
     ) -> tuple[LeaseGrant | None, list[Stop]]:
         """Return the lease and the stops that answer a report.
@@ -153,45 +153,45 @@
         """
         stops = []
         leases = []
-        foreign = False
+        has_stale_run = False
         for ref in refs:
             run = self._runs.get(ref.task_id)
             if (ref.task_id, ref.attempt) in self._ended:
                 continue
             if run is None or run.key != (ref.task_id, ref.attempt):
-                foreign = True
+                has_stale_run = True
                 stops.append(self._build_stop(ref.task_id, ref.attempt))
                 continue
             if run.placed.worker != session.worker:
                 continue
-            run.over_at = self._extend(run.placed)
+            run.expires_at = self._compute_expiry(run.placed)
             leases.append(run.placed.lease_ms)
-            if run.stopping and self._may_ask(run, session):
-                stops.append(self._ask(run, session, evict=False))
+            if run.stopping and self._may_send_stop(run, session):
+                stops.append(self._record_stop(run, session, evict=False))
         named = {ref.task_id for ref in refs}
-        stops.extend(self._ask_missing(session, named))
+        stops.extend(self._stop_missing(session, named))
         # A grant holds for every run of the partition that the report named. With
         # a run among them that is not the current attempt, it would keep alive
         # what must end, so this beat gets none.
-        if foreign or not leases:
+        if has_stale_run or not leases:
             return None, stops
         return LeaseGrant(self._partition, self._epoch, min(leases)), stops
 
-    def note_unsent(self, run: PlacedRun) -> None:
+    def mark_unsent(self, run: PlacedRun) -> None:
         """Note that this owner's start of a run it placed itself was never sent."""
-        run.over_at = NEVER_STARTED
+        run.expires_at = NEVER_STARTED
 
-    def note_start(self, run: PlacedRun, session: WorkerSession) -> None:
+    def record_start(self, run: PlacedRun, session: WorkerSession) -> None:
         """Note the session on which a start is about to be sent."""
-        run.sent_on = session
-        run.asked_at = self._clock()
+        run.start_sent_on = session
+        run.last_sent_at = self._clock()
 
-    def stop(self, run: PlacedRun, session: WorkerSession) -> Stop:
+    def request_stop(self, run: PlacedRun, session: WorkerSession) -> Stop:
         """Return the stop of a run whose task was cancelled."""
         run.stopping = True
-        return self._ask(run, session, evict=False)
+        return self._record_stop(run, session, evict=False)
 
-    def _ask_missing(self, session: WorkerSession, named: set[str]) -> list[Stop]:
+    def _stop_missing(self, session: WorkerSession, named: set[str]) -> list[Stop]:
         """Ask after runs that should be on the worker and were not named.
 
         Their start may be lost with an older link, or never have been sent by an
@@ -200,31 +200,35 @@
         leaves its runs out of the report, too: so it is given a while, and is asked
         for a checkpoint, which makes a wrong guess an eviction and no lost work.
         """
-        new_here = self._clock() < self._taken_at + GRACE_S
-        if new_here or self._workers.session_age(session) < GRACE_S:
+        recently_acquired = self._clock() < self._acquired_at + GRACE_S
+        if recently_acquired or self._workers.session_age(session) < GRACE_S:
             return []
         runs = self._by_worker.get(session.worker, {})
         return [
-            self._ask(run, session, evict=not run.stopping)
+            self._record_stop(run, session, evict=not run.stopping)
             for task_id, run in runs.items()
-            if task_id not in named and run.durable and self._may_ask(run, session)
+            if task_id not in named
+            and run.durable
+            and self._may_send_stop(run, session)
         ]
 
-    def _may_ask(self, run: PlacedRun, session: WorkerSession) -> bool:
+    def _may_send_stop(self, run: PlacedRun, session: WorkerSession) -> bool:
         now = self._clock()
-        if run.asked_on is session:
-            return now - run.asked_at >= ASK_AGAIN_S
-        if run.sent_on is session and not run.stopping:
-            return now - run.asked_at >= ASK_AGAIN_S
+        if run.stop_sent_on is session:
+            return now - run.last_sent_at >= RESEND_S
+        if run.start_sent_on is session and not run.stopping:
+            return now - run.last_sent_at >= RESEND_S
         return True
 
-    def _ask(self, run: PlacedRun, session: WorkerSession, *, evict: bool) -> Stop:
-        run.asked_on = session
-        run.asked_at = self._clock()
+    def _record_stop(
+        self, run: PlacedRun, session: WorkerSession, *, evict: bool
+    ) -> Stop:
+        run.stop_sent_on = session
+        run.last_sent_at = self._clock()
         return self._build_stop(*run.key, evict=evict)
 
     def _build_stop(self, task_id: str, attempt: int, *, evict: bool = False) -> Stop:
         return Stop(task_id, attempt, self._partition, self._epoch, evict)
 
-    def _extend(self, placed: Placed) -> float:
+    def _compute_expiry(self, placed: Placed) -> float:
         return self._clock() + placed.lease_ms / 1000 + self._safety_s
--- a/pistachiodeal/batch/sender.py
+++ b/pistachiodeal/batch/sender.py
@@ -4,7 +4,7 @@
 
 import curio
 
-from pistachiodeal.batch.protocols import Outgoing
+from pistachiodeal.batch.protocols import OutgoingMessage
 from pistachiodeal.exceptions import LinkClosedError
 
 QUEUE_MESSAGES = 10_000
@@ -16,19 +16,19 @@
     def __init__(self) -> None:
         self._queue: curio.Queue = curio.Queue(maxsize=QUEUE_MESSAGES)
 
-    async def put(self, outgoing: Outgoing) -> None:
+    async def put(self, outgoing: OutgoingMessage) -> None:
         """Send a message after those that wait already."""
         await self._queue.put(outgoing)
 
     async def run(self) -> None:
         """Send until cancelled."""
         while True:
-            outgoing: Outgoing = await self._queue.get()
+            outgoing: OutgoingMessage = await self._queue.get()
             message = outgoing.build()
             if message is None:
-                outgoing.unsent()
+                outgoing.on_unsent()
                 continue
             try:
                 await outgoing.session.send(message)
             except LinkClosedError:
-                outgoing.unsent()
+                outgoing.on_unsent()
--- a/pistachiodeal/batch/service.py
+++ b/pistachiodeal/batch/service.py
@@ -10,14 +10,14 @@
 
 from pistachiodeal.batch.admission import TaskAdmission
 from pistachiodeal.batch.api import TaskApi
-from pistachiodeal.batch.context import HostContext
-from pistachiodeal.batch.endings import EndHandler
-from pistachiodeal.batch.forward import Forwarder
-from pistachiodeal.batch.host import PartitionHost
+from pistachiodeal.batch.attempt_ends import AttemptEndHandler
+from pistachiodeal.batch.context import BatchContext
+from pistachiodeal.batch.forwarder import Forwarder
 from pistachiodeal.batch.keys import parse_partition
 from pistachiodeal.batch.membership import Membership
-from pistachiodeal.batch.owning import PartitionKeeper
-from pistachiodeal.batch.placer import Placer
+from pistachiodeal.batch.partition_manager import PartitionManager
+from pistachiodeal.batch.partition_server import PartitionServer
+from pistachiodeal.batch.placement_loop import PlacementLoop
 from pistachiodeal.batch.protocols import (
     ProfileLookup,
     ProfileRefresh,
@@ -63,13 +63,15 @@
 class BatchService:
     """Admits tasks, owns partitions, places attempts and renews their leases."""
 
-    def __init__(self, context: HostContext, forwarder: Forwarder) -> None:
+    def __init__(self, context: BatchContext, forwarder: Forwarder) -> None:
         self._context = context
         self._forwarder = forwarder
         self._workers = context.workers
-        self._partition_manager = PartitionKeeper(context)
-        self._placement_loop = Placer(context, self._partition_manager.serving_hosts)
-        self._endings = EndHandler(context)
+        self._partition_manager = PartitionManager(context)
+        self._placement_loop = PlacementLoop(
+            context, self._partition_manager.list_serving
+        )
+        self._end_handler = AttemptEndHandler(context)
         self._api = TaskApi(
             context,
             TaskAdmission(context),
@@ -126,13 +128,13 @@
         if isinstance(message, Report):
             await self._answer_report(session, message)
             return
-        host = self._find_host(message.task_id)
-        if host is None:
+        server = self._find_server(message.task_id)
+        if server is None:
             return
         if isinstance(message, TaskEnded):
-            await self._endings.end(host, session, message)
+            await self._end_handler.handle_ended(server, session, message)
         else:
-            await self._endings.refuse(host, session, message)
+            await self._end_handler.handle_refused(server, session, message)
 
     def directory(self) -> Directory:
         """Return the live entries and the partitions' owners, as last read."""
@@ -153,8 +155,8 @@
         now = self._context.clock()
         return {
             "partitions": {
-                str(host.owner.partition): host.describe()
-                for host in self._partition_manager.hosts()
+                str(server.owner.partition): server.describe()
+                for server in self._partition_manager.servers()
             },
             "entries": sorted(membership.live_entries()),
             "authority_s": max(0.0, round(membership.authority_until() - now, 3)),
@@ -162,7 +164,7 @@
             "team_cpu_milli": self._workers.team_cpu,
         }
 
-    def _find_host(self, task_id: str) -> PartitionHost | None:
+    def _find_server(self, task_id: str) -> PartitionServer | None:
         partition = parse_partition(task_id, self._context.settings.batch.partitions)
         return (
             None
@@ -171,19 +173,19 @@
         )
 
     async def _answer_report(self, session: WorkerSession, report: Report) -> None:
-        if not self._workers.note_report(session, report):
+        if not self._workers.update_report(session, report):
             return
         refs = self._group_refs(report.tasks)
         grants: list[LeaseGrant] = []
         stops: list[Stop] = []
-        for host in self._partition_manager.serving_hosts():
+        for server in self._partition_manager.list_serving():
             # Without authority neither leases nor stops go out: a successor may
             # own the partition, and what is "not the current attempt" here may be
             # a run that it has started.
-            if not host.has_authority:
+            if not server.has_authority:
                 continue
-            named = refs.get(host.owner.partition, ())
-            grant, to_stop = host.runs.answer(session, named)
+            named = refs.get(server.owner.partition, ())
+            grant, to_stop = server.runs.answer_report(session, named)
             stops.extend(to_stop)
             if grant is not None:
                 grants.append(grant)
@@ -206,7 +208,7 @@
         return groups
 
 
-async def keep_profiles() -> None:
+async def keep_current_profiles() -> None:
     """Leave what is known of the profiles as it is."""
 
 
@@ -221,7 +223,7 @@
     metrics: Metrics,
     clock: Clock = time.monotonic,
     histograms: Histograms | None = None,
-    refresh_profiles: ProfileRefresh = keep_profiles,
+    refresh_profiles: ProfileRefresh = keep_current_profiles,
 ) -> BatchService:
     """Create the batch path of an entry.
 
@@ -231,7 +233,7 @@
     :param refresh_profiles: looks at the table again, if it can.
     :param histograms: where the waits of tasks go, by team and profile.
     """
-    me = EntryRow(
+    own_row = EntryRow(
         node=identity.node,
         incarnation=identity.incarnation,
         beat=0,
@@ -241,12 +243,12 @@
     )
     membership = Membership(
         table,
-        me,
+        own_row,
         owner_lease_s=settings.batch.owner_lease_s,
         margin_s=settings.batch.margin_s,
         clock=clock,
     )
-    context = HostContext(
+    context = BatchContext(
         settings=settings,
         table=table,
         objects=objects,
--- a/pistachiodeal/batch/snapshots.py
+++ b/pistachiodeal/batch/snapshots.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Folded:
+class SnapshotInfo:
     """What a partition's snapshot row says.
 
     :param seq: last journal row in the snapshot, 0 when there is none.
@@ -52,14 +52,14 @@
         self._table = table
         self._objects = objects
         self._partition = partition
-        self._folded = Folded()
-        self._known = False
-        self._first = 1
+        self._snapshot = SnapshotInfo()
+        self._row_is_current = False
+        self._first_row = 1
 
     @property
-    def folded_seq(self) -> int:
+    def snapshot_seq(self) -> int:
         """Return the last journal row in the snapshot."""
-        return self._folded.seq
+        return self._snapshot.seq
 
     async def load(self, state: PartitionState) -> int:
         """Rebuild a partition's state; return the last journal row's number.
@@ -71,17 +71,17 @@
         :raises ProtocolError: what it holds cannot be understood.
         """
         await self._read_row()
-        if self._folded.object_key:
-            data = await self._objects.get(self._folded.object_key)
+        if self._snapshot.object_key:
+            data = await self._objects.get(self._snapshot.object_key)
             if data is None:
                 raise ProtocolError(
-                    f"snapshot {self._folded.object_key} is missing", step="replay"
+                    f"snapshot {self._snapshot.object_key} is missing", step="replay"
                 )
             state.load(data)
         return await self._replay(state)
 
     async def write_snapshot(
-        self, state: PartitionState, seq: int, place: JournalPosition
+        self, state: PartitionState, seq: int, position: JournalPosition
     ) -> None:
         """Store a snapshot of the state at ``seq``, then delete the rows up to it.
 
@@ -90,20 +90,20 @@
         """
         state.prune()
         data = state.dump()
-        if not self._known:
+        if not self._row_is_current:
             await self._read_row()
-        key = snapshot_object(self._partition, seq, place.epoch)
+        key = snapshot_object(self._partition, seq, position.epoch)
         await self._objects.put(key, data)
         row = orjson.dumps({"seq": seq, "object": key})
-        old = self._folded
+        old = self._snapshot
         # Without the version, a write whose answer was lost could land after the
         # next snapshot's, and name an object whose later rows are deleted.
         write = Write(snapshot_key(self._partition), row, expect=old.version)
-        self._known = False
-        versions = await self._commit(place, [write])
-        self._folded = Folded(seq, key, versions[write.key])
-        self._known = True
-        await self._delete_rows(place, seq)
+        self._row_is_current = False
+        versions = await self._commit(position, [write])
+        self._snapshot = SnapshotInfo(seq, key, versions[write.key])
+        self._row_is_current = True
+        await self._delete_rows(position, seq)
         if old.object_key and old.object_key != key:
             await self._objects.delete(old.object_key)
         log.info("batch: partition {} folded up to row {}", self._partition, seq)
@@ -111,15 +111,15 @@
     async def _read_row(self) -> None:
         key = snapshot_key(self._partition)
         row = (await self._table.read([key])).get(key)
-        self._known = True
+        self._row_is_current = True
         if row is None:
-            self._folded = Folded()
+            self._snapshot = SnapshotInfo()
             return
         document = orjson.loads(row.value)
-        self._folded = Folded(document["seq"], document["object"], row.version)
+        self._snapshot = SnapshotInfo(document["seq"], document["object"], row.version)
 
     async def _replay(self, state: PartitionState) -> int:
-        seq = self._folded.seq
+        seq = self._snapshot.seq
         prefix = journal_prefix(self._partition)
         after = ""
         first = 0
@@ -130,7 +130,7 @@
                 first = first or number
                 # Rows up to the snapshot are left over from a fold that was cut
                 # short between its commit and its deletes.
-                if number <= self._folded.seq:
+                if number <= self._snapshot.seq:
                     continue
                 if number != seq + 1:
                     raise ProtocolError(
@@ -141,27 +141,27 @@
             if len(rows) < PAGE_ROWS:
                 break
             after = rows[-1].key
-        self._first = first or seq + 1
+        self._first_row = first or seq + 1
         return seq
 
-    async def _delete_rows(self, place: JournalPosition, seq: int) -> None:
-        while self._first <= seq:
-            last = min(seq, self._first + DELETE_ROWS - 1)
-            numbers = range(self._first, last + 1)
+    async def _delete_rows(self, position: JournalPosition, seq: int) -> None:
+        while self._first_row <= seq:
+            last = min(seq, self._first_row + DELETE_ROWS - 1)
+            numbers = range(self._first_row, last + 1)
             deletes = [Write(journal_key(self._partition, n)) for n in numbers]
-            await self._commit(place, deletes)
-            self._first = last + 1
+            await self._commit(position, deletes)
+            self._first_row = last + 1
 
     async def _commit(
-        self, place: JournalPosition, writes: list[Write]
+        self, position: JournalPosition, writes: list[Write]
     ) -> dict[str, int]:
         check = Write(
-            partition_key(self._partition), expect=place.row_version, check_only=True
+            partition_key(self._partition), expect=position.row_version, check_only=True
         )
         result = await self._table.commit([check, *writes])
         if check.key in result.conflicts:
             raise FencedError(
-                f"partition {self._partition} at epoch {place.epoch}",
+                f"partition {self._partition} at epoch {position.epoch}",
                 step="snapshot.commit",
             )
         if not result.committed:
@@ -169,13 +169,13 @@
         return result.versions
 
 
-async def fold_quietly(
-    keeper: SnapshotManager, state: PartitionState, seq: int, place: JournalPosition
+async def try_write_snapshot(
+    manager: SnapshotManager, state: PartitionState, seq: int, position: JournalPosition
 ) -> bool:
     """Fold, and tell whether it worked; a store in trouble is no reason to stop."""
     try:
-        await keeper.write_snapshot(state, seq, place)
+        await manager.write_snapshot(state, seq, position)
     except StoreError as error:
-        log.notice("batch: partition {} not folded: {}", place.partition, error)
+        log.notice("batch: partition {} not folded: {}", position.partition, error)
         return False
     return True
--- a/pistachiodeal/batch/waiting.py
+++ b/pistachiodeal/batch/waiting.py
@@ -9,7 +9,7 @@
 from pistachiodeal.clock import Clock
 from pistachiodeal.model.tasks import TaskSpec
 
-Level = tuple[bool, int]
+LevelKey = tuple[bool, int]
 
 
 class WaitingTasks:
@@ -17,14 +17,14 @@
 
     def __init__(self, clock: Clock = time.monotonic) -> None:
         self._clock = clock
-        self._levels: dict[Level, dict[str, dict[str, None]]] = {}
-        self._places: dict[str, tuple[Level, str]] = {}
+        self._levels: dict[LevelKey, dict[str, dict[str, None]]] = {}
+        self._positions: dict[str, tuple[LevelKey, str]] = {}
         self._bytes: dict[str, int] = {}
         self._added_at: dict[str, float] = {}
         self._total_bytes = 0
 
     def __len__(self) -> int:
-        return len(self._places)
+        return len(self._positions)
 
     @property
     def total_bytes(self) -> int:
@@ -32,7 +32,7 @@
         return self._total_bytes
 
     @property
-    def levels(self) -> set[Level]:
+    def levels(self) -> set[LevelKey]:
         """Return the levels at which something waits."""
         return set(self._levels)
 
@@ -42,19 +42,19 @@
         level = (spec.urgent, urgency)
         teams = self._levels.setdefault(level, {})
         teams.setdefault(spec.team, {})[spec.task_id] = None
-        self._places[spec.task_id] = (level, spec.team)
+        self._positions[spec.task_id] = (level, spec.team)
         self._bytes[spec.task_id] = len(spec.payload)
         self._added_at[spec.task_id] = self._clock()
         self._total_bytes += len(spec.payload)
 
     def remove(self, task_id: str) -> None:
         """Take a task out, if it waits."""
-        place = self._places.pop(task_id, None)
-        if place is None:
+        position = self._positions.pop(task_id, None)
+        if position is None:
             return
         self._total_bytes -= self._bytes.pop(task_id)
         del self._added_at[task_id]
-        level, team = place
+        level, team = position
         teams = self._levels[level]
         del teams[team][task_id]
         if not teams[team]:
@@ -62,15 +62,15 @@
         if not teams:
             del self._levels[level]
 
-    def waited(self, task_id: str) -> float:
+    def compute_wait_s(self, task_id: str) -> float:
         """Return the seconds for which a task has waited here, 0 if it doesn't."""
         now = self._clock()
         return now - self._added_at.get(task_id, now)
 
-    def teams(self, level: Level) -> list[str]:
+    def teams(self, level: LevelKey) -> list[str]:
         """Return the teams with tasks at a level."""
         return list(self._levels.get(level, ()))
 
-    def first(self, level: Level, team: str, limit: int) -> Iterator[str]:
+    def list_oldest(self, level: LevelKey, team: str, limit: int) -> Iterator[str]:
         """Return the ids of a team's oldest tasks at a level."""
         return islice(self._levels.get(level, {}).get(team, ()), limit)
--- a/pistachiodeal/batch/workers.py
+++ b/pistachiodeal/batch/workers.py
@@ -12,8 +12,8 @@
 from pistachiodeal.model.resources import Resources
 from pistachiodeal.wire.messages import Report
 
-KNOWN_CAPACITIES = 10_000
-SETTLE_S = 10.0
+MAX_KNOWN_CAPACITIES = 10_000
+STARTUP_WAIT_S = 10.0
 REFUSAL_PAUSE_S = 1.0
 
 RunKey = tuple[str, int]
@@ -28,7 +28,7 @@
 
 
 @dataclass(slots=True)
-class _Reserved:
+class _Reservations:
     """Runs placed on a worker; those that no report has named yet hold room."""
 
     sizes: dict[RunKey, Resources] = field(default_factory=dict)
@@ -46,7 +46,7 @@
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._workers: dict[str, _Worker] = {}
-        self._reserved: dict[str, _Reserved] = {}
+        self._reserved: dict[str, _Reservations] = {}
         self._capacities: OrderedDict[str, Resources] = OrderedDict()
         self._first_report_at: float | None = None
         self._team_cpu: Counter[str] = Counter()
@@ -57,10 +57,10 @@
         return dict(self._team_cpu)
 
     @property
-    def settled(self) -> bool:
+    def startup_complete(self) -> bool:
         """Tell whether workers have had the time to announce themselves."""
         first = self._first_report_at
-        return first is not None and self._clock() - first >= SETTLE_S
+        return first is not None and self._clock() - first >= STARTUP_WAIT_S
 
     def open_session(self, session: WorkerSession) -> None:
         """Note a link; the latest one of a worker counts."""
@@ -87,7 +87,7 @@
             return 0.0
         return self._clock() - worker.opened_at
 
-    def note_report(self, session: WorkerSession, report: Report) -> bool:
+    def update_report(self, session: WorkerSession, report: Report) -> bool:
         """Take a report; False when the session is not the worker's current one."""
         worker = self._workers.get(session.worker)
         if worker is None or worker.session is not session:
@@ -97,7 +97,7 @@
             self._first_report_at = self._clock()
         self._capacities[session.worker] = report.capacity
         self._capacities.move_to_end(session.worker)
-        if len(self._capacities) > KNOWN_CAPACITIES:
+        if len(self._capacities) > MAX_KNOWN_CAPACITIES:
             self._capacities.popitem(last=False)
         reserved = self._reserved.get(session.worker)
         if reserved is not None:
@@ -105,7 +105,7 @@
                 reserved.unreported.pop((ref.task_id, ref.attempt), None)
         return True
 
-    def note_refused(self, worker: str) -> None:
+    def record_refusal(self, worker: str) -> None:
         """Leave a worker alone for a moment after it refused a start."""
         known = self._workers.get(worker)
         if known is not None:
@@ -121,7 +121,7 @@
 
     def add_run(self, worker: str, key: RunKey, size: Resources, team: str) -> None:
         """Reserve room for a run, from the decision on, before any await."""
-        reserved = self._reserved.setdefault(worker, _Reserved())
+        reserved = self._reserved.setdefault(worker, _Reservations())
         reserved.sizes[key] = size
         reserved.unreported[key] = size
         reserved.teams[team] += 1
@@ -141,11 +141,11 @@
         if not self._team_cpu[team]:
             del self._team_cpu[team]
 
-    def rooms(self) -> list[WorkerCandidate]:
+    def list_candidates(self) -> list[WorkerCandidate]:
         """Return the workers that may be given tasks now."""
         now = self._clock()
         return [
-            self._build_room(worker)
+            self._build_candidate(worker)
             for worker in self._workers.values()
             if worker.report is not None
             and not worker.report.draining
@@ -159,7 +159,7 @@
     def could_start(self, size: Resources) -> bool:
         """Tell whether a worker would hold this size once its tasks have ended."""
         return any(
-            size.fits(self._find_room_without_tasks(worker))
+            size.fits(self._compute_free_without_tasks(worker))
             for worker in self._workers.values()
         )
 
@@ -174,33 +174,33 @@
         """Return why a task of this size can never run."""
         return f"never fits: asks for {size}, the largest worker has {self.largest()}"
 
-    def _find_room_without_tasks(self, worker: _Worker) -> Resources:
+    def _compute_free_without_tasks(self, worker: _Worker) -> Resources:
         if worker.report is None:
             return Resources()
-        room = worker.report.free
+        free = worker.report.free
         reserved = self._reserved.get(worker.session.worker)
         if reserved is None:
-            return room
+            return free
         for key, size in reserved.sizes.items():
             if key not in reserved.unreported:
-                room = room + size
-        return room
+                free = free + size
+        return free
 
-    def _build_room(self, worker: _Worker) -> WorkerCandidate:
+    def _build_candidate(self, worker: _Worker) -> WorkerCandidate:
         assert worker.report is not None
         session = worker.session
-        room = worker.report.free
+        free = worker.report.free
         teams: Counter[str] = Counter()
         reserved = self._reserved.get(session.worker)
         if reserved is not None:
             teams = Counter(reserved.teams)
             for size in reserved.unreported.values():
-                room = room - size
+                free = free - size
         return WorkerCandidate(
             worker=session.worker,
             data_centre=session.data_centre,
             rack=session.rack,
             capacity=worker.report.capacity,
-            room=room,
+            free=free,
             teams=teams,
         )
--- a/tests/unit/fake_batch.py
+++ b/tests/unit/fake_batch.py
@@ -7,7 +7,7 @@
 import curio
 
 from pistachiodeal.batch.admission import TaskAdmission
-from pistachiodeal.batch.endings import EndHandler
+from pistachiodeal.batch.attempt_ends import AttemptEndHandler
 from pistachiodeal.batch.service import BatchService, create_batch_service
 from pistachiodeal.config.common import StoreSettings
 from pistachiodeal.config.entry import BatchSettings, EntrySettings
@@ -122,17 +122,17 @@
             clock,
             refresh_profiles=self.refresh_profiles,
         )
-        self.keeper = self.service._partition_manager
-        self.placer = self.service._placement_loop
+        self.manager = self.service._partition_manager
+        self.placement_loop = self.service._placement_loop
         self.context = self.service._context
-        self.desk = TaskAdmission(self.context)
-        self.endings = EndHandler(self.context)
+        self.admission = TaskAdmission(self.context)
+        self.end_handler = AttemptEndHandler(self.context)
 
     async def refresh_profiles(self) -> None:
         self.profiles.update(self.newer_profiles)
 
-    def host(self, task_id: str):
-        return self.service._find_host(task_id)
+    def server(self, task_id: str):
+        return self.service._find_server(task_id)
 
 
 class Run:
--- a/tests/unit/test_batch_forward.py
+++ b/tests/unit/test_batch_forwarder.py
@@ -5,7 +5,7 @@
 import curio
 import curio.socket as sockets
 
-from pistachiodeal.batch.forward import Forwarder
+from pistachiodeal.batch.forwarder import Forwarder
 from pistachiodeal.exceptions import LinkClosedError, Outcome, RequestError
 from pistachiodeal.web.messages import WebRequest
 from pistachiodeal.wire.identity import Identity
--- a/tests/unit/test_batch_late_ends.py
+++ b/tests/unit/test_batch_late_ends.py
@@ -8,7 +8,7 @@
 
 from pistachiodeal.model.tasks import TaskState
 from pistachiodeal.wire.task_messages import TaskEnded
-from tests.unit.test_batch_service import World, post
+from tests.unit.test_batch_service import BatchHarness, post
 
 
 @pytest.mark.parametrize("state", ["finished", "stopped"])
@@ -22,25 +22,25 @@
     """
 
     async def main():
-        world = World()
-        entry = world.entry("a")
-        await world.round(entry)
-        session = await world.connect(entry)
+        harness = BatchHarness()
+        entry = harness.entry("a")
+        await harness.round(entry)
+        session = await harness.connect(entry)
         answer = await entry.service.handle(post("k1"))
         task_id = orjson.loads(answer.body)["id"]
-        await world.place(entry, session)
-        world.agent.end(task_id, "expired", "")
-        late = next(iter(world.agent.ended.values()))
+        await harness.place(entry, session)
+        harness.agent.end(task_id, "expired", "")
+        late = next(iter(harness.agent.ended.values()))
         await entry.service.receive(session, late)
-        await world.deliver(entry, session)
-        await world.report(entry, session)
-        await world.place(entry, session)
-        assert world.agent.started == [(task_id, 1), (task_id, 2)]
+        await harness.deliver(entry, session)
+        await harness.report(entry, session)
+        await harness.place(entry, session)
+        assert harness.agent.started == [(task_id, 1), (task_id, 2)]
 
         again = TaskEnded(task_id, 1, state, "old", "", late.used, 0)
         await entry.service.receive(session, again)
-        await world.deliver(entry, session)
-        record = entry.host(task_id).state.find(task_id)
+        await harness.deliver(entry, session)
+        record = entry.server(task_id).state.find(task_id)
         assert (record.state, record.attempt) == (TaskState.PLACED, 2)
 
     curio.run(main)
--- a/tests/unit/test_batch_placement.py
+++ b/tests/unit/test_batch_placement.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from pistachiodeal.batch.placement import (
-    HOLD_S,
+    RESERVE_AFTER_S,
     PendingTask,
     PlacementPlanner,
     WorkerCandidate,
@@ -15,7 +15,7 @@
 BIG = Resources(8_000, 8_000)
 
 
-def room(name: str, rack: str, free: Resources = BIG) -> WorkerCandidate:
+def candidate(name: str, rack: str, free: Resources = BIG) -> WorkerCandidate:
     return WorkerCandidate(name, "dc1", rack, BIG, free)
 
 
@@ -23,11 +23,11 @@
     return PendingTask(name, 0, team, Resources(cpu, 100), **more)
 
 
-def plan(levels, rooms, quotas=None, held=None, usable=lambda worker: True):
+def plan(levels, candidates, quotas=None, held=None, usable=lambda worker: True):
     planner = PlacementPlanner(usable)
     return [
         (p.task.task_id, p.worker)
-        for p in planner.plan(levels, rooms, held or {}, quotas or {}, 0.0)
+        for p in planner.plan(levels, candidates, held or {}, quotas or {}, 0.0)
     ]
 
 
@@ -36,30 +36,30 @@
         {"b": [task("urgent", "b")]},
         {"a": [task("a1", "a"), task("a2", "a")], "b": [task("b1", "b", share=4)]},
     ]
-    one = [room("w", "r", Resources(3_000, 8_000))]
+    one = [candidate("w", "r", Resources(3_000, 8_000))]
     placed = [name for name, _ in plan(levels, one)]
     assert placed == ["urgent", "a1", "b1"]
-    one = [room("w", "r", Resources(3_000, 8_000))]
+    one = [candidate("w", "r", Resources(3_000, 8_000))]
     placed = [name for name, _ in plan(levels, one, {"a": 0})]
     assert placed == ["urgent", "b1"]
 
 
 def test_spreads_over_racks_and_never_over_the_room():
-    rooms = [room("w1", "r1"), room("w2", "r1"), room("w3", "r2")]
+    candidates = [candidate("w1", "r1"), candidate("w2", "r1"), candidate("w3", "r2")]
     levels = [{"t": [task(str(n), cpu=5_000) for n in range(5)]}]
-    placed = plan(levels, rooms)
+    placed = plan(levels, candidates)
     assert {worker for _, worker in placed} == {"w1", "w2", "w3"}
     assert len(placed) == 3
     assert placed[1][1] == "w3"
 
 
 def test_failed_task_goes_to_another_worker_and_quarantine_holds():
-    rooms = [room("w1", "r1"), room("w2", "r2")]
+    candidates = [candidate("w1", "r1"), candidate("w2", "r2")]
     levels = [{"t": [task("x", failed_workers=("w1",))]}]
-    assert plan(levels, rooms) == [("x", "w2")]
-    assert plan(levels, rooms, usable=lambda worker: worker != "w2") == []
+    assert plan(levels, candidates) == [("x", "w2")]
+    assert plan(levels, candidates, usable=lambda worker: worker != "w2") == []
     levels = [{"t": [task("x", failed_workers=("w1", "w2"))]}]
-    assert len(plan(levels, rooms)) == 1, "nowhere is new: tries again"
+    assert len(plan(levels, candidates)) == 1, "nowhere is new: tries again"
 
 
 def test_large_task_is_not_starved_by_small_ones():
@@ -71,10 +71,10 @@
     """
     planner = PlacementPlanner(lambda worker: True)
     small = Resources(2_000, 8_000)
-    for now in (0.0, HOLD_S):
-        rooms = [room("w1", "r1", small)]
+    for now in (0.0, RESERVE_AFTER_S):
+        candidates = [candidate("w1", "r1", small)]
         levels = [{"t": [task("large", cpu=8_000)]}, {"u": [task("small", "u")]}]
-        placed = planner.plan(levels, rooms, {}, {}, now)
+        placed = planner.plan(levels, candidates, {}, {}, now)
         assert [p.task.task_id for p in placed] == (["small"] if now == 0.0 else [])
 
 
@@ -83,6 +83,6 @@
     waiting = WaitingTasks(lambda: now[0])
     waiting.add(TaskSpec("0000-a", "press", "hall", "batch", Resources(1)), 0)
     now[0] = 101.5
-    assert waiting.waited("0000-a") == 1.5
+    assert waiting.compute_wait_s("0000-a") == 1.5
     waiting.remove("0000-a")
-    assert waiting.waited("0000-a") == 0
+    assert waiting.compute_wait_s("0000-a") == 0
--- a/tests/unit/test_batch_service.py
+++ b/tests/unit/test_batch_service.py
@@ -26,7 +26,7 @@
     monkeypatch.setattr(journal, "SETTLE_PAUSE_S", 0)
 
 
-class World:
+class BatchHarness:
     """One table, one clock, entries and agents."""
 
     def __init__(self) -> None:
@@ -46,7 +46,7 @@
 
     async def round(self, *entries: Entry) -> None:
         for entry in entries:
-            await entry.keeper.run_once()
+            await entry.manager.run_once()
         await settle()
 
     async def connect(self, entry: Entry, agent: Agent | None = None) -> Session:
@@ -56,7 +56,7 @@
         return session
 
     async def report(self, entry: Entry, session: Session) -> None:
-        owned = {h.owner.partition for h in entry.keeper.hosts()}
+        owned = {h.owner.partition for h in entry.manager.servers()}
         session.report = session.agent.report(owned)
         await entry.service.receive(session, session.report)
         await self.deliver(entry, session)
@@ -70,7 +70,7 @@
         await settle()
 
     async def place(self, entry: Entry, session: Session) -> None:
-        await entry.placer.run_once()
+        await entry.placement_loop.run_once()
         await self.deliver(entry, session)
 
     async def finish(self, entry: Entry, session: Session, task_id: str) -> None:
@@ -100,13 +100,13 @@
 
 def test_task_runs_once_and_its_key_is_known_afterwards():
     async def main():
-        world = World()
-        entry, session = await world.open("a")
+        harness = BatchHarness()
+        entry, session = await harness.open("a")
         task_id = await submit(entry, "k1")
-        await world.place(entry, session)
-        assert world.agent.started == [(task_id, 1)]
-        await world.finish(entry, session, task_id)
-        assert not world.agent.ended, "acknowledged"
+        await harness.place(entry, session)
+        assert harness.agent.started == [(task_id, 1)]
+        await harness.finish(entry, session, task_id)
+        assert not harness.agent.ended, "acknowledged"
         again = await entry.service.handle(post("k1"))
         document = orjson.loads(again.body)
         assert (again.status, document["state"]) == (200, "finished")
@@ -125,8 +125,8 @@
     """
 
     async def main():
-        world = World()
-        entry, _ = await world.open("a")
+        harness = BatchHarness()
+        entry, _ = await harness.open("a")
         entry.newer_profiles["fresh"] = Profile(name="fresh")
         body = orjson.dumps({**BODY, "profile": "fresh"})
         answer = await entry.service.handle(WebRequest("POST", "/tasks", (), body))
@@ -147,18 +147,18 @@
     """
 
     async def main():
-        world = World()
-        entry = world.entry("a")
-        await world.round(entry)
+        harness = BatchHarness()
+        entry = harness.entry("a")
+        await harness.round(entry)
         for fault in (Fault.LOST, Fault.DROPPED, Fault.DELAYED):
-            world.table.faults.append(fault)
+            harness.table.faults.append(fault)
             answer = await entry.service.handle(post(f"key-{fault}"))
             assert answer.status == 201
-            world.table.land_delayed()
+            harness.table.land_delayed()
             task_id = build_task_id("hall", f"key-{fault}", 2)
             assert (await call(entry, "GET", task_id))["state"] == "queued"
-        successor = world.entry("a", incarnation=2)
-        await world.round(successor)
+        successor = harness.entry("a", incarnation=2)
+        await harness.round(successor)
         for fault in (Fault.LOST, Fault.DROPPED, Fault.DELAYED):
             task_id = build_task_id("hall", f"key-{fault}", 2)
             assert (await call(successor, "GET", task_id))["state"] == "queued"
@@ -168,15 +168,15 @@
 
 def test_store_down_means_not_run_at_once():
     async def main():
-        world = World()
-        entry = world.entry("a")
-        await world.round(entry)
-        world.table.down = True
+        harness = BatchHarness()
+        entry = harness.entry("a")
+        await harness.round(entry)
+        harness.table.down = True
         with pytest.raises(RequestError) as caught:
             await entry.service.handle(post("k1"))
         assert caught.value.outcome is Outcome.NOT_RUN
         assert caught.value.retry_after is not None
-        world.table.down = False
+        harness.table.down = False
         answer = await entry.service.handle(post("k1"))
         assert answer.status == 201
 
@@ -192,10 +192,10 @@
     """
 
     async def main():
-        world = World()
-        entry = world.entry("a")
-        await world.round(entry)
-        world.table.faults.append(Fault.LOST)
+        harness = BatchHarness()
+        entry = harness.entry("a")
+        await harness.round(entry)
+        harness.table.faults.append(Fault.LOST)
         entry.gate.freeze()
         caller = await curio.spawn(entry.service.handle, post("k1"))
         await settle()
@@ -206,12 +206,14 @@
         entry.gate.freeze()
         await settle()
         task_id = build_task_id("hall", "k1", 2)
-        successor = world.entry("a", incarnation=2)
-        await world.round(successor)
-        host = successor.host(task_id)
-        assert host.state.find(task_id) is not None
-        place = host._journal._position
-        await host._keeper.write_snapshot(host.state, host._journal.seq, place)
+        successor = harness.entry("a", incarnation=2)
+        await harness.round(successor)
+        server = successor.server(task_id)
+        assert server.state.find(task_id) is not None
+        position = server._journal._position
+        await server._snapshot_manager.write_snapshot(
+            server.state, server._journal.seq, position
+        )
         await entry.gate.thaw()
         with pytest.raises(curio.TaskError) as caught:
             await caller.join()
@@ -229,27 +231,27 @@
     """
 
     async def main():
-        world = World()
-        first, session = await world.open("a")
+        harness = BatchHarness()
+        first, session = await harness.open("a")
         task_id = await submit(first, "k1")
-        await world.place(first, session)
-        second = world.entry("a", incarnation=2)
-        await world.round(second)
-        other = Agent("w2", world.clock)
-        link = await world.connect(second, other)
+        await harness.place(first, session)
+        second = harness.entry("a", incarnation=2)
+        await harness.round(second)
+        other = Agent("w2", harness.clock)
+        link = await harness.connect(second, other)
         for _ in range(20):
-            world.clock.now += 2.0
-            await world.round(second)
-            await world.report(second, link)
-            await world.place(second, link)
-            world.agent.expire()
-            assert not (world.agent.runs and other.runs)
+            harness.clock.now += 2.0
+            await harness.round(second)
+            await harness.report(second, link)
+            await harness.place(second, link)
+            harness.agent.expire()
+            assert not (harness.agent.runs and other.runs)
         assert other.started == []
-        world.clock.now += 30.0
-        await world.round(second)
-        await world.report(second, link)
-        await world.place(second, link)
-        await world.place(second, link)
+        harness.clock.now += 30.0
+        await harness.round(second)
+        await harness.report(second, link)
+        await harness.place(second, link)
+        await harness.place(second, link)
         assert other.started == [(task_id, 2)]
 
     curio.run(main)
@@ -265,19 +267,19 @@
     """
 
     async def main():
-        world = World()
-        old, stale = await world.open("a")
-        new = world.entry("a", incarnation=2)
-        await world.round(new)
-        session = await world.connect(new)
+        harness = BatchHarness()
+        old, stale = await harness.open("a")
+        new = harness.entry("a", incarnation=2)
+        await harness.round(new)
+        session = await harness.connect(new)
         task_id = await submit(new, "k1")
-        await world.place(new, session)
-        world.agent.end(task_id, "finished", "done")
-        for ended in list(world.agent.ended.values()):
+        await harness.place(new, session)
+        harness.agent.end(task_id, "finished", "done")
+        for ended in list(harness.agent.ended.values()):
             await old.service.receive(stale, ended)
-        await world.deliver(old, stale)
-        assert world.agent.ended, "still waiting for the true owner"
-        assert old.host(task_id) is None, "found out that it was replaced"
+        await harness.deliver(old, stale)
+        assert harness.agent.ended, "still waiting for the true owner"
+        assert old.server(task_id) is None, "found out that it was replaced"
 
     curio.run(main)
 
@@ -289,16 +291,16 @@
     """
 
     async def main():
-        world = World()
-        entry, _ = await world.open("a")
+        harness = BatchHarness()
+        entry, _ = await harness.open("a")
         ids = [await submit(entry, f"k{number}") for number in range(40)]
-        before = world.table.commits
+        before = harness.table.commits
         cancels = [await curio.spawn(call, entry, "DELETE", name) for name in ids]
         states = [(await cancel.join())["state"] for cancel in cancels]
         assert set(states) == {"cancelled"}
         partitions = entry.context.settings.batch.partitions
         # A row that is on its way when the burst comes, then one for all the rest.
-        assert world.table.commits - before <= 2 * partitions
+        assert harness.table.commits - before <= 2 * partitions
 
     curio.run(main)
 
@@ -310,41 +312,41 @@
     """
 
     async def main():
-        world = World()
+        harness = BatchHarness()
         owned = {"partitions": 64}
-        dead = Entry("a", world.table, world.objects, world.clock, **owned)
+        dead = Entry("a", harness.table, harness.objects, harness.clock, **owned)
         for _ in range(64):
-            await world.round(dead)
-        assert len(dead.keeper.hosts()) == 64
-        heir = Entry("b", world.table, world.objects, world.clock, **owned)
-        await world.round(heir)
-        world.clock.now += 60.0
-        await world.round(heir)
-        first = len(heir.keeper.hosts())
+            await harness.round(dead)
+        assert len(dead.manager.servers()) == 64
+        successor = Entry("b", harness.table, harness.objects, harness.clock, **owned)
+        await harness.round(successor)
+        harness.clock.now += 60.0
+        await harness.round(successor)
+        first = len(successor.manager.servers())
         for _ in range(64):
-            await world.round(heir)
+            await harness.round(successor)
         assert 0 < first < 64
-        assert len(heir.keeper.hosts()) == 64
+        assert len(successor.manager.servers()) == 64
 
     curio.run(main)
 
 
 def test_cancel_and_finish_have_one_winner():
     async def main():
-        world = World()
-        entry, session = await world.open("a")
+        harness = BatchHarness()
+        entry, session = await harness.open("a")
         ids = []
         for key in ("queued", "placed"):
             ids.append(await submit(entry, key))
             if key == "queued":
                 document = await call(entry, "DELETE", ids[0])
                 assert document["state"] == "cancelled"
-        await world.place(entry, session)
-        assert world.agent.started == [(ids[1], 1)], "the cancelled one never starts"
-        world.agent.end(ids[1], "finished", "done")
+        await harness.place(entry, session)
+        assert harness.agent.started == [(ids[1], 1)], "the cancelled one never starts"
+        harness.agent.end(ids[1], "finished", "done")
         canceller = await curio.spawn(call, entry, "DELETE", ids[1])
-        await world.deliver(entry, session)
-        await world.deliver(entry, session)
+        await harness.deliver(entry, session)
+        await harness.deliver(entry, session)
         document = await canceller.join()
         assert (document["status"], document["state"]) == (200, "finished")
 
@@ -353,25 +355,25 @@
 
 def test_handover_keeps_tasks_and_runs():
     async def main():
-        world = World()
-        first, second = world.entry("a"), world.entry("b")
-        await world.round(first)
-        session = await world.connect(first)
+        harness = BatchHarness()
+        first, second = harness.entry("a"), harness.entry("b")
+        await harness.round(first)
+        session = await harness.connect(first)
         ids = []
         for n in range(8):
             ids.append(await submit(first, f"k{n}"))
-        await world.place(first, session)
-        started = list(world.agent.started)
-        await world.round(second)
+        await harness.place(first, session)
+        started = list(harness.agent.started)
+        await harness.round(second)
         await first.service.drain()
-        await world.round(second)
-        link = await world.connect(second)
+        await harness.round(second)
+        link = await harness.connect(second)
         for _ in range(10):
-            world.clock.now += 1.0
-            await world.round(second)
-            await world.report(second, link)
-        assert world.agent.started == started, "adopted, not started again"
-        states = {second.host(i).state.find(i).state for i in ids}
+            harness.clock.now += 1.0
+            await harness.round(second)
+            await harness.report(second, link)
+        assert harness.agent.started == started, "adopted, not started again"
+        states = {second.server(i).state.find(i).state for i in ids}
         assert states == {TaskState.PLACED, TaskState.QUEUED}
 
     curio.run(main)
@@ -387,17 +389,17 @@
     """
 
     async def main():
-        world = World()
-        entry, session = await world.open("a")
+        harness = BatchHarness()
+        entry, session = await harness.open("a")
         task_id = await submit(entry, "k1")
-        await world.place(entry, session)
-        runs = entry.host(task_id).runs
+        await harness.place(entry, session)
+        runs = entry.server(task_id).runs
         refs = session.agent.report({0, 1}).tasks
-        grant, stops = runs.answer(session, refs)
+        grant, stops = runs.answer_report(session, refs)
         assert grant is not None
         assert not stops
         stale = replace(refs[0], task_id=f"{task_id[:5]}gone")
-        grant, stops = runs.answer(session, (*refs, stale))
+        grant, stops = runs.answer_report(session, (*refs, stale))
         assert grant is None
         assert [stop.task_id for stop in stops] == [stale.task_id]
 
@@ -413,40 +415,40 @@
     """
 
     async def main():
-        world = World()
-        entry, session = await world.open("a")
+        harness = BatchHarness()
+        entry, session = await harness.open("a")
         for key in ("k1", "k2"):
             await entry.service.handle(post(key))
-        await world.place(entry, session)
-        lease = next(iter(world.agent.runs.values())).lease_until
-        world.clock.now += 10.0
-        await world.report(entry, session)
-        assert next(iter(world.agent.runs.values())).lease_until == lease
+        await harness.place(entry, session)
+        lease = next(iter(harness.agent.runs.values())).lease_until
+        harness.clock.now += 10.0
+        await harness.report(entry, session)
+        assert next(iter(harness.agent.runs.values())).lease_until == lease
         with pytest.raises(RequestError) as caught:
             await entry.service.handle(post("k3"))
         assert caught.value.outcome is Outcome.NOT_RUN
-        await world.round(entry)
-        await world.report(entry, session)
-        assert next(iter(world.agent.runs.values())).lease_until > lease
+        await harness.round(entry)
+        await harness.report(entry, session)
+        assert next(iter(harness.agent.runs.values())).lease_until > lease
 
     curio.run(main)
 
 
 def test_task_under_way_is_not_decided_twice():
     async def main():
-        world = World()
-        entry, session = await world.open("a")
+        harness = BatchHarness()
+        entry, session = await harness.open("a")
         task_id = await submit(entry, "k1")
         entry.gate.freeze()  # the table's answers are held back
-        await entry.placer.run_once()
-        await entry.placer.run_once()
+        await entry.placement_loop.run_once()
+        await entry.placement_loop.run_once()
         with pytest.raises(RequestError) as caught:
             await call(entry, "DELETE", task_id)
         assert caught.value.code == "in_progress"
         await entry.gate.thaw()
-        await world.deliver(entry, session)
-        assert world.agent.started == [(task_id, 1)]
-        assert len(entry.host(task_id).state.placed) == 1
+        await harness.deliver(entry, session)
+        assert harness.agent.started == [(task_id, 1)]
+        assert len(entry.server(task_id).state.placed) == 1
 
     curio.run(main)
 
@@ -460,17 +462,17 @@
     """
 
     async def main():
-        world = World()
-        first = world.entry("e0")
-        await world.round(first)
-        owned = {host.owner.partition for host in first.keeper.hosts()}
+        harness = BatchHarness()
+        first = harness.entry("e0")
+        await harness.round(first)
+        owned = {server.owner.partition for server in first.manager.servers()}
         first.gate.freeze()
-        again, other = world.entry("e0", incarnation=2), world.entry("e1")
+        again, other = harness.entry("e0", incarnation=2), harness.entry("e1")
         for _ in range(15):
-            world.clock.now += 1.0
-            await world.round(other, again)
-        held = [again.keeper.serving_hosts(), other.keeper.serving_hosts()]
-        partitions = [host.owner.partition for hosts in held for host in hosts]
+            harness.clock.now += 1.0
+            await harness.round(other, again)
+        held = [again.manager.list_serving(), other.manager.list_serving()]
+        partitions = [server.owner.partition for servers in held for server in servers]
         assert sorted(partitions) == sorted(owned)
         assert all(held), "both have their share"
 
@@ -487,17 +489,17 @@
     """
 
     async def main():
-        world = World()
-        first, other = world.entry("e1"), world.entry("e0")
-        world.table.faults.extend([Fault.NONE, Fault.DELAYED])
+        harness = BatchHarness()
+        first, other = harness.entry("e1"), harness.entry("e0")
+        harness.table.faults.extend([Fault.NONE, Fault.DELAYED])
         with pytest.raises(StoreUncertainError):
-            await first.keeper.run_once()
-        await other.context.membership.beat({})
-        world.table.land_delayed()
+            await first.manager.run_once()
+        await other.context.membership.send_heartbeat({})
+        harness.table.land_delayed()
         for _ in range(15):
-            world.clock.now += 1.0
-            await world.round(first, other)
-        held = [*first.keeper.serving_hosts(), *other.keeper.serving_hosts()]
-        assert sorted(host.owner.partition for host in held) == [0, 1]
+            harness.clock.now += 1.0
+            await harness.round(first, other)
+        held = [*first.manager.list_serving(), *other.manager.list_serving()]
+        assert sorted(server.owner.partition for server in held) == [0, 1]
 
     curio.run(main)
--- a/tests/unit/test_fuzz_batch.py
+++ b/tests/unit/test_fuzz_batch.py
@@ -128,15 +128,15 @@
             self.drive(self.run_once, target)
 
     async def run_once(self, entry: Entry) -> None:
-        if not entry.keeper._round.locked():
-            async with entry.keeper._round:
-                await entry.keeper.run_once()
+        if not entry.manager._round_lock.locked():
+            async with entry.manager._round_lock:
+                await entry.manager.run_once()
 
     @rule(entry=INDEX, fault=FAULT)
     def place(self, entry: int, fault: Fault = Fault.NONE) -> None:
         if not self.entries[entry].gate.frozen:
             self.table.faults.appendleft(fault)
-            self.drive(self.entries[entry].placer.run_once)
+            self.drive(self.entries[entry].placement_loop.run_once)
 
     @rule(entry=INDEX, fault=FAULT)
     def submit(self, entry: int, fault: Fault = Fault.NONE) -> None:
@@ -168,7 +168,7 @@
             session = Session(self.agents[agent], target.gate)
             self.links[entry, agent] = session
             target.service.session_opened(session)
-        owned = {host.owner.partition for host in target.keeper.hosts()}
+        owned = {server.owner.partition for server in target.manager.servers()}
         session.report = session.agent.report(owned)
         # A frozen entry reads the report once it is thawed.
         self.drive(self.receive, target, session, session.report)
@@ -291,8 +291,8 @@
     def check_end(self) -> None:
         records = {}
         for entry in self.entries:
-            for host in entry.keeper.serving_hosts():
-                records |= host.state._records
+            for server in entry.manager.list_serving():
+                records |= server.state._records
         assert self.admitted <= set(records), "a task was lost"
         refused = {build_task_id("hall", key, 1) for key in self.refused}
         assert not refused & set(records), "not run was told of what ran"
