--- a/pistachiodeal/batch/append_request.py
+++ b/pistachiodeal/batch/append_request.py
@@ -1,4 +1,4 @@
-"""What an owner asks its partition's journal to write, and where."""
+"""Requests to append events to a partition's journal, and positions in it."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 @dataclass(eq=False, slots=True)
 class AppendRequest:
-    """Events that are to become durable together.
-
-    :ivar payload: size of what callers and tasks wrote into the events, characters.
-    :ivar outcome: None until settled; then ``ran`` (durable), ``not_run`` (no
-        effect, for certain) or ``unknown``.
-    :ivar on_settled: called without an await once settled, after the events were
-        applied; returns the messages to be sent.
-    :ivar retry_after: after how many seconds another try makes sense.
+    """Events that become durable together.
+
+    :ivar payload: size of the data from callers and tasks in the events, characters.
+    :ivar on_settled: called once the outcome is known, after the events were
+        applied and without an await in between; returns the messages to send.
+    :ivar outcome: None until settled; then ``ran`` (durable), ``not_run``
+        (definitely no effect) or ``unknown``.
+    :ivar retry_after: seconds after which the caller may retry.
     """
 
     events: tuple[Event, ...]
@@ -40,10 +40,10 @@
 
 @dataclass(frozen=True, slots=True)
 class JournalPosition:
-    """Where an owner stands in a partition's journal.
+    """The position of an owner in a partition's journal.
 
-    :param row_version: version of the partition row that makes it the owner.
-    :param seq: the last journal row there is.
+    :param row_version: version of the partition row that names this owner.
+    :param seq: number of the last journal row.
     """
 
     partition: int
--- a/pistachiodeal/batch/checkpoints.py
+++ b/pistachiodeal/batch/checkpoints.py
@@ -1,4 +1,4 @@
-"""Removes checkpoints that no attempt will resume from any more."""
+"""Deletes checkpoints from which no attempt will resume."""
 
 from __future__ import annotations
 
@@ -17,21 +17,24 @@
 
 
 class CheckpointCleaner:
-    """Deletes superseded checkpoints; over its limit it leaves some behind."""
+    """Deletes superseded checkpoints; drops the oldest keys when its queue is full."""
 
     def __init__(self, objects: ObjectStore) -> None:
         self._objects = objects
         self._keys: deque[str] = deque(maxlen=MAX_QUEUED)
 
     def enqueue_superseded(self, before: str, record: TaskRecord) -> None:
-        """Compare a record's checkpoint with the one before a durable event."""
+        """Queue the checkpoints that a durable event has made obsolete.
+
+        :param before: checkpoint of the record before the event.
+        """
         if before and before != record.checkpoint:
             self._keys.append(before)
         if record.state.final and record.checkpoint:
             self._keys.append(record.checkpoint)
 
     async def clean(self) -> None:
-        """Delete a few; those that fail are tried again later."""
+        """Delete up to ``BURST`` checkpoints; failed deletes are retried later."""
         for _ in range(min(BURST, len(self._keys))):
             key = self._keys.popleft()
             try:
--- a/pistachiodeal/batch/completion_waiters.py
+++ b/pistachiodeal/batch/completion_waiters.py
@@ -1,4 +1,4 @@
-"""Callers who wait a moment for a task to end."""
+"""Callers that wait for a task to end."""
 
 from __future__ import annotations
 
@@ -10,7 +10,10 @@
 
 
 class CompletionWaiters:
-    """Wakes those who wait for a task's final state; bounded."""
+    """Wakes callers when a task reaches its final state.
+
+    At most ``MAX_WAITED_TASKS`` tasks can be waited for at the same time.
+    """
 
     def __init__(self) -> None:
         self._events: dict[str, curio.Event] = {}
@@ -18,24 +21,26 @@
         self._ended: list[curio.Event] = []
 
     def update(self, record: TaskRecord) -> None:
-        """Note a changed record; called where nothing may be awaited."""
+        """Process a changed record; callable where nothing may be awaited."""
         if record.state.final and record.spec.task_id in self._events:
             self._ended.append(self._events.pop(record.spec.task_id))
 
     async def wake_ended(self) -> None:
-        """Wake those whose task has ended since the last call."""
+        """Wake the callers whose task has ended since the last call."""
         ended, self._ended = self._ended, []
         for event in ended:
             await event.set()
 
     async def wake_all(self) -> None:
-        """Let every caller go on: the partition is no longer served here."""
+        """Wake every caller because the partition is no longer served here."""
         self._ended.extend(self._events.values())
         self._events.clear()
         await self.wake_ended()
 
     async def wait(self, task_id: str, timeout: float) -> None:
-        """Wait until the task ends, or the time is over.
+        """Wait until the task ends or the timeout expires.
+
+        Return at once when too many tasks are waited for.
 
         :param timeout: seconds.
         """
--- a/pistachiodeal/batch/events.py
+++ b/pistachiodeal/batch/events.py
@@ -1,4 +1,4 @@
-"""Events of a partition's journal, and their JSON form."""
+"""Events of a partition's journal and their JSON form."""
 
 from __future__ import annotations
 
@@ -18,10 +18,12 @@
     FAILED = "failed"  # the task itself failed on its worker
     STOPPED = "stopped"  # evicted, or its worker was drained
     EXPIRED = "expired"  # its lease ran out
-    REFUSED = "refused"  # it was never started
-    CHECKPOINT_MISSING = "checkpoint_missing"  # nor could it be, from that one
-    VANISHED = "vanished"  # its worker ended under it soon after its start
-    LOST = "lost"  # its worker was not heard of until the lease was over
+    REFUSED = "refused"  # its agent never started it
+    CHECKPOINT_MISSING = (
+        "checkpoint_missing"  # not started: its checkpoint does not exist
+    )
+    VANISHED = "vanished"  # its worker crashed soon after its start
+    LOST = "lost"  # its worker was out of contact until the lease ended
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,11 +40,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Placed:
-    """An attempt may run on a worker from now on.
+    """An attempt was placed and may run on a worker from now on.
 
-    :param size: what is reserved for it.
-    :param lease_ms: task lease, which a later owner has to wait for even if the
-        profile has changed since.
+    :param size: resources reserved for the attempt.
+    :param lease_ms: task lease. A later owner waits for this lease, even if the
+        profile has changed in the meantime.
     """
 
     task_id: str
@@ -54,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Requeued:
-    """An attempt is over for certain, and the task waits for its next one."""
+    """An attempt has definitely ended, and the task waits for its next attempt."""
 
     task_id: str
     attempt: int
@@ -65,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Finished:
-    """An attempt gave the task's result."""
+    """An attempt completed and returned the result of the task."""
 
     task_id: str
     attempt: int
@@ -74,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """The task will not be tried again."""
+    """The task failed for good and is not retried."""
 
     task_id: str
     attempt: int
@@ -83,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAsked:
-    """A caller cancelled: a waiting task ends now, a placed one once stopped."""
+    """A caller cancelled: a queued task ends at once, a placed one once stopped."""
 
     task_id: str
 
@@ -102,14 +104,14 @@
 
 
 def encode_events(events: Iterable[Event]) -> list[dict[str, Any]]:
-    """Return what orjson turns into the JSON form of events."""
+    """Return events as documents that orjson can serialize."""
     return [{"event": _TAGS[type(event)], "fields": event} for event in events]
 
 
 def decode_events(documents: Iterable[dict[str, Any]]) -> list[Event]:
     """Return the events of a journal row.
 
-    :raises ProtocolError: a document is no event of this version.
+    :raises ProtocolError: a document is not an event known to this version.
     """
     return [_decode_event(document) for document in documents]
 
@@ -137,4 +139,6 @@
             fields["cause"] = RequeueCause(fields["cause"])
         return kind(**fields)
     except (KeyError, TypeError, ValueError) as error:
-        raise ProtocolError(f"no journal event: {error!r}", step="replay") from error
+        raise ProtocolError(
+            f"invalid journal event: {error!r}", step="replay"
+        ) from error
--- a/pistachiodeal/batch/journal.py
+++ b/pistachiodeal/batch/journal.py
@@ -1,4 +1,4 @@
-"""A partition's journal: one writer, fenced by an epoch, with group commit."""
+"""The journal of a partition: a single writer, fenced by epoch, with group commit."""
 
 from __future__ import annotations
 
@@ -37,15 +37,15 @@
 
 
 class Journal:
-    """Appends events for a partition's owner.
+    """Appends events for the owner of a partition.
 
-    The owner is the only writer and decides conflicts in memory before it
-    appends, so that a row never fails because of one of its events.
+    The owner is the only writer and resolves conflicts in memory before it appends,
+    so a row never fails because of one of its events.
 
-    :param apply: called for each durable event, in journal order, with no await
-        between the commit's answer and the call.
-    :param enqueue_message: takes the messages that a settled append asks for.
-    :param after_row: called once the events of a row are applied.
+    :param apply: called for each durable event, in journal order, without an await
+        between the response to the commit and the call.
+    :param enqueue_message: sends the messages that a settled append returns.
+    :param after_row: called once the events of a row have been applied.
     """
 
     def __init__(
@@ -78,22 +78,22 @@
 
     @property
     def rows(self) -> int:
-        """Return how many rows this owner has written."""
+        """Return the number of rows this owner has written."""
         return self._rows
 
     @property
     def stalled(self) -> bool:
-        """Tell whether a row's fate is being settled, so that appends wait."""
+        """Return whether appends wait until the outcome of an earlier row is known."""
         return self._unsettled
 
     @property
     def idle(self) -> bool:
-        """Tell whether nothing waits and nothing is under way."""
+        """Return whether no append is pending and no row has an unknown outcome."""
         return not self._pending and not self._unsettled
 
     @property
     def full(self) -> bool:
-        """Tell whether no further append is taken."""
+        """Return whether further appends are rejected."""
         return self._closed or len(self._pending) >= MAX_PENDING
 
     async def submit(self, append: AppendRequest) -> None:
@@ -105,7 +105,7 @@
         await self._wake.set()
 
     async def withdraw(self, append: AppendRequest) -> bool:
-        """Take back an append that is not on its way to the table yet."""
+        """Withdraw an append that has not been sent to the table yet."""
         try:
             self._pending.remove(append)
         except ValueError:
@@ -186,11 +186,13 @@
     async def _resolve_uncertain(
         self, batch: list[AppendRequest], writes: Sequence[Write], nonce: str
     ) -> None:
-        # The commit may have taken effect, or may do so later. Reading an absent
-        # row back proves nothing, since the commit may still be under way; a
-        # caller told "not run" would then find the task run. The same row is
-        # written again until one of the tries is known to fill its place.
-        log.notice("batch: fate of row {} is being settled", writes[1].key)
+        # The commit may have taken effect, or may still do so. That the row is absent
+        # when read back proves nothing, because the commit may still be in flight: a
+        # caller that got "not run" could then find that its task ran. The same row
+        # is written again until one of the attempts is known to have committed.
+        log.notice(
+            "batch: outcome of the commit of {} unknown, retrying", writes[1].key
+        )
         self._unsettled = True
         pause = SETTLE_PAUSE_S
         while True:
@@ -219,11 +221,11 @@
         if key in rows:
             ours = orjson.loads(rows[key].value)["nonce"] == nonce
             return Outcome.RAN if ours else Outcome.NOT_RUN
-        # A successor may have folded our row into its snapshot and deleted it; an
-        # owner that wakes from a long freeze would otherwise take the missing row
-        # for a write without effect and tell its caller so.
-        folded = snapshot in rows and read_snapshot_seq(rows[snapshot]) > self._seq
-        return Outcome.UNKNOWN if folded else Outcome.NOT_RUN
+        # A successor may have included this row in its snapshot and deleted it. An
+        # owner that resumes after a long freeze would otherwise treat the missing row
+        # as a write without effect and report "not run" to its caller.
+        in_snapshot = snapshot in rows and read_snapshot_seq(rows[snapshot]) > self._seq
+        return Outcome.UNKNOWN if in_snapshot else Outcome.NOT_RUN
 
     async def _apply_batch(self, batch: list[AppendRequest]) -> None:
         self._seq += 1
--- a/pistachiodeal/batch/keys.py
+++ b/pistachiodeal/batch/keys.py
@@ -21,7 +21,7 @@
 
 
 def journal_prefix(partition: int) -> str:
-    """Return the common start of a partition's journal keys."""
+    """Return the common prefix of the keys of a partition's journal."""
     return f"journal/{partition:04d}/"
 
 
@@ -36,20 +36,20 @@
 
 
 def snapshot_object(partition: int, seq: int, epoch: int) -> str:
-    """Return the object key of a snapshot; owners never share one."""
+    """Return the object key of a snapshot; each epoch writes its own objects."""
     return f"snapshot/{partition:04d}/{seq:012d}-{epoch}"
 
 
 def read_snapshot_seq(row: Row) -> int:
-    """Return the last journal row that a partition's snapshot holds."""
+    """Return the number of the last journal row that a snapshot includes."""
     return int(orjson.loads(row.value)["seq"])
 
 
 def build_task_id(team: str, idempotency_key: str, partitions: int) -> str:
-    """Return a task's id; the same team and key always give the same one.
+    """Return the id of a task; the same team and key always give the same id.
 
-    The key is hashed with SHA-256, since callers choose it: with a weaker hash
-    one could be made whose task id is another's.
+    The key is hashed with SHA-256 because callers choose it: with a weaker hash a
+    caller could construct a key whose task id collides with that of another task.
     """
     key = f"{team}\0{idempotency_key}".encode()
     partition = xxhash.xxh64_intdigest(key) % partitions
@@ -58,7 +58,7 @@
 
 
 def parse_partition(task_id: str, partitions: int) -> int | None:
-    """Return the partition of a task id, None when it is none of ours."""
+    """Return the partition of a task id, None if the id is not valid."""
     head, dash, rest = task_id.partition("-")
     plain = head.isascii() and head.isdigit() and len(head) == _PARTITION_DIGITS
     if not (plain and dash and rest):
--- a/pistachiodeal/batch/partition.py
+++ b/pistachiodeal/batch/partition.py
@@ -1,4 +1,4 @@
-"""A partition's state in memory: exactly what its journal says."""
+"""The in-memory state of a partition, built from its journal alone."""
 
 from __future__ import annotations
 
@@ -32,10 +32,10 @@
 
 
 class PartitionState:
-    """Records of the tasks of a partition, changed by durable events only.
+    """The task records of a partition, changed by durable events only.
 
-    An owner applies an event after its journal row is durable, and a successor
-    applies the same events in the same order, so both come to the same state.
+    An owner applies an event once its journal row is durable. A successor applies
+    the same events in the same order, so both arrive at the same state.
     """
 
     def __init__(
@@ -52,11 +52,11 @@
         return len(self._records)
 
     def find(self, task_id: str) -> TaskRecord | None:
-        """Return a task's record, None if there is none (any more)."""
+        """Return the record of a task, None if it is unknown or was pruned."""
         return self._records.get(task_id)
 
     def apply(self, event: Event) -> TaskRecord | None:
-        """Apply a durable event; one that doesn't fit the state has no effect."""
+        """Apply a durable event; one that does not match the state has no effect."""
         if isinstance(event, Submitted):
             return self._apply_submitted(event)
         record = self._records.get(event.task_id)
@@ -65,7 +65,11 @@
         if isinstance(event, CancelAsked):
             return self._apply_cancel(record)
         if event.attempt != record.attempt:
-            log.error("batch: event of attempt {} ignored: {}", event.attempt, event)
+            log.error(
+                "batch: event for attempt {} is not current, ignored: {}",
+                event.attempt,
+                event,
+            )
             return None
         if isinstance(event, Placed):
             return self._apply_placed(record, event)
@@ -74,20 +78,20 @@
         return self._apply_end(record, event)
 
     def matches(self, record: TaskRecord, spec: TaskSpec) -> bool:
-        """Tell whether a submission repeats the one that made this record."""
+        """Return whether a submission repeats the one that created this record."""
         if record.state.final:
             spec = replace(spec, payload="")
         return record.spec == spec
 
     def prune(self) -> None:
-        """Drop the oldest of the ended tasks over the limit."""
+        """Remove the oldest ended tasks above the limit."""
         while len(self._ended) > self._max_ended:
             task_id = next(iter(self._ended))
             del self._ended[task_id]
             del self._records[task_id]
 
     def dump(self) -> bytes:
-        """Return the snapshot form of this state."""
+        """Return this state in its snapshot form."""
         return orjson.dumps(
             {
                 "records": list(self._records.values()),
@@ -96,7 +100,7 @@
         )
 
     def load(self, data: bytes) -> None:
-        """Take over a snapshot."""
+        """Load a snapshot into this empty state."""
         document = orjson.loads(data)
         for item in document["records"]:
             self._insert(_decode_record(item))
@@ -105,7 +109,7 @@
             self.placed[placed.task_id] = placed
 
     def describe(self) -> dict[str, int]:
-        """Return counts for the operators."""
+        """Return task counts for the status page."""
         return {
             "waiting": len(self.waiting),
             "placed": len(self.placed),
@@ -195,7 +199,7 @@
 
 
 def describe_task(record: TaskRecord) -> dict[str, Any]:
-    """Return what a caller is told of a task."""
+    """Return the fields of a task that callers see."""
     document = asdict(record)
     spec = document.pop("spec")
     spec.pop("payload")
@@ -209,9 +213,9 @@
 
 
 def _record_missing_checkpoint(record: TaskRecord) -> None:
-    # An object that was lost for good would have the task placed and refused for
-    # ever, seen as refusals with no end and a task that never runs. A store may
-    # show an object late, so the work in it is given up only after some tries.
+    # If the object is lost for good, the task would be placed and refused for ever
+    # and never run. An object store may make an object visible late, so the
+    # checkpoint is discarded only after several attempts.
     record.checkpoint_misses += 1
     if record.checkpoint_misses >= MAX_CHECKPOINT_MISSES:
         record.checkpoint = ""
--- a/pistachiodeal/batch/partition_server.py
+++ b/pistachiodeal/batch/partition_server.py
@@ -1,4 +1,4 @@
-"""One owned partition: its state, its journal and the messages it sends."""
+"""Serves one owned partition: its state, its journal and its messages to agents."""
 
 from __future__ import annotations
 
@@ -59,34 +59,34 @@
 
     @property
     def owner(self) -> OwnerRow:
-        """Return the row by which this entry owns the partition."""
+        """Return the row that names this entry the owner of the partition."""
         return self._owner
 
     @property
     def serving(self) -> bool:
-        """Tell whether the journal is read and new work may be taken."""
+        """Return whether the journal is loaded and new work is accepted."""
         return self._journal is not None and not self._closing
 
     @property
     def stalled(self) -> bool:
-        """Tell whether an append would have to wait for an unsettled one."""
+        """Return whether appends would wait for an unsettled one or be rejected."""
         return self._journal is None or self._journal.stalled or self._journal.full
 
     @property
     def has_authority(self) -> bool:
-        """Tell whether leases may be granted and starts be sent right now."""
+        """Return whether leases may be granted and starts may be sent now."""
         return self.serving and self._context.membership.has_authority(
             self._owner.partition, self._owner.epoch
         )
 
     @property
     def may_propose(self) -> bool:
-        """Tell whether a round may put decisions of its own on their way."""
+        """Return whether a placement round may propose events now."""
         paused = self._context.clock() < self._paused_until
         return self.serving and not self.stalled and not paused
 
     def is_locked(self, task_id: str) -> bool:
-        """Tell whether an event of this task is on its way to the journal."""
+        """Return whether an event of this task is being appended to the journal."""
         return task_id in self._locked
 
     def prepare(
@@ -95,10 +95,10 @@
         on_settled: Callable[[Outcome], Sequence[OutgoingMessage]] | None = None,
         payload: int = 0,
     ) -> AppendRequest | None:
-        """Lock the events' tasks; None if one of them is locked already.
+        """Lock the tasks of the events; return None if one of them is already locked.
 
-        Two decisions on one task can never both reach the journal. What this
-        returns must go to :meth:`submit` with no await in between.
+        The lock prevents two decisions about one task from both reaching the journal.
+        Pass the result to :meth:`submit` without an await in between.
 
         :param on_settled: see :class:`AppendRequest`.
         :param payload: see :class:`AppendRequest`.
@@ -117,7 +117,7 @@
         return AppendRequest(tuple(events), payload, finish)
 
     async def submit(self, append: AppendRequest) -> None:
-        """Put prepared events on their way to the journal."""
+        """Submit prepared events to the journal."""
         assert self._journal is not None
         await self._journal.submit(append)
 
@@ -127,32 +127,32 @@
         on_settled: Callable[[Outcome], Sequence[OutgoingMessage]] | None = None,
         payload: int = 0,
     ) -> AppendRequest | None:
-        """Prepare events and submit them; None if one of the tasks is locked."""
+        """Prepare and submit events; return None if one of their tasks is locked."""
         append = self.prepare(events, on_settled, payload)
         if append is not None:
             await self.submit(append)
         return append
 
     async def enqueue_message(self, outgoing: OutgoingMessage) -> None:
-        """Send a message after those that wait already."""
+        """Queue a message for sending."""
         await self._sender.put(outgoing)
 
     async def withdraw(self, append: AppendRequest) -> bool:
-        """Take an append back if it is not on its way to the table yet."""
+        """Withdraw an append that has not been sent to the table yet."""
         return self._journal is not None and await self._journal.withdraw(append)
 
     async def run(self) -> None:
-        """Read the partition, then serve it.
+        """Load the partition, then serve it.
 
         :raises FencedError: another entry owns the partition.
-        :raises StoreError: the partition could not be read.
+        :raises StoreError: the partition could not be loaded.
         """
         try:
             seq = await self._snapshot_manager.load(self.state)
             self._restore_runs()
             self._journal = self._create_journal(seq)
             log.notice(
-                "batch: partition {} taken at epoch {}, {} tasks",
+                "batch: partition {} acquired at epoch {}, {} tasks",
                 self._owner.partition,
                 self._owner.epoch,
                 len(self.state),
@@ -166,14 +166,14 @@
             await self.waiters.wake_all()
 
     def stop_accepting(self) -> None:
-        """Take nothing new."""
+        """Accept no new work."""
         self._closing = True
 
     async def close(self, deadline: float) -> bool:
-        """Take nothing new and wait for what is on its way to the journal.
+        """Accept no new work and wait until all appends are settled.
 
         :param deadline: on the context's clock, seconds.
-        :returns: False when something is unsettled at the deadline.
+        :returns: False if an append is still unsettled at the deadline.
         """
         self.stop_accepting()
         while self._journal is not None and not self._journal.idle:
@@ -183,7 +183,7 @@
         return True
 
     def describe(self) -> dict[str, int | bool]:
-        """Return figures for the operators."""
+        """Return the values for the status page."""
         return {
             "epoch": self._owner.epoch,
             "serving": self.serving,
@@ -192,8 +192,8 @@
         }
 
     def _pause(self) -> None:
-        # While the store is down, the rounds would otherwise try again at once and
-        # all entries would come back in the same moment.
+        # While the store is down, the rounds would otherwise retry at once, and all
+        # entries would retry at the same time.
         wait = random.uniform(PAUSE_S / 2, PAUSE_S)
         self._paused_until = self._context.clock() + wait
 
--- a/pistachiodeal/batch/rows.py
+++ b/pistachiodeal/batch/rows.py
@@ -1,4 +1,4 @@
-"""Rows of the table by which entries know each other and share partitions."""
+"""Table rows through which entries discover each other and divide the partitions."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryRow:
-    """What an entry says of itself with each beat.
+    """What an entry publishes about itself with each heartbeat.
 
-    :param team_cpu: thousandths of cores that each team's tasks hold in the
-        partitions of this entry, for quotas.
+    :param team_cpu: thousandths of cores that the tasks of each team hold in the
+        partitions of this entry; quotas are checked against the sum.
     """
 
     node: str
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnerRow:
-    """Who owns a partition; node empty when it was handed over to nobody."""
+    """The owner of a partition; ``node`` is empty while the partition is released."""
 
     partition: int
     node: str
@@ -40,7 +40,7 @@
 
 
 def parse_owner(row: Row) -> OwnerRow:
-    """Return a partition row's content with its version."""
+    """Return the content of a partition row together with its version."""
     return OwnerRow(**orjson.loads(row.value), version=row.version)
 
 
--- a/pistachiodeal/batch/snapshots.py
+++ b/pistachiodeal/batch/snapshots.py
@@ -1,4 +1,4 @@
-"""Reads a partition back from the store, and folds its journal into snapshots."""
+"""Loads a partition from the store and compacts its journal into snapshots."""
 
 from __future__ import annotations
 
@@ -33,10 +33,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotInfo:
-    """What a partition's snapshot row says.
+    """The content of a partition's snapshot row.
 
-    :param seq: last journal row in the snapshot, 0 when there is none.
-    :param object_key: object that holds it, empty when there is none.
+    :param seq: last journal row in the snapshot, 0 if there is no snapshot.
+    :param object_key: object that holds the snapshot, empty if there is none.
     :param version: version of the row.
     """
 
@@ -46,7 +46,7 @@
 
 
 class SnapshotManager:
-    """Loads and folds one partition for its owner."""
+    """Loads a partition and writes its snapshots, for its owner."""
 
     def __init__(self, table: Table, objects: ObjectStore, partition: int) -> None:
         self._table = table
@@ -58,17 +58,17 @@
 
     @property
     def snapshot_seq(self) -> int:
-        """Return the last journal row in the snapshot."""
+        """Return the number of the last journal row in the snapshot."""
         return self._snapshot.seq
 
     async def load(self, state: PartitionState) -> int:
-        """Rebuild a partition's state; return the last journal row's number.
+        """Rebuild the state of a partition; return the number of the last journal row.
 
-        Call it only after the partition row names the new owner: from then on no
+        Call this only once the partition row names the new owner: from then on no
         earlier owner can add a row.
 
         :raises StoreError: the store could not be read.
-        :raises ProtocolError: what it holds cannot be understood.
+        :raises ProtocolError: the stored data is incomplete or malformed.
         """
         await self._read_row()
         if self._snapshot.object_key:
@@ -83,10 +83,10 @@
     async def write_snapshot(
         self, state: PartitionState, seq: int, position: JournalPosition
     ) -> None:
-        """Store a snapshot of the state at ``seq``, then delete the rows up to it.
+        """Store a snapshot of the state at ``seq``, then delete the rows up to ``seq``.
 
         :raises FencedError: another entry owns the partition.
-        :raises StoreError: the store could not be written; nothing is lost.
+        :raises StoreError: the store could not be written; no data is lost.
         """
         state.prune()
         data = state.dump()
@@ -96,8 +96,9 @@
         await self._objects.put(key, data)
         row = orjson.dumps({"seq": seq, "object": key})
         old = self._snapshot
-        # Without the version, a write whose answer was lost could land after the
-        # next snapshot's, and name an object whose later rows are deleted.
+        # Without the version check, a write whose response was lost could take effect
+        # after the write of the next snapshot. The row would then name an older object
+        # although the journal rows after that object are deleted.
         write = Write(snapshot_key(self._partition), row, expect=old.version)
         self._row_is_current = False
         versions = await self._commit(position, [write])
@@ -106,7 +107,9 @@
         await self._delete_rows(position, seq)
         if old.object_key and old.object_key != key:
             await self._objects.delete(old.object_key)
-        log.info("batch: partition {} folded up to row {}", self._partition, seq)
+        log.info(
+            "batch: partition {} has a snapshot up to row {}", self._partition, seq
+        )
 
     async def _read_row(self) -> None:
         key = snapshot_key(self._partition)
@@ -128,8 +131,8 @@
             for row in rows:
                 number = int(row.key[len(prefix) :])
                 first = first or number
-                # Rows up to the snapshot are left over from a fold that was cut
-                # short between its commit and its deletes.
+                # Rows that the snapshot includes are left over when writing it was
+                # interrupted between its commit and its deletes.
                 if number <= self._snapshot.seq:
                     continue
                 if number != seq + 1:
@@ -165,17 +168,19 @@
                 step="snapshot.commit",
             )
         if not result.committed:
-            raise StoreUnavailableError("a row has changed", step="snapshot.commit")
+            raise StoreUnavailableError(
+                "the snapshot row has changed", step="snapshot.commit"
+            )
         return result.versions
 
 
 async def try_write_snapshot(
     manager: SnapshotManager, state: PartitionState, seq: int, position: JournalPosition
 ) -> bool:
-    """Fold, and tell whether it worked; a store in trouble is no reason to stop."""
+    """Write a snapshot; log store errors and return whether it succeeded."""
     try:
         await manager.write_snapshot(state, seq, position)
     except StoreError as error:
-        log.notice("batch: partition {} not folded: {}", position.partition, error)
+        log.notice("batch: partition {} snapshot failed: {}", position.partition, error)
         return False
     return True
