--- a/pistachiodeal/batch/membership.py
+++ b/pistachiodeal/batch/membership.py
@@ -1,4 +1,4 @@
-"""Which entries are alive, and until when this one may act as an owner."""
+"""Tracks which entries are alive and until when this one may act as an owner."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 
 @dataclass(slots=True)
 class _Observation:
-    """When another entry's row was last seen to change.
+    """When the row of another entry was last seen to change.
 
-    :param stamp: its incarnation and beat.
-    :param changed_at: when it changed, own monotonic clock, seconds.
+    :param stamp: incarnation and heartbeat number in the row.
+    :param changed_at: when the change was seen, monotonic clock, seconds.
     :param started_at: when this incarnation was first seen, same clock.
     """
 
@@ -34,11 +34,11 @@
 
 
 class Membership:
-    """Beats this entry's row and watches those of the others.
+    """Sends the heartbeats of this entry and tracks those of the others.
 
-    Only monotonic clocks of this process are used: another entry counts as dead
-    when its row stayed the same for owner's lease and margin *as seen here*, and
-    this entry's own authority counts from the moment a beat was *sent*.
+    Only the monotonic clock of this process is used. Another entry counts as dead
+    when its row has not changed for the owner lease plus the margin *as seen here*.
+    The authority of this entry counts from the moment a heartbeat was *sent*.
     """
 
     def __init__(
@@ -66,7 +66,7 @@
 
     @property
     def own_row(self) -> EntryRow:
-        """Return this entry's own row."""
+        """Return the row of this entry."""
         return self._own_row
 
     @property
@@ -75,27 +75,28 @@
         return self._owners
 
     def find_owner(self, partition: int) -> OwnerRow | None:
-        """Return a partition's owner as last read."""
+        """Return the owner of a partition as last read."""
         return self._owners.get(partition)
 
     def authority_until(self) -> float:
-        """Return when this entry's authority as an owner ends unless it beats again.
+        """Return when this entry's authority ends unless it sends another heartbeat.
 
         :returns: monotonic clock, seconds.
         """
         return self._lease_until
 
     def has_authority(self, partition: int, epoch: int) -> bool:
-        """Tell whether leases of this partition may be granted right now.
+        """Return whether leases for this partition may be granted now.
 
-        A beat alone is not enough: an entry that was thought dead and then beats
-        again would go on granting leases for what others have taken over.
+        A heartbeat alone is not enough: an entry that others considered dead and
+        that then resumes its heartbeats would keep granting leases for partitions
+        that others have taken over.
         """
         known, until = self._verified.get(partition, (0, 0.0))
         return known == epoch and self._clock() < min(until, self._lease_until)
 
     def record_owned(self, row: OwnerRow, sent_at: float) -> None:
-        """Record that the store named us owner at ``sent_at`` or later."""
+        """Record that the table named this entry the owner at ``sent_at`` or later."""
         self._owners[row.partition] = row
         self._verified[row.partition] = (row.epoch, sent_at + self._lease_s)
 
@@ -104,7 +105,7 @@
         self._verified.pop(partition, None)
 
     def live_entries(self) -> dict[str, EntryRow]:
-        """Return the entries that are alive, this one included."""
+        """Return the live entries, including this one."""
         live = {
             node: row
             for node, row in self._entries.items()
@@ -114,16 +115,16 @@
         return live
 
     def is_dead(self, row: OwnerRow) -> bool:
-        """Tell whether a partition's owner has certainly lost its authority."""
+        """Return whether the owner of a partition has definitely lost its authority."""
         if row.node == self._own_row.node:
             return row.incarnation != self._own_row.incarnation
-        # Measured up to the last look, not up to now: a store outage or a freeze of
+        # Measured up to the last read, not up to now: a store outage or a freeze of
         # this process would otherwise make every other entry look dead.
         observation = self._observations.get(row.node)
         if observation is not None:
-            # The row of a node that was restarted goes on changing while the owner,
-            # an earlier process of that name, is gone: nobody but the new process
-            # would ever take its partitions, and that only if they are its own.
+            # The row of a restarted node keeps changing although the owner, an earlier
+            # process of the same name, is gone. Without this check only the new
+            # process would take its partitions, and only those that it should own.
             replaced = observation.stamp[0] != row.incarnation
             since = observation.started_at if replaced else observation.changed_at
             return self._read_at - since >= self._dead_after_s
@@ -131,9 +132,9 @@
         return self._read_at - since >= self._dead_after_s
 
     async def send_heartbeat(self, team_cpu: dict[str, int]) -> None:
-        """Write this entry's row.
+        """Write the row of this entry.
 
-        :raises StoreError: the beat does not count, even if it took effect.
+        :raises StoreError: the heartbeat does not count, even if it took effect.
         """
         self._heartbeat_number += 1
         fields = asdict(self._own_row) | {
@@ -150,7 +151,7 @@
     async def refresh(self) -> None:
         """Read the rows of entries and partitions.
 
-        :raises StoreError: what was known before still stands.
+        :raises StoreError: the rows read before stay in use.
         """
         sent_at = self._clock()
         entries = await self._scan(ENTRY_PREFIX)
@@ -160,12 +161,12 @@
         self._update_owners(owners, sent_at)
 
     async def deregister(self) -> None:
-        """Delete this entry's row, so that nobody waits for it."""
+        """Delete the row of this entry so that no other entry waits for it."""
         self._lease_until = float("-inf")
         try:
             await self._table.commit([Write(ENTRY_PREFIX + self._own_row.node)])
         except StoreError as error:
-            log.notice("batch: own row not deleted: {}", error)
+            log.notice("batch: row of this entry not deleted: {}", error)
 
     async def _scan(self, prefix: str) -> list[Row]:
         rows: list[Row] = []
--- a/pistachiodeal/batch/ownership.py
+++ b/pistachiodeal/batch/ownership.py
@@ -1,7 +1,7 @@
-"""Which partitions this entry should own, and the writes that change owners.
+"""Decides which partitions this entry should own and writes changes of ownership.
 
-Winners are chosen by rendezvous hashing (Thaler and Ravishankar, "Using
-name-based mappings to increase hit rates"): an entry that comes or goes moves
+The preferred owner is chosen by rendezvous hashing (Thaler and Ravishankar, "Using
+name-based mappings to increase hit rates"): an entry that joins or leaves moves
 only its own share of the partitions.
 """
 
@@ -39,18 +39,18 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnershipPlan:
-    """What to do in this round.
+    """The ownership changes of a round.
 
-    :param take: partitions to take over, with the row seen there.
-    :param hand_over: own partitions to release for another entry.
+    :param take_over: partitions to take over, with the owner row as last read.
+    :param hand_over: owned partitions to release for another entry.
     """
 
-    take: tuple[tuple[int, OwnerRow | None], ...]
+    take_over: tuple[tuple[int, OwnerRow | None], ...]
     hand_over: tuple[int, ...]
 
 
 class OwnershipPlanner:
-    """Decides take-overs and hand-overs from what membership saw."""
+    """Decides take-overs and hand-overs from the rows that membership has read."""
 
     def __init__(self, membership: Membership, partitions: int) -> None:
         self._membership = membership
@@ -58,12 +58,12 @@
         self._handover_waits: dict[int, tuple[str, int]] = {}
 
     def plan(self, held: Mapping[int, int]) -> OwnershipPlan:
-        """Return this round's changes.
+        """Return the changes of this round.
 
-        :param held: partitions that this process serves, with their epochs.
+        :param held: partitions that this process holds, with their epochs.
         """
         live = self._membership.live_entries()
-        me = self._membership.own_row.node
+        own_node = self._membership.own_row.node
         preferred_owners = {
             p: choose_preferred_owner(p, live) for p in range(self._partitions)
         }
@@ -78,32 +78,36 @@
         return OwnershipPlan(
             tuple((p, owners.get(p)) for p in takeovers[:limit]),
             tuple(
-                p for p in held if self._should_hand_over(p, preferred_owners[p], me)
+                p
+                for p in held
+                if self._should_hand_over(p, preferred_owners[p], own_node)
             ),
         )
 
     def _may_take_over(self, partition: int, preferred_owner: str) -> bool:
-        me = self._membership.own_row
+        own_row = self._membership.own_row
         row = self._membership.owners.get(partition)
-        # A row that names this very process, which doesn't serve the partition:
-        # reading it failed, its tasks crashed, or a take-over that was given up
-        # landed late. The others see a live owner, so nobody else would take it,
-        # whoever the winner is; it is handed over from here.
+        # The row names this very process, which does not serve the partition: reading
+        # it failed, its curio tasks crashed, or a take-over that was given up took
+        # effect late. The other entries see a live owner, so none of them takes the
+        # partition, whoever is preferred. This entry takes it and hands it over.
         if row is not None and (row.node, row.incarnation) == (
-            me.node,
-            me.incarnation,
+            own_row.node,
+            own_row.incarnation,
         ):
             return True
-        if preferred_owner != me.node:
+        if preferred_owner != own_row.node:
             return False
         return row is None or not row.node or self._membership.is_dead(row)
 
-    def _should_hand_over(self, partition: int, preferred_owner: str, me: str) -> bool:
-        if preferred_owner == me:
+    def _should_hand_over(
+        self, partition: int, preferred_owner: str, own_node: str
+    ) -> bool:
+        if preferred_owner == own_node:
             self._handover_waits.pop(partition, None)
             return False
-        # An entry that comes and goes would otherwise pull its partitions back
-        # and forth, and each move makes the new owner read the whole journal.
+        # An entry that joins and leaves repeatedly would otherwise move its partitions
+        # back and forth, and each move makes the new owner read the whole journal.
         last, rounds = self._handover_waits.get(partition, (preferred_owner, 0))
         rounds = rounds + 1 if last == preferred_owner else 1
         self._handover_waits[partition] = (preferred_owner, rounds)
@@ -114,24 +118,25 @@
 
 
 class OwnershipWriter:
-    """Takes and releases partitions by compare-and-swap on their rows."""
+    """Acquires and releases partitions by compare-and-swap on their rows."""
 
     def __init__(self, table: Table, membership: Membership, clock: Clock) -> None:
         self._table = table
         self._membership = membership
         self._clock = clock
 
-    async def take(self, partition: int, seen: OwnerRow | None) -> OwnerRow | None:
-        """Take a partition over; None when another entry was faster.
+    async def acquire(self, partition: int, seen: OwnerRow | None) -> OwnerRow | None:
+        """Take over a partition; return None if another entry changed its row first.
 
-        :raises StoreError: not known, or not done; the next round shows.
+        :raises StoreError: the take-over failed or its outcome is unknown; the next
+            round reads the row again.
         """
-        me = self._membership.own_row
+        own_row = self._membership.own_row
         row = OwnerRow(
             partition=partition,
-            node=me.node,
-            incarnation=me.incarnation,
-            address=me.address,
+            node=own_row.node,
+            incarnation=own_row.incarnation,
+            address=own_row.address,
             epoch=seen.epoch + 1 if seen else 1,
             nonce=secrets.token_hex(8),
         )
@@ -144,9 +149,10 @@
         return row
 
     async def release(self, row: OwnerRow) -> None:
-        """Give a partition back, so that its next owner need not wait.
+        """Release a partition so that its next owner does not have to wait.
 
-        :raises StoreError: not known, or not done; the owner's lease runs out then.
+        :raises StoreError: the release failed or its outcome is unknown; the next
+            owner then waits until the owner lease expires.
         """
         self._membership.record_released(row.partition)
         free = replace(row, node="", address="", incarnation=0, nonce="")
--- a/pistachiodeal/batch/partition_manager.py
+++ b/pistachiodeal/batch/partition_manager.py
@@ -1,4 +1,4 @@
-"""Rounds of heartbeats and take-overs, and the partitions this entry holds."""
+"""Sends heartbeats, changes ownership and runs the partitions of this entry."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 log = Logger("batch")
 
-RELEASE_S = 2.0
+RELEASE_TIMEOUT_S = 2.0
 
 
 class PartitionManager:
-    """Beats, reads the others' rows, takes partitions over and hands them over.
+    """Sends heartbeats, reads the other entries' rows, takes and hands over partitions.
 
-    Each partition that is held has a task of its own.
+    Each partition that this entry holds has its own curio task.
     """
 
     def __init__(self, context: BatchContext) -> None:
@@ -37,20 +37,20 @@
         self._round_lock = curio.Lock()
 
     def servers(self) -> list[PartitionServer]:
-        """Return all partitions held, also those still being read."""
+        """Return the servers of all held partitions, including those still loading."""
         return list(self._servers.values())
 
     def list_serving(self) -> list[PartitionServer]:
-        """Return the partitions that are served."""
+        """Return the servers of the partitions that are being served."""
         return [server for server in self._servers.values() if server.serving]
 
     def find_serving(self, partition: int) -> PartitionServer | None:
-        """Return a partition if it is served here."""
+        """Return the server of a partition if it is being served here."""
         server = self._servers.get(partition)
         return server if server is not None and server.serving else None
 
     async def run(self) -> None:
-        """Do a round every ``beat_s``."""
+        """Run a round every ``beat_s`` seconds."""
         period = self._context.settings.batch.beat_s
         try:
             while not self._draining:
@@ -58,15 +58,15 @@
                     async with self._round_lock:
                         await self.run_once()
                 except StoreError as error:
-                    log.notice("batch: round not done: {}", error)
-                # Jitter, so that entries started together don't beat, look and
-                # take over in the same moment for ever.
+                    log.notice("batch: ownership round failed: {}", error)
+                # Jitter, so that entries that were started together do not keep
+                # sending heartbeats, reading rows and taking over at the same time.
                 await curio.sleep(random.uniform(0.8 * period, 1.2 * period))
         finally:
             await self._cancel_all()
 
     async def run_once(self) -> None:
-        """Beat, look at the others, then change what is owned.
+        """Send a heartbeat, read the others' rows, then change ownership.
 
         :raises StoreError: the round ended early.
         """
@@ -78,21 +78,22 @@
         held = {p: server.owner.epoch for p, server in self._servers.items()}
         plan = self._planner.plan(held)
         for partition in plan.hand_over:
-            await self._hand_over(partition, self._context.clock() + RELEASE_S)
-        for partition, seen in plan.take:
-            row = await self._writer.take(partition, seen)
+            await self._hand_over(partition, self._context.clock() + RELEASE_TIMEOUT_S)
+        for partition, seen in plan.take_over:
+            row = await self._writer.acquire(partition, seen)
             if row is not None:
                 await self._start(row)
 
     async def drain(self) -> None:
-        """Hand everything over, then delete this entry's row."""
+        """Release all partitions, then delete the row of this entry."""
         self._draining = True
         for server in self.servers():
             server.stop_accepting()
-        # A round under way may still take partitions and beat; a beat that lands
-        # after the row is deleted would make the others wait for a dead entry.
+        # A round in progress may still take partitions and send a heartbeat. A
+        # heartbeat that takes effect after the row was deleted would make the other
+        # entries wait for a dead entry.
         async with self._round_lock:
-            deadline = self._context.clock() + RELEASE_S
+            deadline = self._context.clock() + RELEASE_TIMEOUT_S
             for partition in list(self._servers):
                 await self._try_release(partition, deadline)
             await self._membership.deregister()
@@ -113,11 +114,13 @@
         try:
             await server.run()
         except FencedError as error:
-            log.notice("batch: partition {} lost: {}", partition, error)
+            log.notice(
+                "batch: partition {} fenced by another owner: {}", partition, error
+            )
         except StoreError as error:
-            log.notice("batch: partition {} not read: {}", partition, error)
+            log.notice("batch: partition {} could not be loaded: {}", partition, error)
         except Exception as error:
-            log.error("batch: partition {} failed: {!r}", partition, error)
+            log.error("batch: partition {} crashed: {!r}", partition, error)
         finally:
             if self._servers.get(partition) is server:
                 del self._servers[partition]
@@ -126,7 +129,9 @@
         for partition, server in list(self._servers.items()):
             row = self._membership.owners.get(partition)
             if row is not None and row.epoch > server.owner.epoch:
-                log.notice("batch: partition {} was taken over", partition)
+                log.notice(
+                    "batch: partition {} was taken over by another entry", partition
+                )
                 await self._cancel(partition)
 
     async def _hand_over(self, partition: int, deadline: float) -> None:
@@ -134,7 +139,10 @@
         if server is None:
             return
         if not await server.close(deadline):
-            log.notice("batch: partition {} released unsettled", partition)
+            log.notice(
+                "batch: partition {} released with appends of unknown outcome",
+                partition,
+            )
         await self._cancel(partition)
         await self._writer.release(server.owner)
         log.notice("batch: partition {} handed over", partition)
