--- a/pistachiodeal/batch/placement.py
+++ b/pistachiodeal/batch/placement.py
@@ -1,8 +1,9 @@
-"""Which waiting tasks start on which workers; no input or output here.
+"""Plans which waiting tasks start on which workers, without any I/O.
 
-Urgent tasks go first, then the profiles' urgency; within a level the team that
-holds the least for its share is next (max-min fairness with weights, as in
-Ghodsi et al., "Dominant Resource Fairness", with processors as the resource).
+Urgent tasks go first, then tasks by the urgency of their profile. Within a level
+the team that holds the fewest cores in proportion to its share is next: weighted
+max-min fairness as in Ghodsi et al., "Dominant Resource Fairness", with processors
+as the only resource.
 """
 
 from __future__ import annotations
@@ -20,11 +21,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingTask:
-    """A task that could start now.
+    """A waiting task that could start now.
 
-    :param size: what is to be reserved, the larger of declared and learnt.
+    :param size: resources to reserve, the larger of declared and learnt.
     :param share: weight of its team at this level.
-    :param failed_workers: where it failed before; others are tried first.
+    :param failed_workers: workers where it failed before; others are tried first.
     """
 
     task_id: str
@@ -37,9 +38,10 @@
 
 @dataclass(slots=True)
 class WorkerCandidate:
-    """Room on a worker, less what was placed since its last report.
+    """A worker that can be given tasks.
 
-    :param teams: runs of each team which this owner placed there.
+    :param free: free resources, less what was placed since the last report.
+    :param teams: number of runs that this owner placed there, by team.
     """
 
     worker: str
@@ -52,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """A task and the worker where it is to start."""
+    """A task and the worker on which it starts."""
 
     task: PendingTask
     worker: str
@@ -62,10 +64,10 @@
 
 
 class PlacementPlanner:
-    """Plans placements; remembers only which task has waited in front.
+    """Plans placements; its only state is which task is blocked and since when.
 
-    :param usable: asked just before a worker is chosen; False when it is set
-        aside because it fails what others finish.
+    :param usable: called just before a worker is chosen; returns False for a worker
+        in quarantine, on which tasks fail that finish elsewhere.
     """
 
     def __init__(self, usable: Callable[[str], bool]) -> None:
@@ -81,11 +83,13 @@
         quotas: Mapping[str, int],
         now: float,
     ) -> list[Placement]:
-        """Return what to place now.
+        """Return the placements to make now.
 
         :param levels: waiting tasks by team, most urgent level first.
-        :param team_cpu: thousandths of cores that each team holds already.
-        :param quotas: thousandths of cores a team may hold; others have no limit.
+        :param team_cpu: thousandths of cores that each team already holds.
+        :param quotas: thousandths of cores that a team may hold; teams without a
+            quota have no limit.
+        :param now: monotonic clock, seconds.
         """
         plan = _Plan(list(candidates), dict(team_cpu), quotas, self._usable)
         for level in levels:
@@ -97,8 +101,8 @@
         return plan.placements
 
     def _reserve_for_blocked(self, plan: _Plan, now: float) -> None:
-        # Small tasks would otherwise take every piece of room that comes free, and
-        # a large one would wait for ever: after a while one worker is kept for it.
+        # Small tasks would otherwise take all capacity that becomes free, and a large
+        # task would wait for ever. After a while one worker is reserved for it.
         assert plan.blocked_task is not None
         if plan.blocked_task.task_id != self._blocked_id:
             self._blocked_id = plan.blocked_task.task_id
@@ -129,7 +133,7 @@
         self.blocked_task: PendingTask | None = None
 
     def place_level(self, level: Level) -> None:
-        """Place the tasks of a level in the order of fair shares."""
+        """Place the tasks of a level in fair-share order."""
         queues = {team: deque(tasks) for team, tasks in level.items() if tasks}
         order = [(self._rank(tasks[0]), team) for team, tasks in queues.items()]
         heapq.heapify(order)
@@ -141,7 +145,7 @@
                 heapq.heappush(order, (self._rank(queue[0]), team))
 
     def reserve_worker(self, task: PendingTask) -> None:
-        """Keep the worker that comes closest to holding the task out of the plan."""
+        """Remove the large enough worker with the most free resources from the plan."""
         large_enough = [
             candidate
             for candidate in self._candidates
@@ -155,12 +159,12 @@
         return self._team_cpu.get(task.team, 0) / task.share
 
     def _place_next(self, queue: deque[PendingTask]) -> None:
-        """Place the team's first task that can be placed, dropping those before."""
+        """Place the first task of a team that fits; skip those before it this round."""
         while queue:
             task = queue.popleft()
             if self._over_quota(task):
                 continue
-            candidate = self._choose(task)
+            candidate = self._choose_candidate(task)
             if candidate is not None:
                 self._assign(task, candidate)
                 return
@@ -171,7 +175,7 @@
         held = self._team_cpu.get(task.team, 0)
         return quota is not None and held + task.size.cpu_milli > quota
 
-    def _choose(self, task: PendingTask) -> WorkerCandidate | None:
+    def _choose_candidate(self, task: PendingTask) -> WorkerCandidate | None:
         if any(misfit.fits(task.size) for misfit in self._misfits):
             return None
         fitting = [
@@ -191,7 +195,7 @@
         known = {candidate.worker for candidate in self._candidates}
         if not untried and known.difference(task.failed_workers):
             return None
-        for candidate in sorted(untried or fitting, key=lambda r: self._score(task, r)):
+        for candidate in sorted(untried or fitting, key=lambda c: self._score(task, c)):
             if self._usable(candidate.worker):
                 return candidate
         return None
@@ -215,7 +219,7 @@
 
 
 def _compute_free_share(candidate: WorkerCandidate) -> float:
-    """Return the free share of a worker's scarcer resource."""
+    """Return the free share of the worker's scarcer resource."""
     cpu = candidate.free.cpu_milli / max(1, candidate.capacity.cpu_milli)
     memory = candidate.free.memory_mib / max(1, candidate.capacity.memory_mib)
     return min(cpu, memory)
--- a/pistachiodeal/batch/placement_loop.py
+++ b/pistachiodeal/batch/placement_loop.py
@@ -1,4 +1,4 @@
-"""Rounds of placement over all partitions that this entry owns."""
+"""Runs placement rounds over all partitions that this entry owns."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 MAX_LOOK_AHEAD = 4_096
 MAX_OVERDUE = 500
 MILLI = 1_000
-TASK_START = "task-start/"  # histograms of the time from admission to placement
+TASK_START = "task-start/"  # histograms of the time a task waits for its placement
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,7 +38,7 @@
 
 
 class PlacementLoop:
-    """Places waiting tasks, and requeues attempts that are over for certain."""
+    """Places waiting tasks and requeues attempts that have definitely ended."""
 
     def __init__(
         self, context: BatchContext, servers: Callable[[], Sequence[PartitionServer]]
@@ -49,14 +49,14 @@
         self._look_ahead = MIN_LOOK_AHEAD
 
     async def run(self) -> None:
-        """Do a round every ``place_s``."""
+        """Run a round every ``place_s`` seconds."""
         period = self._context.settings.batch.place_s
         while True:
             await curio.sleep(random.uniform(0.8 * period, 1.2 * period))
             await self.run_once()
 
     async def run_once(self) -> None:
-        """Requeue what is overdue, then place what fits."""
+        """Requeue overdue attempts, then place the tasks that fit."""
         for server in self._servers():
             if server.may_propose and server.has_authority:
                 await self._requeue_overdue(server)
@@ -84,7 +84,7 @@
         self._adapt_look_ahead(len(placements), selected.count)
 
     def _adapt_look_ahead(self, placed: int, selected: int) -> None:
-        """Look further ahead while all that is looked at can start."""
+        """Raise the look-ahead while all selected tasks start, else lower it."""
         if placed and placed == selected:
             self._look_ahead = min(2 * self._look_ahead, MAX_LOOK_AHEAD)
         else:
@@ -96,7 +96,7 @@
             return
         events = [_build_requeued(run) for run in overdue[:MAX_OVERDUE]]
         log.notice(
-            "batch: partition {} requeues {} lost runs",
+            "batch: partition {} requeues {} overdue runs",
             server.owner.partition,
             len(events),
         )
@@ -111,9 +111,9 @@
 
     def _count_team_cpu(self) -> dict[str, int]:
         total = dict(self._context.workers.team_cpu)
-        me = self._context.membership.own_row.node
+        own_node = self._context.membership.own_row.node
         for node, entry in self._context.membership.live_entries().items():
-            if node == me:
+            if node == own_node:
                 continue
             for team, cpu in entry.team_cpu.items():
                 total[team] = total.get(team, 0) + cpu
@@ -129,7 +129,7 @@
                 self._reserve(server, placement)
             )
         for partition, planned in by_partition.items():
-            await self._propose(servers[partition], planned)
+            await self._propose_placements(servers[partition], planned)
 
     def _reserve(self, server: PartitionServer, placement: Placement) -> _PlannedStart:
         record = server.state.find(placement.task.task_id)
@@ -150,7 +150,7 @@
             server.state.waiting.compute_wait_s(record.spec.task_id),
         )
 
-    async def _propose(
+    async def _propose_placements(
         self, server: PartitionServer, planned: Sequence[_PlannedStart]
     ) -> None:
         def finish(outcome: Outcome) -> Sequence[OutgoingMessage]:
@@ -193,7 +193,7 @@
     def _build_start(
         self, server: PartitionServer, run: PlacedRun, session: WorkerSession
     ) -> Message | None:
-        """Return the start, unless authority, session or task has gone since."""
+        """Return the start, or None if it must no longer be sent."""
         placed = run.placed
         record = server.state.find(placed.task_id)
         beat = self._context.workers.latest_beat(session)
--- a/pistachiodeal/batch/task_selection.py
+++ b/pistachiodeal/batch/task_selection.py
@@ -1,4 +1,4 @@
-"""Collects the tasks that a round of placement looks at."""
+"""Selects the waiting tasks that a placement round considers."""
 
 from __future__ import annotations
 
@@ -19,9 +19,11 @@
 
 @dataclass(slots=True)
 class SelectedTasks:
-    """Tasks that could start, and those that never can, by partition.
+    """Tasks that could start, and tasks that fit no worker, by partition.
 
-    :ivar levels: most urgent first.
+    :ivar levels: tasks by team, most urgent level first.
+    :ivar unplaceable: failures of the tasks that fit no worker, by partition.
+    :ivar count: number of tasks in all levels.
     """
 
     levels: list[Level] = field(default_factory=list)
@@ -34,7 +36,7 @@
 ) -> SelectedTasks:
     """Return the first tasks of each team at each level.
 
-    :param look_ahead: most tasks of a team at a level.
+    :param look_ahead: maximum number of tasks of a team at a level.
     """
     return _TaskSelector(context, servers, look_ahead).select()
 
@@ -64,8 +66,8 @@
         by_partition = [
             self._iterate_tasks(server, key, team) for server in self._servers.values()
         ]
-        # In turn from each partition: otherwise the first one's tasks would always
-        # go before those that wait longer in the others.
+        # Take tasks from the partitions in turn: otherwise the tasks of the first
+        # partition would always go before tasks that wait longer in the others.
         interleaved = chain.from_iterable(zip_longest(*by_partition))
         tasks = [task for task in interleaved if task is not None]
         self._selected.count += len(tasks)
@@ -109,8 +111,8 @@
         size = self._sizes.get(key)
         if size is None:
             size = self._context.sizes.reserve(*key)
-            # What was learnt is a wish: beside the services of every worker it may
-            # never find room, while the declared size would.
+            # The learnt size is only a preference: next to the services of every
+            # worker it may never fit, while the declared size would.
             if not self._context.workers.could_start(size):
                 size = spec.declared
             self._sizes[key] = size
--- a/pistachiodeal/batch/waiting.py
+++ b/pistachiodeal/batch/waiting.py
@@ -1,4 +1,4 @@
-"""The waiting tasks of one partition, by urgency and team."""
+"""The waiting tasks of a partition, by urgency and team."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class WaitingTasks:
-    """First come, first served for each level and team; all steps in O(1)."""
+    """FIFO queues for each level and team; every operation takes O(1)."""
 
     def __init__(self, clock: Clock = time.monotonic) -> None:
         self._clock = clock
@@ -28,16 +28,16 @@
 
     @property
     def total_bytes(self) -> int:
-        """Return the size of all payloads that wait."""
+        """Return the total size of the payloads of waiting tasks, characters."""
         return self._total_bytes
 
     @property
     def levels(self) -> set[LevelKey]:
-        """Return the levels at which something waits."""
+        """Return the levels that have waiting tasks."""
         return set(self._levels)
 
     def add(self, spec: TaskSpec, urgency: int) -> None:
-        """Put a task at the end of its team's queue."""
+        """Append a task to the queue of its team."""
         self.remove(spec.task_id)
         level = (spec.urgent, urgency)
         teams = self._levels.setdefault(level, {})
@@ -48,7 +48,7 @@
         self._total_bytes += len(spec.payload)
 
     def remove(self, task_id: str) -> None:
-        """Take a task out, if it waits."""
+        """Remove a task if it is waiting."""
         position = self._positions.pop(task_id, None)
         if position is None:
             return
@@ -63,14 +63,14 @@
             del self._levels[level]
 
     def compute_wait_s(self, task_id: str) -> float:
-        """Return the seconds for which a task has waited here, 0 if it doesn't."""
+        """Return how many seconds a task has been waiting, 0 if it is not waiting."""
         now = self._clock()
         return now - self._added_at.get(task_id, now)
 
     def teams(self, level: LevelKey) -> list[str]:
-        """Return the teams with tasks at a level."""
+        """Return the teams that have tasks at a level."""
         return list(self._levels.get(level, ()))
 
     def list_oldest(self, level: LevelKey, team: str, limit: int) -> Iterator[str]:
-        """Return the ids of a team's oldest tasks at a level."""
+        """Return the ids of the oldest tasks of a team at a level."""
         return islice(self._levels.get(level, {}).get(team, ()), limit)
--- a/pistachiodeal/batch/workers.py
+++ b/pistachiodeal/batch/workers.py
@@ -1,4 +1,4 @@
-"""What an owner knows of the workers: sessions, room, and what it placed there."""
+"""Tracks the workers: sessions, free resources, and the runs placed there."""
 
 from __future__ import annotations
 
@@ -29,7 +29,11 @@
 
 @dataclass(slots=True)
 class _Reservations:
-    """Runs placed on a worker; those that no report has named yet hold room."""
+    """Runs placed on a worker.
+
+    The sizes of runs that no report has named yet are subtracted from the free
+    resources of the last report.
+    """
 
     sizes: dict[RunKey, Resources] = field(default_factory=dict)
     unreported: dict[RunKey, Resources] = field(default_factory=dict)
@@ -37,10 +41,10 @@
 
 
 class WorkerTable:
-    """The workers linked to this entry, their room, and the runs placed there.
+    """The workers linked to this entry, their free resources and placed runs.
 
-    One table serves all partitions of an entry: with one each, two partitions
-    would give the same room away until the worker's next report.
+    One table serves all partitions of an entry: with a table for each, two partitions
+    would assign the same free resources until the worker's next report.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -58,16 +62,16 @@
 
     @property
     def startup_complete(self) -> bool:
-        """Tell whether workers have had the time to announce themselves."""
+        """Return whether workers have had enough time to connect and report."""
         first = self._first_report_at
         return first is not None and self._clock() - first >= STARTUP_WAIT_S
 
     def open_session(self, session: WorkerSession) -> None:
-        """Note a link; the latest one of a worker counts."""
+        """Register a link; it replaces any earlier link of the worker."""
         self._workers[session.worker] = _Worker(session, self._clock())
 
     def close_session(self, session: WorkerSession) -> None:
-        """Note that a link is gone."""
+        """Unregister a closed link."""
         worker = self._workers.get(session.worker)
         if worker is not None and worker.session is session:
             del self._workers[session.worker]
@@ -78,9 +82,9 @@
         return known.session if known else None
 
     def session_age(self, session: WorkerSession) -> float:
-        """Return for how many seconds a link has been a worker's current one.
+        """Return how many seconds a link has been the current one of its worker.
 
-        :returns: 0 for a link that isn't.
+        :returns: 0 if it is not the current link.
         """
         worker = self._workers.get(session.worker)
         if worker is None or worker.session is not session:
@@ -88,7 +92,7 @@
         return self._clock() - worker.opened_at
 
     def update_report(self, session: WorkerSession, report: Report) -> bool:
-        """Take a report; False when the session is not the worker's current one."""
+        """Store a report; return False if its session is not the current one."""
         worker = self._workers.get(session.worker)
         if worker is None or worker.session is not session:
             return False
@@ -106,21 +110,24 @@
         return True
 
     def record_refusal(self, worker: str) -> None:
-        """Leave a worker alone for a moment after it refused a start."""
+        """Exclude a worker from placement briefly after it refused a start."""
         known = self._workers.get(worker)
         if known is not None:
             pause = random.uniform(REFUSAL_PAUSE_S / 2, REFUSAL_PAUSE_S)
             known.refused_until = self._clock() + pause
 
     def latest_beat(self, session: WorkerSession) -> int | None:
-        """Return the latest beat of a current session, None if there is none."""
+        """Return the heartbeat number of the latest report of a current session.
+
+        :returns: None if the session is not current or has not reported yet.
+        """
         worker = self._workers.get(session.worker)
         if worker is None or worker.session is not session or worker.report is None:
             return None
         return worker.report.beat
 
     def add_run(self, worker: str, key: RunKey, size: Resources, team: str) -> None:
-        """Reserve room for a run, from the decision on, before any await."""
+        """Reserve resources for a run, before any await after the decision."""
         reserved = self._reserved.setdefault(worker, _Reservations())
         reserved.sizes[key] = size
         reserved.unreported[key] = size
@@ -128,7 +135,7 @@
         self._team_cpu[team] += size.cpu_milli
 
     def remove_run(self, worker: str, key: RunKey, team: str) -> None:
-        """Give the room of a run back."""
+        """Release the resources of a run."""
         reserved = self._reserved.get(worker)
         if reserved is None or key not in reserved.sizes:
             return
@@ -153,18 +160,18 @@
         ]
 
     def could_fit(self, size: Resources) -> bool:
-        """Tell whether any worker that was ever seen could hold this size."""
+        """Return whether any known worker is large enough for this size."""
         return any(size.fits(capacity) for capacity in self._capacities.values())
 
     def could_start(self, size: Resources) -> bool:
-        """Tell whether a worker would hold this size once its tasks have ended."""
+        """Return whether a linked worker could fit this size without its tasks."""
         return any(
             size.fits(self._compute_free_without_tasks(worker))
             for worker in self._workers.values()
         )
 
     def largest(self) -> Resources:
-        """Return the largest capacity seen, field by field."""
+        """Return the maximum of each resource over all known workers."""
         largest = Resources()
         for capacity in self._capacities.values():
             largest = largest.enlarge(capacity)
