--- a/pistachiodeal/batch/__init__.py
+++ b/pistachiodeal/batch/__init__.py
@@ -1,1 +1,1 @@
-"""The batch queue: partitions, their journals, placement and task leases."""
+"""The batch task queue: partitions, journals, placement and task leases."""
--- a/pistachiodeal/batch/admission.py
+++ b/pistachiodeal/batch/admission.py
@@ -1,4 +1,4 @@
-"""Callers' operations on the tasks of a partition that is served here."""
+"""Submits, cancels and finds tasks of a partition that is served here."""
 
 from __future__ import annotations
 
@@ -25,23 +25,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Admitted:
-    """A durable task; ``created`` is False when the key was known already."""
+    """A durable task; ``created`` is False if the key was already known."""
 
     record: TaskRecord
     created: bool
 
 
 class TaskAdmission:
-    """Submits and cancels; every answer says truly what is known."""
+    """Submits and cancels tasks; errors state the outcome as far as it is known."""
 
     def __init__(self, context: BatchContext) -> None:
         self._context = context
         self._admitting: dict[str, tuple[TaskSpec, AppendRequest]] = {}
 
     async def submit(self, server: PartitionServer, spec: TaskSpec) -> Admitted:
-        """Admit a task; return once it is durable.
+        """Admit a task and return once it is durable.
 
-        :raises RequestError: with the outcome that is known.
+        :raises RequestError: with the outcome as far as it is known.
         """
         known = server.state.find(spec.task_id)
         if known is not None:
@@ -55,9 +55,10 @@
         return Admitted(record, created=True)
 
     async def cancel(self, server: PartitionServer, task_id: str) -> TaskRecord:
-        """Cancel a task; return its record, final if that was known in time.
+        """Cancel a task and return its record, final if it ended in time.
 
-        :raises RequestError: unknown task, or with the outcome that is known.
+        :raises RequestError: the task is unknown, or the cancellation failed, with
+            the outcome as far as it is known.
         """
         record = find_task(server, task_id)
         if not record.state.final and not record.cancel_asked:
@@ -82,7 +83,7 @@
 
         append = server.prepare([Submitted(spec)], finish, len(spec.payload))
         if append is None:
-            raise _build_unavailable("the partition is changing hands")
+            raise _build_unavailable("the partition is being handed over")
         self._admitting[spec.task_id] = (spec, append)
         await server.submit(append)
         return append
@@ -96,7 +97,7 @@
         large = waiting.total_bytes + len(spec.payload) > MAX_WAITING_BYTES
         if full or large or len(self._admitting) >= MAX_ADMITTING:
             raise RequestError(
-                "too many tasks wait",
+                "too many tasks are waiting",
                 code="queue_full",
                 status=503,
                 retry_after=QUEUE_RETRY_S,
@@ -124,7 +125,7 @@
         append = await server.propose([CancelAsked(task_id)], finish)
         if append is None:
             raise RequestError(
-                "another change of this task is under way",
+                "another change of this task is in progress",
                 code="in_progress",
                 status=409,
                 retry_after=RETRY_S,
@@ -158,9 +159,9 @@
 
 
 def find_task(server: PartitionServer, task_id: str) -> TaskRecord:
-    """Return a task's record.
+    """Return the record of a task.
 
-    :raises RequestError: there is none.
+    :raises RequestError: the task is unknown.
     """
     record = server.state.find(task_id)
     if record is None and not server.has_authority:
@@ -174,7 +175,7 @@
 
 def _build_unknown(task_id: str) -> RequestError:
     return RequestError(
-        f"not known yet whether this took effect: look at task {task_id}",
+        f"unknown whether this took effect: check task {task_id}",
         code="store_uncertain",
         status=503,
         outcome=Outcome.UNKNOWN,
@@ -184,7 +185,7 @@
 
 
 def _build_unavailable(
-    detail: str = "the table is out of reach", retry_after: float = RETRY_S
+    detail: str = "the table is unavailable", retry_after: float = RETRY_S
 ) -> RequestError:
     return RequestError(
         detail,
@@ -197,7 +198,7 @@
 
 def _build_key_reused(task_id: str) -> RequestError:
     return RequestError(
-        f"the key made task {task_id} with another request",
+        f"the key was used for task {task_id} with a different request",
         code="key_reused",
         status=422,
         step="batch.submit",
--- a/pistachiodeal/batch/api.py
+++ b/pistachiodeal/batch/api.py
@@ -1,4 +1,4 @@
-"""HTTP of ``/tasks``: on the entry that was asked, and on the owner."""
+"""HTTP API of ``/tasks``, on the receiving entry and on the owner."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class TaskBody(BaseModel):
-    """What a caller posts."""
+    """The body of a submission."""
 
     model_config = ConfigDict(extra="forbid", frozen=True, strict=True)
 
@@ -50,7 +50,7 @@
 
 
 class TaskApi:
-    """Answers ``/tasks`` here, or at the owner of the task's partition."""
+    """Handles ``/tasks`` here, or forwards to the owner of the task's partition."""
 
     def __init__(
         self,
@@ -68,12 +68,12 @@
         self._partitions = context.settings.batch.partitions
 
     async def handle(self, request: WebRequest, *, forward: bool = True) -> WebResponse:
-        """Answer a request.
+        """Handle a request.
 
-        :param forward: False for one that another entry has forwarded already:
-            two entries that take each other for the owner must not pass it on
-            for ever.
-        :raises RequestError: ends in a problem document.
+        :param forward: False for a request that another entry has forwarded: two
+            entries that consider each other the owner must not pass it back and
+            forth for ever.
+        :raises RequestError: the caller turns it into a problem document.
         """
         if request.path == TASKS_PATH:
             return await self._submit(request, forward)
@@ -114,17 +114,17 @@
             return await self._forward(partition, request, forward)
         except RequestError as error:
             if error.outcome is Outcome.UNKNOWN:
-                error.detail = f"{error.detail}: look at task {task_id}"
+                error.detail = f"{error.detail}: check task {task_id}"
             raise
 
     async def _forward(
         self, partition: int, request: WebRequest, forward: bool
     ) -> WebResponse:
         owner = self._find_owner(partition)
-        me = self._context.membership.own_row.node
-        if not forward or owner is None or owner.node in ("", me):
+        own_node = self._context.membership.own_row.node
+        if not forward or owner is None or owner.node in ("", own_node):
             raise RequestError(
-                f"partition {partition} has no owner here",
+                f"this entry knows no owner of partition {partition}",
                 code="no_owner",
                 status=503,
                 retry_after=self._context.settings.batch.beat_s,
@@ -133,8 +133,8 @@
         return await self._forwarder.call(owner.address, request, FORWARD_S)
 
     async def _check_profile(self, name: str) -> None:
-        # A profile that was defined through another entry is not known here until
-        # the next poll. Callers take the refusal for final, so the table is asked.
+        # A profile that was defined through another entry is not known here until the
+        # next poll. Callers treat the refusal as final, so the table is read first.
         if self._context.profile_of(name) is None:
             await self._context.refresh_profiles()
         if self._context.profile_of(name) is None:
@@ -151,7 +151,7 @@
         return TaskBody.model_validate(orjson.loads(body))
     except orjson.JSONDecodeError as error:
         raise RequestError(
-            f"the body is no JSON: {error}", code="bad_body", status=400
+            f"the body is not valid JSON: {error}", code="bad_body", status=400
         ) from None
     except ValidationError as error:
         faults = describe_faults(error)
@@ -162,7 +162,9 @@
     key = get_header(request.headers, KEY_HEADER)
     if len(key) > MAX_KEY:
         raise RequestError(
-            f"the key is over {MAX_KEY} characters", code="bad_key", status=400
+            f"the idempotency key has more than {MAX_KEY} characters",
+            code="bad_key",
+            status=400,
         )
     if key:
         return request
@@ -194,5 +196,5 @@
 
 def _build_method_error(allowed: str) -> RequestError:
     return RequestError(
-        f"allowed here: {allowed}", code="method_not_allowed", status=405
+        f"allowed methods: {allowed}", code="method_not_allowed", status=405
     )
--- a/pistachiodeal/batch/attempt_ends.py
+++ b/pistachiodeal/batch/attempt_ends.py
@@ -1,4 +1,4 @@
-"""Messages by which agents end or refuse attempts, and their acknowledgements."""
+"""Handles the messages by which agents report ended or refused attempts."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class AttemptEndHandler:
-    """Journals the ends of attempts; acknowledges only what is durable."""
+    """Journals the ends of attempts and acknowledges them once they are durable."""
 
     def __init__(self, context: BatchContext) -> None:
         self._context = context
@@ -28,7 +28,7 @@
     async def handle_ended(
         self, server: PartitionServer, session: WorkerSession, ended: TaskEnded
     ) -> None:
-        """Take an agent's :class:`TaskEnded`, which it repeats until acknowledged."""
+        """Handle a :class:`TaskEnded`, which agents repeat until acknowledged."""
         if not server.serving or server.is_locked(ended.task_id):
             return
         record = server.state.find(ended.task_id)
@@ -38,7 +38,9 @@
         profile = self._context.find_profile(record.spec.profile)
         event = decide_end(record, ended, profile.max_attempts)
         if event is None:
-            log.error("batch: unknown state {} from {}", ended.state, session.node)
+            log.error(
+                "batch: unknown run state {} reported by {}", ended.state, session.node
+            )
             return
 
         run = server.runs.find(ended.task_id)
@@ -65,8 +67,9 @@
         if not is_current(record, refused.attempt, session.worker):
             return
         event = decide_refusal(refused)
-        # A refusal is not repeated. Where it can't be journaled now, it is kept as
-        # "over for certain"; otherwise the task would wait until its lease is over.
+        # Agents do not repeat a refusal. The run is marked as never started, so that
+        # it is requeued even if the refusal cannot be journaled now; otherwise the
+        # task would wait until its lease expires.
         run = server.runs.find(refused.task_id)
         if run is not None:
             server.runs.mark_unsent(run)
@@ -85,9 +88,10 @@
         ):
             await server.enqueue_message(ack)
             return
-        # An owner that was replaced in a freeze doesn't know of tasks and attempts
-        # that came later. If it acknowledged those, the agent would forget a result
-        # that nobody recorded. An empty row shows whether it is still the owner.
+        # An owner that was replaced while its process was frozen does not know tasks
+        # and attempts that came later. If it acknowledged their ends, the agent would
+        # discard a result that nobody recorded. Committing an empty row shows whether
+        # this entry is still the owner.
         if record is None:
             await server.propose(
                 [], lambda outcome: (ack,) if outcome is Outcome.RAN else ()
--- a/pistachiodeal/batch/context.py
+++ b/pistachiodeal/batch/context.py
@@ -1,4 +1,4 @@
-"""What all partitions of an entry share."""
+"""Dependencies that all partitions of an entry share."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BatchContext:
-    """The parts of an entry that every partition's host uses."""
+    """The components of an entry that every partition server uses."""
 
     settings: EntrySettings
     table: Table
@@ -37,5 +37,5 @@
     clock: Clock
 
     def find_profile(self, name: str) -> Profile:
-        """Return a profile, or the default if it has been retired."""
+        """Return a profile, or the default profile if it has been removed."""
         return self.profile_of(name) or DEFAULT_PROFILE
--- a/pistachiodeal/batch/decisions.py
+++ b/pistachiodeal/batch/decisions.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt means for its task."""
+"""Decides which event follows from the end of an attempt."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def is_current(record: TaskRecord | None, attempt: int, worker: str) -> bool:
-    """Tell whether a message is about the attempt that is placed now."""
+    """Return whether a message refers to the currently placed attempt."""
     return (
         record is not None
         and record.state is TaskState.PLACED
@@ -37,7 +37,7 @@
 def decide_end(record: TaskRecord, ended: TaskEnded, max_attempts: int) -> Event | None:
     """Return the event for the end of a task's current attempt.
 
-    :returns: None for a state that this version doesn't know.
+    :returns: None if this version does not know the state.
     """
     if ended.state == RunState.FINISHED:
         return Finished(ended.task_id, ended.attempt, ended.result)
@@ -60,8 +60,9 @@
 
 
 def _decide_crash(record: TaskRecord, ended: TaskEnded) -> Event:
-    # Its agent had seen it at work, and the worker has no trace of it. Taken for an
-    # attempt that never began, a task that ends each worker would be started for ever.
+    # The agent saw the run active, but the worker no longer knows it: the worker has
+    # crashed. If this counted as an attempt that never started, a task that crashes
+    # every worker would be restarted for ever.
     reason = "its worker ended under it"
     if record.crashes + 1 >= CRASHES_TO_GIVE_UP and not record.cancel_asked:
         return Failed(ended.task_id, ended.attempt, reason)
--- a/pistachiodeal/batch/forwarder.py
+++ b/pistachiodeal/batch/forwarder.py
@@ -1,4 +1,4 @@
-"""Links to the owners of partitions: one curio task for each peer entry."""
+"""Forwards requests to the owners of partitions, with one link to each peer entry."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 class PeerLink:
-    """The link to one entry; dialled while somebody wants it."""
+    """A link to another entry, kept up while requests use it."""
 
     def __init__(self, address: str, identity: Identity, secret: str) -> None:
         self._address = address
@@ -56,7 +56,7 @@
         self._recently_used = True
 
     async def run(self, timings: LinkTimings) -> None:
-        """Keep the link up; return when it is lost and nobody has used it since."""
+        """Keep the link up; return when it is lost and no call used it meanwhile."""
         failures = 0
         while self._recently_used:
             self._recently_used = False
@@ -72,14 +72,16 @@
                 await curio.sleep(compute_pause(failures))
 
     async def call(self, request: WebRequest, timeout: float) -> WebResponse:
-        """Hand a request to the peer and return its whole answer.
+        """Forward a request to the peer and return its response.
 
-        :param timeout: seconds for everything.
-        :raises RequestError: ``not_run`` only if the peer cannot have seen it.
+        :param timeout: seconds to wait for the response, after waiting at most half as
+            long for the link.
+        :raises RequestError: its outcome is ``not_run`` only if the peer cannot have
+            received the request.
         """
         self._recently_used = True
         if len(self._pending) >= MAX_PENDING_REQUESTS:
-            raise self._build_error("overloaded", "too many requests for this peer")
+            raise self._build_error("overloaded", "too many open requests to this peer")
         link = await self._wait_for_link(timeout)
         request_id = self._next_id
         self._next_id += 1
@@ -115,8 +117,8 @@
     async def _dispatch(self, message: Message) -> None:
         if not isinstance(message, Response | Refusal | Failure):
             return
-        # An answer that nobody waits for any more is dropped: ids are never used
-        # again, so it cannot reach another caller.
+        # A response that no caller waits for any more is dropped: request ids are
+        # never reused, so it cannot reach another caller.
         pending = self._pending.get(message.request_id)
         if pending is not None:
             pending.answer = message
@@ -129,7 +131,9 @@
             raise self._build_error(
                 answer.code, answer.detail, answer.retry_after_ms / MILLI
             )
-        error = self._build_error("owner_lost", "the owner gave no whole answer")
+        error = self._build_error(
+            "owner_lost", "the owner did not return a complete response"
+        )
         error.outcome = Outcome.UNKNOWN
         raise error
 
@@ -147,7 +151,7 @@
 
 
 class Forwarder:
-    """Hands requests to other entries; links are made when first needed."""
+    """Forwards requests to other entries; opens a link when it is first needed."""
 
     def __init__(self, identity: Identity, secret: str, timings: LinkTimings) -> None:
         self._identity = identity
@@ -158,7 +162,7 @@
         self._closed = False
 
     async def run(self) -> None:
-        """Hold the links; cancelled, it closes them all."""
+        """Run until cancelled, then close all links."""
         try:
             await curio.Event().wait()
         finally:
@@ -169,9 +173,9 @@
     async def call(
         self, address: str, request: WebRequest, timeout: float
     ) -> WebResponse:
-        """Hand a request to the entry at ``ip:port``.
+        """Forward a request to the entry at ``ip:port``.
 
-        :raises RequestError: with the outcome that is known.
+        :raises RequestError: with the outcome as far as it is known.
         """
         peer = self._peers.get(address)
         if peer is None:
--- a/pistachiodeal/batch/protocols.py
+++ b/pistachiodeal/batch/protocols.py
@@ -1,4 +1,4 @@
-"""What the batch queue needs of the process that holds it."""
+"""Interfaces that the batch queue requires from the entry process."""
 
 from __future__ import annotations
 
@@ -14,51 +14,51 @@
 
 
 class WorkerSession(Protocol):
-    """One link from a worker's agent."""
+    """A link from the agent of a worker."""
 
     @property
     def node(self) -> str:
-        """Return the agent's name."""
+        """Return the name of the agent."""
 
     @property
     def worker(self) -> str:
-        """Return the worker's name."""
+        """Return the name of the worker."""
 
     @property
     def data_centre(self) -> str:
-        """Return the worker's data centre."""
+        """Return the data centre of the worker."""
 
     @property
     def rack(self) -> str:
-        """Return the worker's rack."""
+        """Return the rack of the worker."""
 
     @property
     def incarnation(self) -> int:
-        """Return the random number of this start of the agent."""
+        """Return the random number that identifies this start of the agent."""
 
     @property
     def report(self) -> Report | None:
-        """Return the latest report, None before the first."""
+        """Return the latest report, None before the first report."""
 
     async def send(self, message: Message) -> None:
         """Send a message.
 
-        :raises LinkClosedError: it was not, and will not be, sent.
+        :raises LinkClosedError: the message was not sent and will not be.
         """
 
 
-def _ignore() -> None:
+def _do_nothing() -> None:
     return None
 
 
 @dataclass(frozen=True, slots=True)
 class OutgoingMessage:
-    """A message for an agent, built at the moment it is sent.
+    """A message for an agent that is built when it is sent.
 
-    :param build: returns None when by then it must not be sent.
-    :param on_unsent: called when it was not sent, for certain.
+    :param build: returns the message, or None if it must no longer be sent.
+    :param on_unsent: called when the message was definitely not sent.
     """
 
     session: WorkerSession
     build: Callable[[], Message | None]
-    on_unsent: Callable[[], None] = _ignore
+    on_unsent: Callable[[], None] = _do_nothing
--- a/pistachiodeal/batch/runs.py
+++ b/pistachiodeal/batch/runs.py
@@ -1,8 +1,8 @@
-"""Attempts that are placed, and until when each of them may be running.
+"""Tracks the placed attempts and until when each of them may be running.
 
-An attempt counts as running until its agent says that it ended, or until so
-long after it was last seen that its lease is over for certain, also where an
-earlier owner granted the last one.
+An attempt counts as running until its agent reports its end, or until so long after
+the last report that named it that its lease has definitely expired, even a lease that
+an earlier owner granted.
 """
 
 from __future__ import annotations
@@ -29,12 +29,15 @@
     """An attempt that may be running.
 
     :param durable: False between the decision and its journal row.
-    :param expires_at: from then on it certainly runs no more, own monotonic clock,
+    :param expires_at: when it has definitely stopped running, monotonic clock,
         seconds.
-    :param start_sent_on: session on which its start was sent, None for one that an
-        earlier owner placed.
-    :param stop_sent_on: session on which a stop was last sent, at ``last_sent_at``.
-    :param end_reported_at: when its agent last reported its end, not journaled yet.
+    :param start_sent_on: session on which its start was sent, None if an earlier
+        owner placed it.
+    :param stop_sent_on: session on which a stop was last sent.
+    :param last_sent_at: when the start or the last stop was sent, same clock.
+    :param stopping: whether its task was cancelled.
+    :param end_reported_at: when its agent last reported its end, which is not
+        journaled yet, same clock.
     """
 
     placed: Placed
@@ -54,7 +57,7 @@
 
     @property
     def never_started(self) -> bool:
-        """Tell whether it never ran, for certain."""
+        """Return whether the attempt definitely never ran."""
         return self.expires_at == NEVER_STARTED
 
 
@@ -70,9 +73,10 @@
         safety_s: float,
         clock: Clock,
     ) -> None:
-        """Make an empty table.
+        """Create an empty table.
 
-        :param safety_s: added to a task's lease: owner's lease and two margins.
+        :param safety_s: seconds added to a task's lease: the owner lease and twice
+            the margin.
         """
         self._partition = partition
         self._epoch = epoch
@@ -88,11 +92,11 @@
         return iter(list(self._runs.values()))
 
     def find(self, task_id: str) -> PlacedRun | None:
-        """Return a task's placed attempt."""
+        """Return the placed attempt of a task."""
         return self._runs.get(task_id)
 
     def add(self, placed: Placed, team: str, *, durable: bool) -> PlacedRun:
-        """Count an attempt as possibly running from now on."""
+        """Add an attempt, which may be running from now on."""
         run = PlacedRun(placed, team, self._compute_expiry(placed), durable)
         self._runs[placed.task_id] = run
         self._by_worker.setdefault(placed.worker, {})[placed.task_id] = run
@@ -100,7 +104,7 @@
         return run
 
     def remove(self, task_id: str) -> None:
-        """Forget an attempt that is over."""
+        """Remove an attempt that has ended."""
         run = self._runs.pop(task_id, None)
         if run is None:
             return
@@ -111,7 +115,7 @@
         self._workers.remove_run(worker, run.key, run.team)
 
     def record_ended(self, task_id: str) -> None:
-        """Forget an attempt whose own agent said that it is over."""
+        """Remove an attempt whose agent reported its end, and remember its key."""
         run = self._runs.get(task_id)
         if run is None:
             return
@@ -121,12 +125,12 @@
         self.remove(task_id)
 
     def clear(self) -> None:
-        """Forget everything: the partition is someone else's."""
+        """Remove all attempts because this entry no longer serves the partition."""
         for task_id in list(self._runs):
             self.remove(task_id)
 
     def overdue(self) -> list[PlacedRun]:
-        """Return the attempts whose lease is over for certain."""
+        """Return the attempts whose lease has definitely expired."""
         now = self._clock()
         return [
             run
@@ -137,17 +141,19 @@
         ]
 
     def record_end_reported(self, run: PlacedRun) -> None:
-        """Leave an attempt to its agent, who tells its end until it is journaled.
+        """Record that an agent reported the end of a run that is not journaled yet.
 
-        Right after a store outage the attempt is overdue, too. Queued as lost it
-        would start again from the beginning, although its agent holds a checkpoint.
+        The run is not overdue for a while, because the agent repeats the report until
+        it is journaled. Right after a store outage such a run is overdue as well.
+        Requeued as lost, it would start from the beginning although its agent holds a
+        checkpoint.
         """
         run.end_reported_at = self._clock()
 
     def answer_report(
         self, session: WorkerSession, refs: Sequence[TaskRef]
     ) -> tuple[LeaseGrant | None, list[Stop]]:
-        """Return the lease and the stops that answer a report.
+        """Return the lease and the stops to send in response to a report.
 
         :param refs: the runs of this partition that the report names.
         """
@@ -170,19 +176,19 @@
                 stops.append(self._record_stop(run, session, evict=False))
         named = {ref.task_id for ref in refs}
         stops.extend(self._stop_missing(session, named))
-        # A grant holds for every run of the partition that the report named. With
-        # a run among them that is not the current attempt, it would keep alive
-        # what must end, so this beat gets none.
+        # A grant renews every run of the partition that the report named. If one of
+        # them is not a current attempt, the grant would keep a run alive that must
+        # end, so this report gets no grant.
         if has_stale_run or not leases:
             return None, stops
         return LeaseGrant(self._partition, self._epoch, min(leases)), stops
 
     def mark_unsent(self, run: PlacedRun) -> None:
-        """Note that this owner's start of a run it placed itself was never sent."""
+        """Record that the start of a run which this owner placed was never sent."""
         run.expires_at = NEVER_STARTED
 
     def record_start(self, run: PlacedRun, session: WorkerSession) -> None:
-        """Note the session on which a start is about to be sent."""
+        """Record the session on which a start is about to be sent."""
         run.start_sent_on = session
         run.last_sent_at = self._clock()
 
@@ -192,13 +198,14 @@
         return self._record_stop(run, session, evict=False)
 
     def _stop_missing(self, session: WorkerSession, named: set[str]) -> list[Stop]:
-        """Ask after runs that should be on the worker and were not named.
-
-        Their start may be lost with an older link, or never have been sent by an
-        earlier owner: the agent's answer, unknown_run, frees them long before
-        their lease is over. An agent that has not heard yet who owns the partition
-        leaves its runs out of the report, too: so it is given a while, and is asked
-        for a checkpoint, which makes a wrong guess an eviction and no lost work.
+        """Return stops for runs that are placed on the worker but were not named.
+
+        Their start may have been lost with an older link, or an earlier owner may
+        never have sent it. The agent then answers with unknown_run, which frees them
+        long before their lease expires. An agent that does not know yet who owns the
+        partition also omits its runs from the report. It is therefore given a grace
+        period, and the stop requests a checkpoint, so that a wrong guess causes an
+        eviction and no lost work.
         """
         recently_acquired = self._clock() < self._acquired_at + GRACE_S
         if recently_acquired or self._workers.session_age(session) < GRACE_S:
--- a/pistachiodeal/batch/sender.py
+++ b/pistachiodeal/batch/sender.py
@@ -1,4 +1,4 @@
-"""Messages to agents, sent in the order in which they were put."""
+"""Sends messages to agents in the order in which they were queued."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 
 class Sender:
-    """Sends a partition's messages; when too many wait, :meth:`put` waits too."""
+    """Sends the messages of a partition; :meth:`put` blocks while the queue is full."""
 
     def __init__(self) -> None:
         self._queue: curio.Queue = curio.Queue(maxsize=QUEUE_MESSAGES)
 
     async def put(self, outgoing: OutgoingMessage) -> None:
-        """Send a message after those that wait already."""
+        """Queue a message."""
         await self._queue.put(outgoing)
 
     async def run(self) -> None:
-        """Send until cancelled."""
+        """Send queued messages until cancelled."""
         while True:
             outgoing: OutgoingMessage = await self._queue.get()
             message = outgoing.build()
--- a/pistachiodeal/batch/service.py
+++ b/pistachiodeal/batch/service.py
@@ -1,4 +1,4 @@
-"""The batch path of an entry, put together."""
+"""Assembles the batch service of an entry."""
 
 from __future__ import annotations
 
@@ -93,14 +93,14 @@
         await self._partition_manager.drain()
 
     async def handle(self, request: WebRequest) -> WebResponse:
-        """Answer a caller's ``/tasks`` request.
+        """Handle a caller's ``/tasks`` request.
 
-        :raises RequestError: ends in a problem document.
+        :raises RequestError: the caller turns it into a problem document.
         """
         return await self._api.handle(request)
 
     async def handle_forwarded(self, request: Request) -> Response | Refusal:
-        """Answer a request that another entry has forwarded."""
+        """Handle a request that another entry has forwarded."""
         local = WebRequest(
             request.method, request.target, request.headers, request.body
         )
@@ -114,17 +114,17 @@
         return Response(request.request_id, answer.status, answer.headers, answer.body)
 
     def session_opened(self, session: WorkerSession) -> None:
-        """Note a link from a worker's agent."""
+        """Register a link from the agent of a worker."""
         self._workers.open_session(session)
 
     def session_closed(self, session: WorkerSession) -> None:
-        """Note that a link has gone."""
+        """Unregister a closed link."""
         self._workers.close_session(session)
 
     async def receive(
         self, session: WorkerSession, message: Report | StartRefused | TaskEnded
     ) -> None:
-        """Take a message from an agent."""
+        """Handle a message from an agent."""
         if isinstance(message, Report):
             await self._answer_report(session, message)
             return
@@ -137,7 +137,7 @@
             await self._end_handler.handle_refused(server, session, message)
 
     def directory(self) -> Directory:
-        """Return the live entries and the partitions' owners, as last read."""
+        """Return the live entries and the partition owners as last read."""
         membership = self._context.membership
         entries = tuple(
             EntryAddress(entry.node, entry.address, entry.data_centre)
@@ -150,7 +150,7 @@
         return Directory(entries, owners)
 
     def status(self) -> dict[str, Any]:
-        """Return figures for the operators."""
+        """Return the values for the status page."""
         membership = self._context.membership
         now = self._context.clock()
         return {
@@ -179,9 +179,9 @@
         grants: list[LeaseGrant] = []
         stops: list[Stop] = []
         for server in self._partition_manager.list_serving():
-            # Without authority neither leases nor stops go out: a successor may
-            # own the partition, and what is "not the current attempt" here may be
-            # a run that it has started.
+            # Without authority neither leases nor stops are sent: a successor may own
+            # the partition, and a run that is not the current attempt here may be
+            # one that the successor has started.
             if not server.has_authority:
                 continue
             named = refs.get(server.owner.partition, ())
@@ -195,7 +195,7 @@
             for stop in stops:
                 await session.send(stop)
         except LinkClosedError:
-            log.debug("batch: link to {} is closed", session.node)
+            log.debug("batch: report not answered, link to {} is closed", session.node)
 
     def _group_refs(self, refs: Sequence[TaskRef]) -> dict[int, list[TaskRef]]:
         groups: dict[int, list[TaskRef]] = {}
@@ -209,7 +209,7 @@
 
 
 async def keep_current_profiles() -> None:
-    """Leave what is known of the profiles as it is."""
+    """Keep the known profiles: the default where no refresh is possible."""
 
 
 def create_batch_service(  # noqa: PLR0917  (the signature agreed between the parts)
@@ -225,13 +225,13 @@
     histograms: Histograms | None = None,
     refresh_profiles: ProfileRefresh = keep_current_profiles,
 ) -> BatchService:
-    """Create the batch path of an entry.
+    """Create the batch service of an entry.
 
-    :param internal_address: ``ip:port`` that agents and entries dial.
-    :param http_address: ``ip:port`` for callers, for the operators' eyes.
+    :param internal_address: ``ip:port`` to which agents and entries connect.
+    :param http_address: ``ip:port`` for callers, shown to operators only.
     :param profile_of: returns a profile by its name.
-    :param refresh_profiles: looks at the table again, if it can.
-    :param histograms: where the waits of tasks go, by team and profile.
+    :param histograms: records the waiting times of tasks, by team and profile.
+    :param refresh_profiles: reads the profiles from the table again, if possible.
     """
     own_row = EntryRow(
         node=identity.node,
