--- a/tests/unit/fake_batch.py
+++ b/tests/unit/fake_batch.py
@@ -1,4 +1,4 @@
-"""Entries without their loops, and agents as models, on one clock."""
+"""Entries without their loops and models of agents, on a shared clock."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class Gate:
-    """Holds an entry that is frozen at each of its awaits."""
+    """Simulates a frozen process: blocks each await of an entry while it is frozen."""
 
     def __init__(self) -> None:
         self._open = curio.Event()
@@ -60,7 +60,7 @@
 
 
 class GatedTable:
-    """One entry's way to the table: held before and after each call."""
+    """An entry's access to the table; the gate blocks before and after each call."""
 
     def __init__(self, table: FakeTable, gate: Gate) -> None:
         self._table = table
@@ -142,7 +142,7 @@
 
 
 class Agent:
-    """Model of an agent and its worker: leases, epochs, barred attempts."""
+    """Model of an agent and its worker, with leases, epochs and barred attempts."""
 
     def __init__(self, worker: str, clock: Clock) -> None:
         self.worker = worker
@@ -156,7 +156,7 @@
         self.started: list[tuple[str, int]] = []
 
     def expire(self) -> None:
-        """Do what a worker does by itself when leases run out."""
+        """End the runs whose lease has expired, as a worker does by itself."""
         for task_id, run in list(self.runs.items()):
             if self.clock() >= run.lease_until:
                 self.end(task_id, "expired")
@@ -168,7 +168,7 @@
         self.ended[key] = TaskEnded(*key, state, result, "", Resources(), 1_000)
 
     def report(self, partitions: set[int]) -> Report:
-        """Return the next report, naming the runs of these partitions."""
+        """Return the next report, which names the runs of these partitions."""
         self.expire()
         self.beat += 1
         free = CAPACITY
@@ -184,7 +184,7 @@
         return Report(self.beat, False, CAPACITY, free, (), refs)
 
     def receive(self, message: Message) -> list[Message]:
-        """Take an owner's message; return the answers."""
+        """Handle a message from an owner; return the replies."""
         self.expire()
         if isinstance(message, Start):
             return self._start(message)
@@ -239,7 +239,7 @@
 
 
 class Session:
-    """One link from an agent to an entry; messages wait until delivered."""
+    """A link from an agent to an entry; messages are queued until delivered."""
 
     def __init__(self, agent: Agent, gate: Gate) -> None:
         self.agent = agent
@@ -261,6 +261,6 @@
 
 
 async def settle() -> None:
-    """Let every task go on until all wait."""
+    """Let all curio tasks run until they block."""
     for _ in range(60):
         await curio.sleep(0)
--- a/tests/unit/test_batch_attempt_ends.py
+++ b/tests/unit/test_batch_attempt_ends.py
@@ -1,4 +1,4 @@
-"""How refused attempts go back to the queue."""
+"""Attempts that were refused or whose worker crashed."""
 
 import orjson
 
@@ -24,7 +24,7 @@
 
 
 def create_state() -> PartitionState:
-    """Return a state with one task that waits to go on from a checkpoint."""
+    """Return a state with one queued task that has a checkpoint."""
     state = PartitionState(lambda profile: 0)
     state.apply(Submitted(SPEC))
     state.apply(Placed(SPEC.task_id, 1, "w1", SIZE, 30_000))
@@ -33,7 +33,7 @@
 
 
 def refuse_next(state: PartitionState, code: str) -> Event:
-    """Place the task once more and let its agent refuse it."""
+    """Place the task again and let its agent refuse it."""
     record = state.find(SPEC.task_id)
     assert record is not None
     state.apply(Placed(SPEC.task_id, record.attempt, "w1", SIZE, 30_000))
@@ -43,16 +43,17 @@
     return event
 
 
-def test_a_lost_checkpoint_is_given_up_after_some_tries():
-    """Symptom: a task is placed and refused for ever, and never runs.
-    Sequence: it was evicted; the object of its checkpoint got lost.
-    Cause: each refusal requeued it with the same checkpoint.
+def test_a_missing_checkpoint_is_discarded_after_some_attempts():
+    """A task whose checkpoint object is lost is not placed and refused for ever.
+
+    Each refusal used to requeue the evicted task with the same checkpoint, so that it
+    never ran.
     """
     state = create_state()
-    for tries in range(MAX_CHECKPOINT_MISSES):
+    for misses in range(MAX_CHECKPOINT_MISSES):
         record = state.find(SPEC.task_id)
         assert record is not None
-        assert (record.checkpoint, record.checkpoint_misses) == ("saved", tries)
+        assert (record.checkpoint, record.checkpoint_misses) == ("saved", misses)
         event = refuse_next(state, "checkpoint_missing")
         assert decode_events(orjson.loads(orjson.dumps(encode_events([event])))) == [
             event
@@ -76,8 +77,8 @@
     assert (record.checkpoint, record.checkpoint_misses) == ("saved", 0)
 
 
-def lose_next(state: PartitionState, run_ms: int) -> Event:
-    """Place the task once more and let its worker end under it."""
+def crash_next(state: PartitionState, run_ms: int) -> Event:
+    """Place the task again and let its worker crash after ``run_ms``."""
     record = state.find(SPEC.task_id)
     assert record is not None
     state.apply(Placed(SPEC.task_id, record.attempt, "w1", SIZE, 30_000))
@@ -90,25 +91,26 @@
     return event
 
 
-def test_a_task_that_ends_its_workers_is_given_up():
-    """A task was started for ever, and each start took a worker and all that ran there
-    down. Its agent had seen the run at work and then no trace of it, which was taken
-    for an attempt that never began. The count is in the journal and in snapshots.
+def test_a_task_that_crashes_its_workers_fails():
+    """A task that crashes every worker it runs on is not restarted for ever.
+
+    The agent saw the run active and later no trace of it, which used to count as an
+    attempt that never started. The number of crashes survives journal and snapshots.
     """
     state = create_state()
     for _ in range(CRASHES_TO_GIVE_UP - 1):
-        assert isinstance(lose_next(state, 8), Requeued)
+        assert isinstance(crash_next(state, 8), Requeued)
         successor = PartitionState(lambda profile: 0)
         successor.load(state.dump())
         state = successor
-    assert isinstance(lose_next(state, 8), Failed)
+    assert isinstance(crash_next(state, 8), Failed)
     record = state.find(SPEC.task_id)
     assert record is not None
     assert record.state is TaskState.FAILED
 
 
-def test_a_worker_that_ends_after_long_work_is_not_the_tasks_doing():
+def test_a_worker_crash_after_a_long_run_does_not_count_against_the_task():
     state = create_state()
     for _ in range(2 * CRASHES_TO_GIVE_UP):
-        assert isinstance(lose_next(state, 60_000), Requeued)
-        assert isinstance(lose_next(state, 0), Requeued)
+        assert isinstance(crash_next(state, 60_000), Requeued)
+        assert isinstance(crash_next(state, 0), Requeued)
--- a/tests/unit/test_batch_forwarder.py
+++ b/tests/unit/test_batch_forwarder.py
@@ -1,4 +1,4 @@
-"""Requests that are handed to a partition's owner over a real link."""
+"""Requests that are forwarded to a partition's owner over a real link."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
     sock, _ = await listener.accept()
     async with accept_link(
         sock, Identity("entry", "b", 2, "dc"), SECRET, TIMINGS
-    ) as it:
+    ) as link:
         while True:
             try:
-                request = await it.receive()
+                request = await link.receive()
             except LinkClosedError:
                 return
             reply = answer(request)
             if reply is None:
                 return
-            await it.send(reply)
+            await link.send(reply)
 
 
 async def call_peer(answer) -> object:
@@ -39,7 +39,7 @@
     listener.listen(5)
     port = listener.getsockname()[1]
     forwarder = Forwarder(Identity("entry", "a", 1, "dc"), SECRET, TIMINGS)
-    holder = await curio.spawn(forwarder.run)
+    forwarder_task = await curio.spawn(forwarder.run)
     server = await curio.spawn(serve, listener, answer)
     try:
         request = WebRequest("POST", "/tasks", (("x", "y"),), b"body")
@@ -47,12 +47,12 @@
     except RequestError as error:
         return error
     finally:
-        await holder.cancel()
+        await forwarder_task.cancel()
         await server.cancel()
         await listener.close()
 
 
-def test_answer_and_refusal_come_back():
+def test_responses_and_refusals_are_returned():
     def answer(request: Request) -> Response:
         assert (request.service, request.body) == ("@tasks", b"body")
         return Response(request.request_id, 201, (("a", "b"),), b"{}")
@@ -63,12 +63,11 @@
     assert (got.outcome, got.retry_after) == (Outcome.NOT_RUN, 1.5)
 
 
-def test_link_that_dies_after_the_request_means_unknown():
-    """A request that was handed on is never called "not run".
+def test_link_lost_after_the_request_means_unknown():
+    """A forwarded request is never reported as "not run".
 
-    Symptom: "not run" was told of a task that the owner admitted.
-    Sequence: the owner takes the request, then the link dies without an answer.
-    Cause: no answer was taken for no effect.
+    When the owner received a request and the link closed before it answered, the
+    missing answer used to be treated as no effect, although the task was admitted.
     """
     got = curio.run(call_peer, lambda request: None)
     assert got.outcome is Outcome.UNKNOWN
--- a/tests/unit/test_batch_late_ends.py
+++ b/tests/unit/test_batch_late_ends.py
@@ -1,4 +1,4 @@
-"""Ends of attempts that come late."""
+"""Late reports of the end of an earlier attempt."""
 
 from __future__ import annotations
 
@@ -13,12 +13,11 @@
 
 @pytest.mark.parametrize("state", ["finished", "stopped"])
 def test_late_end_of_an_earlier_attempt_changes_nothing(state):
-    """Only the end of the attempt that is placed now counts.
+    """Only the end of the currently placed attempt counts.
 
-    Symptom: a task was finished, or queued again, while its second attempt ran.
-    Sequence: attempt 1 expires and is told so; attempt 2 starts on the same worker;
-        word of attempt 1 comes once more, by an older link.
-    Cause: a task's end was taken for that of whatever attempt is placed.
+    Attempt 1 expires, attempt 2 starts on the same worker, and the end of attempt 1 is
+    reported again over an older link. It used to be applied to the placed attempt, so
+    the task was finished or requeued while attempt 2 ran.
     """
 
     async def main():
--- a/tests/unit/test_batch_placement.py
+++ b/tests/unit/test_batch_placement.py
@@ -1,4 +1,4 @@
-"""Order, fit and spread of placements."""
+"""Order of placements, their fit, and how they spread over racks."""
 
 from __future__ import annotations
 
@@ -36,15 +36,15 @@
         {"b": [task("urgent", "b")]},
         {"a": [task("a1", "a"), task("a2", "a")], "b": [task("b1", "b", share=4)]},
     ]
-    one = [candidate("w", "r", Resources(3_000, 8_000))]
-    placed = [name for name, _ in plan(levels, one)]
+    candidates = [candidate("w", "r", Resources(3_000, 8_000))]
+    placed = [name for name, _ in plan(levels, candidates)]
     assert placed == ["urgent", "a1", "b1"]
-    one = [candidate("w", "r", Resources(3_000, 8_000))]
-    placed = [name for name, _ in plan(levels, one, {"a": 0})]
+    candidates = [candidate("w", "r", Resources(3_000, 8_000))]
+    placed = [name for name, _ in plan(levels, candidates, {"a": 0})]
     assert placed == ["urgent", "b1"]
 
 
-def test_spreads_over_racks_and_never_over_the_room():
+def test_placements_spread_over_racks_within_the_free_resources():
     candidates = [candidate("w1", "r1"), candidate("w2", "r1"), candidate("w3", "r2")]
     levels = [{"t": [task(str(n), cpu=5_000) for n in range(5)]}]
     placed = plan(levels, candidates)
@@ -59,15 +59,16 @@
     assert plan(levels, candidates) == [("x", "w2")]
     assert plan(levels, candidates, usable=lambda worker: worker != "w2") == []
     levels = [{"t": [task("x", failed_workers=("w1", "w2"))]}]
-    assert len(plan(levels, candidates)) == 1, "nowhere is new: tries again"
+    assert len(plan(levels, candidates)) == 1, (
+        "no untried worker is left: any worker may be used"
+    )
 
 
 def test_large_task_is_not_starved_by_small_ones():
-    """A worker is kept for a large task that small ones would starve.
+    """A worker is reserved for a large task that small tasks would starve.
 
-    Symptom: a task of a whole worker's size waited for ever.
-    Sequence: small tasks keep coming and fit into whatever comes free.
-    Cause: nothing was ever left free for long enough.
+    Small tasks that keep arriving fit into all capacity that becomes free, so a task
+    as large as a whole worker used to wait for ever.
     """
     planner = PlacementPlanner(lambda worker: True)
     small = Resources(2_000, 8_000)
@@ -78,7 +79,7 @@
         assert [p.task.task_id for p in placed] == (["small"] if now == 0.0 else [])
 
 
-def test_waits_are_counted_from_admission():
+def test_wait_is_measured_from_admission():
     now = [100.0]
     waiting = WaitingTasks(lambda: now[0])
     waiting.add(TaskSpec("0000-a", "press", "hall", "batch", Resources(1)), 0)
--- a/tests/unit/test_batch_service.py
+++ b/tests/unit/test_batch_service.py
@@ -1,4 +1,4 @@
-"""The batch path of one or two entries against a fake table and model agents."""
+"""The batch service of one or two entries, with a fake table and model agents."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class BatchHarness:
-    """One table, one clock, entries and agents."""
+    """A shared table and clock with entries and agents."""
 
     def __init__(self) -> None:
         self.table = FakeTable()
@@ -86,7 +86,7 @@
 
 
 async def submit(entry: Entry, key: str) -> str:
-    """Submit a task that is new, and return its id."""
+    """Submit a new task and return its id."""
     answer = await entry.service.handle(post(key))
     assert answer.status == 201
     task_id: str = orjson.loads(answer.body)["id"]
@@ -118,10 +118,11 @@
     curio.run(main)
 
 
-def test_profile_defined_just_now_elsewhere_is_known():
-    """Symptom: 422 for a task whose profile an operator has just defined.
-    Sequence: defined through one entry, the task comes to another's partition.
-    Cause: entries poll profiles; until then the owner doesn't know the new one.
+def test_profile_just_defined_through_another_entry_is_known():
+    """A task is not refused with 422 because its profile was defined just now.
+
+    Entries poll the profiles, so the owner of the task's partition may not know yet a
+    profile that an operator has defined through another entry.
     """
 
     async def main():
@@ -138,12 +139,11 @@
     curio.run(main)
 
 
-def test_lost_answer_of_an_admission_is_settled():
-    """A caller is told the truth though the store's answer was lost.
+def test_admission_with_a_lost_store_response_is_resolved():
+    """A caller gets the true outcome although the store's response was lost.
 
-    Symptom: a task was reported as not run, and then ran.
-    Sequence: the append takes effect late, after its row was read back as absent.
-    Cause: an absent row says nothing of a commit that is still under way.
+    An append can take effect after its row was read back as absent, because the commit
+    is still in flight. Its task used to be reported as not run and then ran.
     """
 
     async def main():
@@ -166,7 +166,7 @@
     curio.run(main)
 
 
-def test_store_down_means_not_run_at_once():
+def test_store_outage_means_not_run_immediately():
     async def main():
         harness = BatchHarness()
         entry = harness.entry("a")
@@ -183,12 +183,12 @@
     curio.run(main)
 
 
-def test_fenced_owner_whose_row_was_folded_answers_unknown():
-    """An owner that wakes from a freeze doesn't call a folded task "not run".
+def test_fenced_owner_whose_row_is_in_a_snapshot_answers_unknown():
+    """An owner that resumes after a freeze does not report a journaled task "not run".
 
-    Symptom: "not run" was told of a task that the successor ran.
-    Sequence: commit sent, frozen, taken over, journal folded and deleted, woken.
-    Cause: the missing journal row was taken for a write without effect.
+    The owner is frozen after it sent a commit. A successor takes over, writes a
+    snapshot and deletes the journal row. The missing row used to be treated as a write
+    without effect, although the successor ran the task.
     """
 
     async def main():
@@ -199,7 +199,7 @@
         entry.gate.freeze()
         caller = await curio.spawn(entry.service.handle, post("k1"))
         await settle()
-        entry.gate._open._set = True  # the commit goes out, its answer is lost
+        entry.gate._open._set = True  # the commit is sent, its response is lost
         await entry.gate.thaw()
         await curio.sleep(0)
         await curio.sleep(0)
@@ -222,12 +222,12 @@
     curio.run(main)
 
 
-def test_successor_waits_for_a_run_that_may_go_on():
-    """A run out of sight is started elsewhere only when its lease is over.
+def test_successor_waits_for_a_run_that_may_still_be_active():
+    """A task on an unreachable worker starts elsewhere only after its lease expired.
 
-    Symptom: one task ran on two workers.
-    Sequence: placed on w1; owner and link to w1 die; a successor takes over.
-    Cause: the successor placed the task again before w1's lease had ended.
+    The task is placed on w1, the owner and the link to w1 are lost, and a successor
+    takes over. Placing the task again before the lease of w1 had expired made it run
+    on two workers.
     """
 
     async def main():
@@ -257,13 +257,12 @@
     curio.run(main)
 
 
-def test_stale_owner_does_not_acknowledge_what_it_never_knew():
-    """A replaced owner keeps silent about a later owner's attempts.
+def test_stale_owner_does_not_acknowledge_unknown_tasks():
+    """A replaced owner does not acknowledge the attempts of a later owner.
 
-    Symptom: a finished task ran a second time.
-    Sequence: owner frozen; successor admits and starts a task; it finishes; the
-        agent tells the woken old owner, which acknowledges an unknown task.
-    Cause: "unknown here" was taken for "recorded long ago".
+    While the owner is frozen, a successor admits and starts a task, which finishes. The
+    agent reports the end to the old owner, which resumes. It used to acknowledge the
+    unknown task as recorded long ago, and the finished task ran a second time.
     """
 
     async def main():
@@ -278,16 +277,16 @@
         for ended in list(harness.agent.ended.values()):
             await old.service.receive(stale, ended)
         await harness.deliver(old, stale)
-        assert harness.agent.ended, "still waiting for the true owner"
-        assert old.server(task_id) is None, "found out that it was replaced"
+        assert harness.agent.ended, "not acknowledged, kept for the current owner"
+        assert old.server(task_id) is None, "has detected that it was replaced"
 
     curio.run(main)
 
 
 def test_burst_of_cancels_shares_rows():
-    """Symptom: a burst of cancels fills the table's budget of writes.
-    Sequence: many waiting tasks are cancelled in the same moment.
-    Cause: a row written for each of them.
+    """Many tasks cancelled at the same moment do not use up the table's write budget.
+
+    Each cancellation used to write a row of its own.
     """
 
     async def main():
@@ -299,16 +298,17 @@
         states = [(await cancel.join())["state"] for cancel in cancels]
         assert set(states) == {"cancelled"}
         partitions = entry.context.settings.batch.partitions
-        # A row that is on its way when the burst comes, then one for all the rest.
+        # One row that is being written when the burst arrives, then one for the rest.
         assert harness.table.commits - before <= 2 * partitions
 
     curio.run(main)
 
 
-def test_dead_entrys_partitions_are_not_all_taken_in_one_round():
-    """Symptom: all survivors read whole partitions at once after a loss.
-    Sequence: an entry that owned everything dies; another sees it dead.
-    Cause: every partition taken over in the first round.
+def test_partitions_of_a_dead_entry_are_taken_over_in_several_rounds():
+    """The survivors of a lost entry do not load all its partitions at once.
+
+    An entry that owned all partitions dies. Another one used to take over every
+    partition in the first round in which it saw that entry as dead.
     """
 
     async def main():
@@ -331,7 +331,7 @@
     curio.run(main)
 
 
-def test_cancel_and_finish_have_one_winner():
+def test_cancel_and_finish_have_one_outcome():
     async def main():
         harness = BatchHarness()
         entry, session = await harness.open("a")
@@ -342,7 +342,7 @@
                 document = await call(entry, "DELETE", ids[0])
                 assert document["state"] == "cancelled"
         await harness.place(entry, session)
-        assert harness.agent.started == [(ids[1], 1)], "the cancelled one never starts"
+        assert harness.agent.started == [(ids[1], 1)], "the cancelled task never starts"
         harness.agent.end(ids[1], "finished", "done")
         canceller = await curio.spawn(call, entry, "DELETE", ids[1])
         await harness.deliver(entry, session)
@@ -372,7 +372,7 @@
             harness.clock.now += 1.0
             await harness.round(second)
             await harness.report(second, link)
-        assert harness.agent.started == started, "adopted, not started again"
+        assert harness.agent.started == started, "kept running, not started again"
         states = {second.server(i).state.find(i).state for i in ids}
         assert states == {TaskState.PLACED, TaskState.QUEUED}
 
@@ -380,12 +380,11 @@
 
 
 def test_superseded_run_gets_no_lease():
-    """A run that was replaced is stopped, and not kept alive by its neighbours.
+    """A superseded run is stopped and not renewed together with current runs.
 
-    Symptom: a task ran on two workers for as long as the first one liked.
-    Sequence: w1 out of sight, its task started elsewhere; w1 reports it beside a
-        current run, and the lease for the partition renews both.
-    Cause: a lease holds for every run that the report named.
+    A grant renews every run of the partition that the report named. When w1 was
+    unreachable and its task was started elsewhere, w1 reported the old run beside a
+    current one. The grant renewed both, and the task kept running on two workers.
     """
 
     async def main():
@@ -406,12 +405,12 @@
     curio.run(main)
 
 
-def test_entry_without_beats_neither_places_nor_renews():
-    """An owner that cannot beat stops acting before its successor starts to.
+def test_entry_without_heartbeats_neither_places_nor_renews():
+    """An owner that cannot send heartbeats stops before its successor starts.
 
-    Symptom: leases were granted for what another entry had taken over.
-    Sequence: the table is out of reach of one owner only, for a lease's length.
-    Cause: the owner went on as if it still owned its partitions.
+    When the table was unavailable to one owner for the length of its lease, it
+    continued as if it still owned its partitions and granted leases for partitions
+    that another entry had taken over.
     """
 
     async def main():
@@ -434,12 +433,12 @@
     curio.run(main)
 
 
-def test_task_under_way_is_not_decided_twice():
+def test_task_with_a_pending_event_is_not_decided_twice():
     async def main():
         harness = BatchHarness()
         entry, session = await harness.open("a")
         task_id = await submit(entry, "k1")
-        entry.gate.freeze()  # the table's answers are held back
+        entry.gate.freeze()  # the table does not respond
         await entry.placement_loop.run_once()
         await entry.placement_loop.run_once()
         with pytest.raises(RequestError) as caught:
@@ -454,11 +453,11 @@
 
 
 def test_partitions_of_a_restarted_entry_find_an_owner():
-    """A partition whose owner restarted goes to whoever should hold it now.
+    """A partition whose owner restarted moves to its preferred owner.
 
-    Symptom: a partition without an owner for ever, its tasks waiting.
-    Sequence: e0 owns it; e0 is killed and started anew; e1 is the one to take it.
-    Cause: e0's row went on changing, so e1 took the earlier process for alive.
+    e0 owns the partition and is restarted, and e1 is now preferred. The row of e0 keeps
+    changing, so e1 considered the earlier process alive, and the partition stayed
+    without an owner for ever.
     """
 
     async def main():
@@ -474,18 +473,17 @@
         held = [again.manager.list_serving(), other.manager.list_serving()]
         partitions = [server.owner.partition for servers in held for server in servers]
         assert sorted(partitions) == sorted(owned)
-        assert all(held), "both have their share"
+        assert all(held), "both hold partitions"
 
     curio.run(main)
 
 
-def test_take_over_that_lands_late_is_not_left_alone():
-    """A partition that names a live entry is served by it, or handed over.
+def test_take_over_that_takes_effect_late_is_served_or_handed_over():
+    """A partition whose row names a live entry is served by it or handed over.
 
-    Symptom: a partition without an owner for ever, its tasks waiting.
-    Sequence: e1's take-over gets no answer; e0 joins and is now the rightful
-        owner; the take-over lands and names e1.
-    Cause: e0 saw a live owner, and e1 left to e0 what e0 should hold.
+    The take-over by e1 gets no response, e0 joins and becomes the preferred owner, and
+    then the take-over takes effect and names e1. e0 saw a live owner and e1 left the
+    partition to e0, so it stayed without an owner for ever.
     """
 
     async def main():
--- a/tests/unit/test_fuzz_batch.py
+++ b/tests/unit/test_fuzz_batch.py
@@ -1,4 +1,4 @@
-"""Owners, leases and take-overs under faults, freezes and lost messages."""
+"""Ownership, leases and take-overs under faults, freezes and lost messages."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 class BatchMachine(RuleBasedStateMachine):
-    """Two entries, two workers; every step may be cut short by a fault."""
+    """Two entries and two workers; a fault may interrupt any step."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -58,7 +58,7 @@
         self.admitted: set[str] = set()
         self.refused: set[str] = set()
         self.results: dict[str, list[str]] = {}
-        self.out_of_sight: set[int] = set()
+        self.unreachable: set[int] = set()
 
     def create_entry(self, index: int, incarnation: int) -> Entry:
         return Entry(
@@ -86,11 +86,11 @@
 
     crash: Exception | None = None
 
-    # -- what happens
+    # -- rules
 
     @initialize()
     def begin(self) -> None:
-        """Let tasks run before anything goes wrong."""
+        """Let tasks run before the first fault."""
         self.submit_and_work()
 
     @rule()
@@ -102,7 +102,7 @@
 
     @rule(entry=INDEX)
     def work(self, entry: int) -> None:
-        """Do what goes on all the time, so that steps in between meet live runs."""
+        """Run the periodic work, so that later steps find active runs."""
         self.round(entry)
         for agent in (0, 1):
             self.report(entry, agent)
@@ -112,14 +112,14 @@
 
     @rule(agent=INDEX)
     def cut_worker(self, agent: int) -> None:
-        """Let a worker run on out of everyone's sight."""
-        self.out_of_sight = {agent}
+        """Cut all links of a worker, which keeps running."""
+        self.unreachable = {agent}
         for entry in (0, 1):
             self.cut_link(entry, agent)
 
     @rule()
     def reconnect(self) -> None:
-        self.out_of_sight = set()
+        self.unreachable = set()
 
     @rule(entry=INDEX)
     def round(self, entry: int) -> None:
@@ -160,7 +160,7 @@
 
     @rule(entry=INDEX, agent=INDEX)
     def report(self, entry: int, agent: int) -> None:
-        if agent in self.out_of_sight:
+        if agent in self.unreachable:
             return
         target = self.entries[entry]
         session = self.links.get((entry, agent))
@@ -236,14 +236,14 @@
     @precondition(lambda self: self.incarnation < 4)
     @rule(entry=INDEX)
     def replace(self, entry: int) -> None:
-        """Kill an entry for good: it stays frozen, and a new one starts."""
+        """Kill an entry: it stays frozen, and a new process replaces it."""
         self.entries[entry].gate.freeze()
         for agent in (0, 1):
             self.cut_link(entry, agent)
         self.incarnation += 1
         self.entries[entry] = self.create_entry(entry, self.incarnation)
 
-    # -- what must hold
+    # -- invariants
 
     @invariant()
     def one_place_at_a_time(self) -> None:
@@ -265,7 +265,7 @@
             self.kernel.run(shutdown=True)
 
     def heal(self) -> None:
-        """Take all faults away, and let everything end."""
+        """Remove all faults and let all tasks end."""
         self.table.faults.clear()
         self.table.land_delayed()
         self.reconnect()
@@ -295,20 +295,20 @@
                 records |= server.state._records
         assert self.admitted <= set(records), "a task was lost"
         refused = {build_task_id("hall", key, 1) for key in self.refused}
-        assert not refused & set(records), "not run was told of what ran"
+        assert not refused & set(records), "a task that was reported as not run exists"
         for task_id, record in records.items():
             assert record.state.final, f"{task_id} is {record.state}"
             if record.state is TaskState.FINISHED:
                 self.check_results(task_id, record.result)
         for agent in self.agents:
-            assert not agent.ended, "an end was never acknowledged"
+            assert not agent.ended, "the end of a run was never acknowledged"
 
     def check_results(self, task_id: str, recorded: str) -> None:
-        """Compare the workers' results with the journal's own rows.
+        """Compare the results of the workers with the rows of the journal.
 
-        A worker that is out of sight for longer than the lease may have finished
-        what is then started again, one after the other: there, and only there,
-        a second result may be made, and one of them is recorded.
+        A worker that is unreachable for longer than the lease may have finished a task
+        that is then started again elsewhere. Only in this case a second result may
+        exist, and exactly one result is recorded.
         """
         events = [
             {"event": event["event"], **event["fields"]}
