--- a/pistachiodeal/batch/api.py
+++ b/pistachiodeal/batch/api.py
@@ -124,7 +124,7 @@
         own_node = self._context.membership.own_row.node
         if not forward or owner is None or owner.node in ("", own_node):
             raise RequestError(
-                f"this entry knows no owner of partition {partition}",
+                f"partition {partition} is not served by this entry",
                 code="no_owner",
                 status=503,
                 retry_after=self._context.settings.batch.beat_s,
--- a/pistachiodeal/batch/partition.py
+++ b/pistachiodeal/batch/partition.py
@@ -66,7 +66,7 @@
             return self._apply_cancel(record)
         if event.attempt != record.attempt:
             log.error(
-                "batch: event for attempt {} is not current, ignored: {}",
+                "batch: event of attempt {} ignored, not the current attempt: {}",
                 event.attempt,
                 event,
             )
