--- a/pistachiodeal/batch/api.py
+++ b/pistachiodeal/batch/api.py
@@ -1,4 +1,4 @@
-"""HTTP of ``/tasks``: on the entry that was asked, and on the owner."""
+"""HTTP API of ``/tasks``, on the receiving entry and on the owner."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
 from pistachiodeal.batch.admission import TaskAdmission, find_task
-from pistachiodeal.batch.context import HostContext
-from pistachiodeal.batch.forward import Forwarder
-from pistachiodeal.batch.host import PartitionHost
+from pistachiodeal.batch.context import BatchContext
+from pistachiodeal.batch.forwarder import Forwarder
 from pistachiodeal.batch.keys import build_task_id, parse_partition
 from pistachiodeal.batch.partition import describe_task
+from pistachiodeal.batch.partition_server import PartitionServer
 from pistachiodeal.batch.rows import OwnerRow
 from pistachiodeal.exceptions import Outcome, RequestError
 from pistachiodeal.model.policies import NAME_PATTERN
@@ -30,12 +30,12 @@
 MAX_PAYLOAD = 8_192
 FORWARD_S = 4.0
 
-HostLookup = Callable[[int], PartitionHost | None]
+ServerLookup = Callable[[int], PartitionServer | None]
 OwnerLookup = Callable[[int], OwnerRow | None]
 
 
 class TaskBody(BaseModel):
-    """What a caller posts."""
+    """The body of a submission."""
 
     model_config = ConfigDict(extra="forbid", frozen=True, strict=True)
 
@@ -50,30 +50,30 @@
 
 
 class TaskApi:
-    """Answers ``/tasks`` here, or at the owner of the task's partition."""
+    """Handles ``/tasks`` here, or forwards to the owner of the task's partition."""
 
     def __init__(
         self,
-        context: HostContext,
+        context: BatchContext,
         admission: TaskAdmission,
         forwarder: Forwarder,
-        find_host: HostLookup,
+        find_server: ServerLookup,
         find_owner: OwnerLookup,
     ) -> None:
         self._context = context
         self._admission = admission
         self._forwarder = forwarder
-        self._find_host = find_host
+        self._find_server = find_server
         self._find_owner = find_owner
         self._partitions = context.settings.batch.partitions
 
     async def handle(self, request: WebRequest, *, forward: bool = True) -> WebResponse:
-        """Answer a request.
+        """Handle a request.
 
-        :param forward: False for one that another entry has forwarded already:
-            two entries that take each other for the owner must not pass it on
-            for ever.
-        :raises RequestError: ends in a problem document.
+        :param forward: False for a request that another entry has forwarded: two
+            entries that consider each other the owner must not pass it back and
+            forth for ever.
+        :raises RequestError: the caller turns it into a problem document.
         """
         if request.path == TASKS_PATH:
             return await self._submit(request, forward)
@@ -83,13 +83,13 @@
             raise RequestError(f"no task {task_id}", code="unknown_task", status=404)
         if request.method not in ("GET", "DELETE"):
             raise _build_method_error("GET, DELETE")
-        host = self._find_host(partition)
-        if host is None:
+        server = self._find_server(partition)
+        if server is None:
             return await self._forward(partition, request, forward)
         if request.method == "GET":
-            return _build_answer(200, find_task(host, task_id), host)
-        record = await self._admission.cancel(host, task_id)
-        return _build_answer(200 if record.state.final else 202, record, host)
+            return _build_answer(200, find_task(server, task_id), server)
+        record = await self._admission.cancel(server, task_id)
+        return _build_answer(200 if record.state.final else 202, record, server)
 
     async def _submit(self, request: WebRequest, forward: bool) -> WebResponse:
         if request.method != "POST":
@@ -99,13 +99,13 @@
         key = request.header(KEY_HEADER)
         task_id = build_task_id(body.team, key, self._partitions)
         partition = int(task_id.partition("-")[0])
-        host = self._find_host(partition)
-        if host is None:
+        server = self._find_server(partition)
+        if server is None:
             return await self._forward_submit(partition, task_id, request, forward)
         await self._check_profile(body.profile)
-        admitted = await self._admission.submit(host, _build_spec(task_id, body))
+        admitted = await self._admission.submit(server, _build_spec(task_id, body))
         status = 201 if admitted.created else 200
-        return _build_answer(status, admitted.record, host)
+        return _build_answer(status, admitted.record, server)
 
     async def _forward_submit(
         self, partition: int, task_id: str, request: WebRequest, forward: bool
@@ -114,17 +114,17 @@
             return await self._forward(partition, request, forward)
         except RequestError as error:
             if error.outcome is Outcome.UNKNOWN:
-                error.detail = f"{error.detail}: look at task {task_id}"
+                error.detail = f"{error.detail}: check task {task_id}"
             raise
 
     async def _forward(
         self, partition: int, request: WebRequest, forward: bool
     ) -> WebResponse:
         owner = self._find_owner(partition)
-        me = self._context.membership.me.node
-        if not forward or owner is None or owner.node in ("", me):
+        own_node = self._context.membership.own_row.node
+        if not forward or owner is None or owner.node in ("", own_node):
             raise RequestError(
-                f"partition {partition} has no owner here",
+                f"partition {partition} is not served by this entry",
                 code="no_owner",
                 status=503,
                 retry_after=self._context.settings.batch.beat_s,
@@ -133,8 +133,8 @@
         return await self._forwarder.call(owner.address, request, FORWARD_S)
 
     async def _check_profile(self, name: str) -> None:
-        # A profile that was defined through another entry is not known here until
-        # the next poll. Callers take the refusal for final, so the table is asked.
+        # A profile that was defined through another entry is not known here until the
+        # next poll. Callers treat the refusal as final, so the table is read first.
         if self._context.profile_of(name) is None:
             await self._context.refresh_profiles()
         if self._context.profile_of(name) is None:
@@ -151,7 +151,7 @@
         return TaskBody.model_validate(orjson.loads(body))
     except orjson.JSONDecodeError as error:
         raise RequestError(
-            f"the body is no JSON: {error}", code="bad_body", status=400
+            f"the body is not valid JSON: {error}", code="bad_body", status=400
         ) from None
     except ValidationError as error:
         faults = describe_faults(error)
@@ -162,7 +162,9 @@
     key = get_header(request.headers, KEY_HEADER)
     if len(key) > MAX_KEY:
         raise RequestError(
-            f"the key is over {MAX_KEY} characters", code="bad_key", status=400
+            f"the idempotency key has more than {MAX_KEY} characters",
+            code="bad_key",
+            status=400,
         )
     if key:
         return request
@@ -183,14 +185,16 @@
     )
 
 
-def _build_answer(status: int, record: TaskRecord, host: PartitionHost) -> WebResponse:
+def _build_answer(
+    status: int, record: TaskRecord, server: PartitionServer
+) -> WebResponse:
     document: dict[str, Any] = describe_task(record)
-    document["confirmed"] = host.has_authority
+    document["confirmed"] = server.has_authority
     location = (("location", f"{TASKS_PATH}/{record.spec.task_id}"),)
     return build_json(status, document, location if status == 201 else ())
 
 
 def _build_method_error(allowed: str) -> RequestError:
     return RequestError(
-        f"allowed here: {allowed}", code="method_not_allowed", status=405
+        f"allowed methods: {allowed}", code="method_not_allowed", status=405
     )
--- a/pistachiodeal/batch/forward.py
+++ b/pistachiodeal/batch/forwarder.py
@@ -1,4 +1,4 @@
-"""Links to the owners of partitions: one curio task for each peer entry."""
+"""Forwards requests to the owners of partitions, with one link to each peer entry."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 log = Logger("batch")
 
 TASKS_SERVICE = "@tasks"
-MAX_OPEN = 2_000
+MAX_PENDING_REQUESTS = 2_000
 MAX_PEERS = 256
 MILLI = 1_000
 
@@ -43,23 +43,23 @@
 
 
 class PeerLink:
-    """The link to one entry; dialled while somebody wants it."""
+    """A link to another entry, kept up while requests use it."""
 
     def __init__(self, address: str, identity: Identity, secret: str) -> None:
         self._address = address
         self._identity = identity
         self._secret = secret
         self._link: Link | None = None
-        self._up = curio.Event()
+        self._connected = curio.Event()
         self._pending: dict[int, _Pending] = {}
         self._next_id = 1
-        self._used = True
+        self._recently_used = True
 
     async def run(self, timings: LinkTimings) -> None:
-        """Keep the link up; return when it is lost and nobody has used it since."""
+        """Keep the link up; return when it is lost and no call used it meanwhile."""
         failures = 0
-        while self._used:
-            self._used = False
+        while self._recently_used:
+            self._recently_used = False
             try:
                 async with dial_link(
                     self._address, self._identity, self._secret, timings
@@ -72,20 +72,22 @@
                 await curio.sleep(compute_pause(failures))
 
     async def call(self, request: WebRequest, timeout: float) -> WebResponse:
-        """Hand a request to the peer and return its whole answer.
+        """Forward a request to the peer and return its response.
 
-        :param timeout: seconds for everything.
-        :raises RequestError: ``not_run`` only if the peer cannot have seen it.
+        :param timeout: seconds to wait for the response, after waiting at most half as
+            long for the link.
+        :raises RequestError: its outcome is ``not_run`` only if the peer cannot have
+            received the request.
         """
-        self._used = True
-        if len(self._pending) >= MAX_OPEN:
-            raise self._build_error("overloaded", "too many requests for this peer")
+        self._recently_used = True
+        if len(self._pending) >= MAX_PENDING_REQUESTS:
+            raise self._build_error("overloaded", "too many open requests to this peer")
         link = await self._wait_for_link(timeout)
         request_id = self._next_id
         self._next_id += 1
         pending = self._pending[request_id] = _Pending()
         try:
-            await link.send(_build_wire(request_id, request, timeout))
+            await link.send(_build_request(request_id, request, timeout))
             await curio.ignore_after(timeout, pending.done.wait)
         except LinkClosedError:
             raise self._build_error("owner_unreachable", "link closed") from None
@@ -95,28 +97,28 @@
 
     async def _wait_for_link(self, timeout: float) -> Link:
         if self._link is None:
-            await curio.ignore_after(timeout / 2, self._up.wait)
+            await curio.ignore_after(timeout / 2, self._connected.wait)
         if self._link is None:
             raise self._build_error("owner_unreachable", "no link to the owner")
         return self._link
 
     async def _serve(self, link: Link) -> None:
         self._link = link
-        await self._up.set()
+        await self._connected.set()
         try:
             while True:
                 await self._dispatch(await link.receive())
         finally:
             self._link = None
-            self._up.clear()
+            self._connected.clear()
             for pending in list(self._pending.values()):
                 await pending.done.set()
 
     async def _dispatch(self, message: Message) -> None:
         if not isinstance(message, Response | Refusal | Failure):
             return
-        # An answer that nobody waits for any more is dropped: ids are never used
-        # again, so it cannot reach another caller.
+        # A response that no caller waits for any more is dropped: request ids are
+        # never reused, so it cannot reach another caller.
         pending = self._pending.get(message.request_id)
         if pending is not None:
             pending.answer = message
@@ -129,7 +131,9 @@
             raise self._build_error(
                 answer.code, answer.detail, answer.retry_after_ms / MILLI
             )
-        error = self._build_error("owner_lost", "the owner gave no whole answer")
+        error = self._build_error(
+            "owner_lost", "the owner did not return a complete response"
+        )
         error.outcome = Outcome.UNKNOWN
         raise error
 
@@ -147,7 +151,7 @@
 
 
 class Forwarder:
-    """Hands requests to other entries; links are made when first needed."""
+    """Forwards requests to other entries; opens a link when it is first needed."""
 
     def __init__(self, identity: Identity, secret: str, timings: LinkTimings) -> None:
         self._identity = identity
@@ -158,7 +162,7 @@
         self._closed = False
 
     async def run(self) -> None:
-        """Hold the links; cancelled, it closes them all."""
+        """Run until cancelled, then close all links."""
         try:
             await curio.Event().wait()
         finally:
@@ -169,9 +173,9 @@
     async def call(
         self, address: str, request: WebRequest, timeout: float
     ) -> WebResponse:
-        """Hand a request to the entry at ``ip:port``.
+        """Forward a request to the entry at ``ip:port``.
 
-        :raises RequestError: with the outcome that is known.
+        :raises RequestError: with the outcome as far as it is known.
         """
         peer = self._peers.get(address)
         if peer is None:
@@ -184,10 +188,12 @@
                 "no link to the owner", code="owner_unreachable", status=503
             )
         peer = self._peers[address] = PeerLink(address, self._identity, self._secret)
-        self._tasks[address] = await curio.spawn(self._keep, address, peer, daemon=True)
+        self._tasks[address] = await curio.spawn(
+            self._run_peer, address, peer, daemon=True
+        )
         return peer
 
-    async def _keep(self, address: str, peer: PeerLink) -> None:
+    async def _run_peer(self, address: str, peer: PeerLink) -> None:
         try:
             await peer.run(self._timings)
         except Exception as error:
@@ -198,7 +204,7 @@
                 del self._tasks[address]
 
 
-def _build_wire(request_id: int, request: WebRequest, timeout: float) -> Request:
+def _build_request(request_id: int, request: WebRequest, timeout: float) -> Request:
     return Request(
         request_id=request_id,
         service=TASKS_SERVICE,
--- a/pistachiodeal/batch/host.py
+++ b/pistachiodeal/batch/partition_server.py
@@ -1,4 +1,4 @@
-"""One owned partition: its state, its journal and the messages it sends."""
+"""Serves one owned partition: its state, its journal and its messages to agents."""
 
 from __future__ import annotations
 
@@ -8,37 +8,39 @@
 import curio
 from logbook import Logger
 
-from pistachiodeal.batch.appends import Append, Position
+from pistachiodeal.batch.append_request import AppendRequest, JournalPosition
 from pistachiodeal.batch.checkpoints import CheckpointCleaner
-from pistachiodeal.batch.context import HostContext
+from pistachiodeal.batch.completion_waiters import CompletionWaiters
+from pistachiodeal.batch.context import BatchContext
 from pistachiodeal.batch.events import Event, Placed, RequeueCause, Requeued
 from pistachiodeal.batch.journal import Journal
 from pistachiodeal.batch.partition import PartitionState
-from pistachiodeal.batch.protocols import Outgoing
+from pistachiodeal.batch.protocols import OutgoingMessage
 from pistachiodeal.batch.rows import OwnerRow
 from pistachiodeal.batch.runs import RunTable
 from pistachiodeal.batch.sender import Sender
-from pistachiodeal.batch.snapshots import SnapshotKeeper, fold_quietly
-from pistachiodeal.batch.watchers import Watchers
+from pistachiodeal.batch.snapshots import SnapshotManager, try_write_snapshot
 from pistachiodeal.exceptions import Outcome
 from pistachiodeal.model.tasks import TaskRecord
 from pistachiodeal.task_groups import run_until_one_ends
 
 log = Logger("batch")
 
-FOLD_CHECK_S = 1.0
-FLUSH_STEP_S = 0.01
+SNAPSHOT_CHECK_S = 1.0
+FLUSH_POLL_S = 0.01
 PAUSE_S = 1.0
 
 
-class PartitionHost:
+class PartitionServer:
     """Serves a partition from the take-over until it is fenced or released."""
 
-    def __init__(self, context: HostContext, owner: OwnerRow) -> None:
+    def __init__(self, context: BatchContext, owner: OwnerRow) -> None:
         batch = context.settings.batch
         self._context = context
         self._owner = owner
-        self._keeper = SnapshotKeeper(context.table, context.objects, owner.partition)
+        self._snapshot_manager = SnapshotManager(
+            context.table, context.objects, owner.partition
+        )
         self._cleaner = CheckpointCleaner(context.objects)
         self._sender = Sender()
         self._journal: Journal | None = None
@@ -46,7 +48,7 @@
         self._closing = False
         self._paused_until = float("-inf")
         self.state = PartitionState(lambda name: context.find_profile(name).urgency)
-        self.watchers = Watchers()
+        self.waiters = CompletionWaiters()
         self.runs = RunTable(
             owner.partition,
             owner.epoch,
@@ -57,129 +59,131 @@
 
     @property
     def owner(self) -> OwnerRow:
-        """Return the row by which this entry owns the partition."""
+        """Return the row that names this entry the owner of the partition."""
         return self._owner
 
     @property
     def serving(self) -> bool:
-        """Tell whether the journal is read and new work may be taken."""
+        """Return whether the journal is loaded and new work is accepted."""
         return self._journal is not None and not self._closing
 
     @property
     def stalled(self) -> bool:
-        """Tell whether an append would have to wait for an unsettled one."""
+        """Return whether appends would wait for an unsettled one or be rejected."""
         return self._journal is None or self._journal.stalled or self._journal.full
 
     @property
     def has_authority(self) -> bool:
-        """Tell whether leases may be granted and starts be sent right now."""
+        """Return whether leases may be granted and starts may be sent now."""
         return self.serving and self._context.membership.has_authority(
             self._owner.partition, self._owner.epoch
         )
 
     @property
-    def may_decide(self) -> bool:
-        """Tell whether a round may put decisions of its own on their way."""
+    def may_propose(self) -> bool:
+        """Return whether a placement round may propose events now."""
         paused = self._context.clock() < self._paused_until
         return self.serving and not self.stalled and not paused
 
     def is_locked(self, task_id: str) -> bool:
-        """Tell whether an event of this task is on its way to the journal."""
+        """Return whether an event of this task is being appended to the journal."""
         return task_id in self._locked
 
     def prepare(
         self,
         events: Sequence[Event],
-        then: Callable[[Outcome], Sequence[Outgoing]] | None = None,
+        on_settled: Callable[[Outcome], Sequence[OutgoingMessage]] | None = None,
         payload: int = 0,
-    ) -> Append | None:
-        """Lock the events' tasks; None if one of them is locked already.
+    ) -> AppendRequest | None:
+        """Lock the tasks of the events; return None if one of them is already locked.
 
-        Two decisions on one task can never both reach the journal. What this
-        returns must go to :meth:`submit` with no await in between.
+        The lock prevents two decisions about one task from both reaching the journal.
+        Pass the result to :meth:`submit` without an await in between.
 
-        :param then: see :class:`Append`.
-        :param payload: see :class:`Append`.
+        :param on_settled: see :class:`AppendRequest`.
+        :param payload: see :class:`AppendRequest`.
         """
         names = [event.task_id for event in events]
         if not self.serving or not self._locked.isdisjoint(names):
             return None
         self._locked.update(names)
 
-        def finish(outcome: Outcome) -> Sequence[Outgoing]:
+        def finish(outcome: Outcome) -> Sequence[OutgoingMessage]:
             self._locked.difference_update(names)
             if outcome is Outcome.NOT_RUN:
                 self._pause()
-            return then(outcome) if then is not None else ()
+            return on_settled(outcome) if on_settled is not None else ()
 
-        return Append(tuple(events), payload, finish)
+        return AppendRequest(tuple(events), payload, finish)
 
-    async def submit(self, append: Append) -> None:
-        """Put prepared events on their way to the journal."""
+    async def submit(self, append: AppendRequest) -> None:
+        """Submit prepared events to the journal."""
         assert self._journal is not None
         await self._journal.submit(append)
 
     async def propose(
         self,
         events: Sequence[Event],
-        then: Callable[[Outcome], Sequence[Outgoing]] | None = None,
+        on_settled: Callable[[Outcome], Sequence[OutgoingMessage]] | None = None,
         payload: int = 0,
-    ) -> Append | None:
-        """Prepare events and submit them; None if one of the tasks is locked."""
-        append = self.prepare(events, then, payload)
+    ) -> AppendRequest | None:
+        """Prepare and submit events; return None if one of their tasks is locked."""
+        append = self.prepare(events, on_settled, payload)
         if append is not None:
             await self.submit(append)
         return append
 
-    async def emit(self, outgoing: Outgoing) -> None:
-        """Send a message after those that wait already."""
+    async def enqueue_message(self, outgoing: OutgoingMessage) -> None:
+        """Queue a message for sending."""
         await self._sender.put(outgoing)
 
-    async def withdraw(self, append: Append) -> bool:
-        """Take an append back if it is not on its way to the table yet."""
+    async def withdraw(self, append: AppendRequest) -> bool:
+        """Withdraw an append that has not been sent to the table yet."""
         return self._journal is not None and await self._journal.withdraw(append)
 
     async def run(self) -> None:
-        """Read the partition, then serve it.
+        """Load the partition, then serve it.
 
         :raises FencedError: another entry owns the partition.
-        :raises StoreError: the partition could not be read.
+        :raises StoreError: the partition could not be loaded.
         """
         try:
-            seq = await self._keeper.load(self.state)
-            self._adopt()
+            seq = await self._snapshot_manager.load(self.state)
+            self._restore_runs()
             self._journal = self._create_journal(seq)
             log.notice(
-                "batch: partition {} taken at epoch {}, {} tasks",
+                "batch: partition {} acquired at epoch {}, {} tasks",
                 self._owner.partition,
                 self._owner.epoch,
                 len(self.state),
             )
-            await run_until_one_ends(self._journal.run, self._sender.run, self._fold)
+            await run_until_one_ends(
+                self._journal.run, self._sender.run, self._write_snapshots
+            )
         finally:
             self._closing = True
             self.runs.clear()
-            await self.watchers.wake_all()
+            await self.waiters.wake_all()
 
-    def stop_taking(self) -> None:
-        """Take nothing new."""
+    def stop_accepting(self) -> None:
+        """Accept no new work."""
         self._closing = True
 
     async def close(self, deadline: float) -> bool:
-        """Take nothing new and wait for what is on its way to the journal.
+        """Accept no new work and wait until all appends are settled.
 
         :param deadline: on the context's clock, seconds.
-        :returns: False when something is unsettled at the deadline.
+        :returns: False if an append is still unsettled at the deadline.
         """
-        self.stop_taking()
+        self.stop_accepting()
         while self._journal is not None and not self._journal.idle:
             if self._context.clock() >= deadline:
                 return False
-            await curio.sleep(FLUSH_STEP_S)
+            await curio.sleep(FLUSH_POLL_S)
         return True
 
     def describe(self) -> dict[str, int | bool]:
-        """Return figures for the operators."""
+        """Return the values for the status page."""
         return {
             "epoch": self._owner.epoch,
             "serving": self.serving,
@@ -188,8 +192,8 @@
         }
 
     def _pause(self) -> None:
-        # While the store is down, the rounds would otherwise try again at once and
-        # all entries would come back in the same moment.
+        # While the store is down, the rounds would otherwise retry at once, and all
+        # entries would retry at the same time.
         wait = random.uniform(PAUSE_S / 2, PAUSE_S)
         self._paused_until = self._context.clock() + wait
 
@@ -197,14 +201,14 @@
         owner = self._owner
         return Journal(
             self._context.table,
-            Position(owner.partition, owner.epoch, owner.version, seq),
+            JournalPosition(owner.partition, owner.epoch, owner.version, seq),
             self._apply,
             self._sender.put,
-            self.watchers.wake_ended,
+            self.waiters.wake_ended,
             group_s=self._context.settings.store.group_s,
         )
 
-    def _adopt(self) -> None:
+    def _restore_runs(self) -> None:
         for placed in list(self.state.placed.values()):
             record = self.state.find(placed.task_id)
             if record is None:
@@ -218,33 +222,33 @@
         record = self.state.apply(event)
         if record is None:
             return
-        self._cleaner.note(checkpoint, record)
+        self._cleaner.enqueue_superseded(checkpoint, record)
         if isinstance(event, Placed):
             run = self.runs.find(event.task_id)
             if run is not None:
                 run.durable = True
             return
-        self._drop_run(record, event)
-        self.watchers.note(record)
+        self._remove_run(record, event)
+        self.waiters.update(record)
 
-    def _drop_run(self, record: TaskRecord, event: Event) -> None:
+    def _remove_run(self, record: TaskRecord, event: Event) -> None:
         task_id = record.spec.task_id
         if task_id in self.state.placed:
             return
         if isinstance(event, Requeued) and event.cause is RequeueCause.LOST:
             self.runs.remove(task_id)
         else:
-            self.runs.note_ended(task_id)
+            self.runs.record_ended(task_id)
 
-    async def _fold(self) -> None:
+    async def _write_snapshots(self) -> None:
         rows = self._context.settings.batch.snapshot_rows
         while True:
-            await curio.sleep(FOLD_CHECK_S)
+            await curio.sleep(SNAPSHOT_CHECK_S)
             await self._cleaner.clean()
             assert self._journal is not None
             seq = self._journal.seq
-            if seq - self._keeper.folded_seq < rows:
+            if seq - self._snapshot_manager.snapshot_seq < rows:
                 continue
             owner = self._owner
-            place = Position(owner.partition, owner.epoch, owner.version, seq)
-            await fold_quietly(self._keeper, self.state, seq, place)
+            position = JournalPosition(owner.partition, owner.epoch, owner.version, seq)
+            await try_write_snapshot(self._snapshot_manager, self.state, seq, position)
--- a/pistachiodeal/batch/service.py
+++ b/pistachiodeal/batch/service.py
@@ -1,4 +1,4 @@
-"""The batch path of an entry, put together."""
+"""Assembles the batch service of an entry."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 from pistachiodeal.batch.admission import TaskAdmission
 from pistachiodeal.batch.api import TaskApi
-from pistachiodeal.batch.context import HostContext
-from pistachiodeal.batch.endings import EndHandler
-from pistachiodeal.batch.forward import Forwarder
-from pistachiodeal.batch.host import PartitionHost
+from pistachiodeal.batch.attempt_ends import AttemptEndHandler
+from pistachiodeal.batch.context import BatchContext
+from pistachiodeal.batch.forwarder import Forwarder
 from pistachiodeal.batch.keys import parse_partition
 from pistachiodeal.batch.membership import Membership
-from pistachiodeal.batch.owning import PartitionKeeper
-from pistachiodeal.batch.placer import Placer
+from pistachiodeal.batch.partition_manager import PartitionManager
+from pistachiodeal.batch.partition_server import PartitionServer
+from pistachiodeal.batch.placement_loop import PlacementLoop
 from pistachiodeal.batch.protocols import (
     ProfileLookup,
     ProfileRefresh,
@@ -63,18 +63,20 @@
 class BatchService:
     """Admits tasks, owns partitions, places attempts and renews their leases."""
 
-    def __init__(self, context: HostContext, forwarder: Forwarder) -> None:
+    def __init__(self, context: BatchContext, forwarder: Forwarder) -> None:
         self._context = context
         self._forwarder = forwarder
         self._workers = context.workers
-        self._keeper = PartitionKeeper(context)
-        self._placer = Placer(context, self._keeper.serving_hosts)
-        self._endings = EndHandler(context)
+        self._partition_manager = PartitionManager(context)
+        self._placement_loop = PlacementLoop(
+            context, self._partition_manager.list_serving
+        )
+        self._end_handler = AttemptEndHandler(context)
         self._api = TaskApi(
             context,
             TaskAdmission(context),
             forwarder,
-            self._keeper.find_serving,
+            self._partition_manager.find_serving,
             context.membership.find_owner,
         )
 
@@ -82,23 +84,23 @@
         """Run until cancelled."""
         supervisor = Supervisor("batch")
         supervisor.add("forward", self._forwarder.run)
-        supervisor.add("partitions", self._keeper.run)
-        supervisor.add("placement", self._placer.run)
+        supervisor.add("partitions", self._partition_manager.run)
+        supervisor.add("placement", self._placement_loop.run)
         await supervisor.run()
 
     async def drain(self) -> None:
         """Hand the partitions over and delete this entry's row."""
-        await self._keeper.drain()
+        await self._partition_manager.drain()
 
     async def handle(self, request: WebRequest) -> WebResponse:
-        """Answer a caller's ``/tasks`` request.
+        """Handle a caller's ``/tasks`` request.
 
-        :raises RequestError: ends in a problem document.
+        :raises RequestError: the caller turns it into a problem document.
         """
         return await self._api.handle(request)
 
     async def handle_forwarded(self, request: Request) -> Response | Refusal:
-        """Answer a request that another entry has forwarded."""
+        """Handle a request that another entry has forwarded."""
         local = WebRequest(
             request.method, request.target, request.headers, request.body
         )
@@ -112,30 +114,30 @@
         return Response(request.request_id, answer.status, answer.headers, answer.body)
 
     def session_opened(self, session: WorkerSession) -> None:
-        """Note a link from a worker's agent."""
+        """Register a link from the agent of a worker."""
         self._workers.open_session(session)
 
     def session_closed(self, session: WorkerSession) -> None:
-        """Note that a link has gone."""
+        """Unregister a closed link."""
         self._workers.close_session(session)
 
     async def receive(
         self, session: WorkerSession, message: Report | StartRefused | TaskEnded
     ) -> None:
-        """Take a message from an agent."""
+        """Handle a message from an agent."""
         if isinstance(message, Report):
             await self._answer_report(session, message)
             return
-        host = self._find_host(message.task_id)
-        if host is None:
+        server = self._find_server(message.task_id)
+        if server is None:
             return
         if isinstance(message, TaskEnded):
-            await self._endings.end(host, session, message)
+            await self._end_handler.handle_ended(server, session, message)
         else:
-            await self._endings.refuse(host, session, message)
+            await self._end_handler.handle_refused(server, session, message)
 
     def directory(self) -> Directory:
-        """Return the live entries and the partitions' owners, as last read."""
+        """Return the live entries and the partition owners as last read."""
         membership = self._context.membership
         entries = tuple(
             EntryAddress(entry.node, entry.address, entry.data_centre)
@@ -148,13 +150,13 @@
         return Directory(entries, owners)
 
     def status(self) -> dict[str, Any]:
-        """Return figures for the operators."""
+        """Return the values for the status page."""
         membership = self._context.membership
         now = self._context.clock()
         return {
             "partitions": {
-                str(host.owner.partition): host.describe()
-                for host in self._keeper.hosts()
+                str(server.owner.partition): server.describe()
+                for server in self._partition_manager.servers()
             },
             "entries": sorted(membership.live_entries()),
             "authority_s": max(0.0, round(membership.authority_until() - now, 3)),
@@ -162,24 +164,28 @@
             "team_cpu_milli": self._workers.team_cpu,
         }
 
-    def _find_host(self, task_id: str) -> PartitionHost | None:
+    def _find_server(self, task_id: str) -> PartitionServer | None:
         partition = parse_partition(task_id, self._context.settings.batch.partitions)
-        return None if partition is None else self._keeper.find_serving(partition)
+        return (
+            None
+            if partition is None
+            else self._partition_manager.find_serving(partition)
+        )
 
     async def _answer_report(self, session: WorkerSession, report: Report) -> None:
-        if not self._workers.note_report(session, report):
+        if not self._workers.update_report(session, report):
             return
         refs = self._group_refs(report.tasks)
         grants: list[LeaseGrant] = []
         stops: list[Stop] = []
-        for host in self._keeper.serving_hosts():
-            # Without authority neither leases nor stops go out: a successor may
-            # own the partition, and what is "not the current attempt" here may be
-            # a run that it has started.
-            if not host.has_authority:
+        for server in self._partition_manager.list_serving():
+            # Without authority neither leases nor stops are sent: a successor may own
+            # the partition, and a run that is not the current attempt here may be
+            # one that the successor has started.
+            if not server.has_authority:
                 continue
-            named = refs.get(host.owner.partition, ())
-            grant, to_stop = host.runs.answer(session, named)
+            named = refs.get(server.owner.partition, ())
+            grant, to_stop = server.runs.answer_report(session, named)
             stops.extend(to_stop)
             if grant is not None:
                 grants.append(grant)
@@ -189,7 +195,7 @@
             for stop in stops:
                 await session.send(stop)
         except LinkClosedError:
-            log.debug("batch: link to {} is closed", session.node)
+            log.debug("batch: report not answered, link to {} is closed", session.node)
 
     def _group_refs(self, refs: Sequence[TaskRef]) -> dict[int, list[TaskRef]]:
         groups: dict[int, list[TaskRef]] = {}
@@ -202,8 +208,8 @@
         return groups
 
 
-async def keep_profiles() -> None:
-    """Leave what is known of the profiles as it is."""
+async def keep_current_profiles() -> None:
+    """Keep the known profiles: the default where no refresh is possible."""
 
 
 def create_batch_service(  # noqa: PLR0917  (the signature agreed between the parts)
@@ -217,17 +223,17 @@
     metrics: Metrics,
     clock: Clock = time.monotonic,
     histograms: Histograms | None = None,
-    refresh_profiles: ProfileRefresh = keep_profiles,
+    refresh_profiles: ProfileRefresh = keep_current_profiles,
 ) -> BatchService:
-    """Create the batch path of an entry.
+    """Create the batch service of an entry.
 
-    :param internal_address: ``ip:port`` that agents and entries dial.
-    :param http_address: ``ip:port`` for callers, for the operators' eyes.
+    :param internal_address: ``ip:port`` to which agents and entries connect.
+    :param http_address: ``ip:port`` for callers, shown to operators only.
     :param profile_of: returns a profile by its name.
-    :param refresh_profiles: looks at the table again, if it can.
-    :param histograms: where the waits of tasks go, by team and profile.
+    :param histograms: records the waiting times of tasks, by team and profile.
+    :param refresh_profiles: reads the profiles from the table again, if possible.
     """
-    me = EntryRow(
+    own_row = EntryRow(
         node=identity.node,
         incarnation=identity.incarnation,
         beat=0,
@@ -237,12 +243,12 @@
     )
     membership = Membership(
         table,
-        me,
+        own_row,
         owner_lease_s=settings.batch.owner_lease_s,
         margin_s=settings.batch.margin_s,
         clock=clock,
     )
-    context = HostContext(
+    context = BatchContext(
         settings=settings,
         table=table,
         objects=objects,
--- a/pistachiodeal/batch/workers.py
+++ b/pistachiodeal/batch/workers.py
@@ -1,4 +1,4 @@
-"""What an owner knows of the workers: sessions, room, and what it placed there."""
+"""Tracks the workers: sessions, free resources, and the runs placed there."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 from collections import Counter, OrderedDict
 from dataclasses import dataclass, field
 
-from pistachiodeal.batch.placement import WorkerRoom
+from pistachiodeal.batch.placement import WorkerCandidate
 from pistachiodeal.batch.protocols import WorkerSession
 from pistachiodeal.clock import Clock
 from pistachiodeal.model.resources import Resources
 from pistachiodeal.wire.messages import Report
 
-KNOWN_CAPACITIES = 10_000
-SETTLE_S = 10.0
+MAX_KNOWN_CAPACITIES = 10_000
+STARTUP_WAIT_S = 10.0
 REFUSAL_PAUSE_S = 1.0
 
 RunKey = tuple[str, int]
@@ -28,8 +28,12 @@
 
 
 @dataclass(slots=True)
-class _Reserved:
-    """Runs placed on a worker; those that no report has named yet hold room."""
+class _Reservations:
+    """Runs placed on a worker.
+
+    The sizes of runs that no report has named yet are subtracted from the free
+    resources of the last report.
+    """
 
     sizes: dict[RunKey, Resources] = field(default_factory=dict)
     unreported: dict[RunKey, Resources] = field(default_factory=dict)
@@ -37,16 +41,16 @@
 
 
 class WorkerTable:
-    """The workers linked to this entry, their room, and the runs placed there.
+    """The workers linked to this entry, their free resources and placed runs.
 
-    One table serves all partitions of an entry: with one each, two partitions
-    would give the same room away until the worker's next report.
+    One table serves all partitions of an entry: with a table for each, two partitions
+    would assign the same free resources until the worker's next report.
     """
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._workers: dict[str, _Worker] = {}
-        self._reserved: dict[str, _Reserved] = {}
+        self._reserved: dict[str, _Reservations] = {}
         self._capacities: OrderedDict[str, Resources] = OrderedDict()
         self._first_report_at: float | None = None
         self._team_cpu: Counter[str] = Counter()
@@ -57,17 +61,17 @@
         return dict(self._team_cpu)
 
     @property
-    def settled(self) -> bool:
-        """Tell whether workers have had the time to announce themselves."""
+    def startup_complete(self) -> bool:
+        """Return whether workers have had enough time to connect and report."""
         first = self._first_report_at
-        return first is not None and self._clock() - first >= SETTLE_S
+        return first is not None and self._clock() - first >= STARTUP_WAIT_S
 
     def open_session(self, session: WorkerSession) -> None:
-        """Note a link; the latest one of a worker counts."""
+        """Register a link; it replaces any earlier link of the worker."""
         self._workers[session.worker] = _Worker(session, self._clock())
 
     def close_session(self, session: WorkerSession) -> None:
-        """Note that a link is gone."""
+        """Unregister a closed link."""
         worker = self._workers.get(session.worker)
         if worker is not None and worker.session is session:
             del self._workers[session.worker]
@@ -78,17 +82,17 @@
         return known.session if known else None
 
     def session_age(self, session: WorkerSession) -> float:
-        """Return for how many seconds a link has been a worker's current one.
+        """Return how many seconds a link has been the current one of its worker.
 
-        :returns: 0 for a link that isn't.
+        :returns: 0 if it is not the current link.
         """
         worker = self._workers.get(session.worker)
         if worker is None or worker.session is not session:
             return 0.0
         return self._clock() - worker.opened_at
 
-    def note_report(self, session: WorkerSession, report: Report) -> bool:
-        """Take a report; False when the session is not the worker's current one."""
+    def update_report(self, session: WorkerSession, report: Report) -> bool:
+        """Store a report; return False if its session is not the current one."""
         worker = self._workers.get(session.worker)
         if worker is None or worker.session is not session:
             return False
@@ -97,7 +101,7 @@
             self._first_report_at = self._clock()
         self._capacities[session.worker] = report.capacity
         self._capacities.move_to_end(session.worker)
-        if len(self._capacities) > KNOWN_CAPACITIES:
+        if len(self._capacities) > MAX_KNOWN_CAPACITIES:
             self._capacities.popitem(last=False)
         reserved = self._reserved.get(session.worker)
         if reserved is not None:
@@ -105,30 +109,33 @@
                 reserved.unreported.pop((ref.task_id, ref.attempt), None)
         return True
 
-    def note_refused(self, worker: str) -> None:
-        """Leave a worker alone for a moment after it refused a start."""
+    def record_refusal(self, worker: str) -> None:
+        """Exclude a worker from placement briefly after it refused a start."""
         known = self._workers.get(worker)
         if known is not None:
             pause = random.uniform(REFUSAL_PAUSE_S / 2, REFUSAL_PAUSE_S)
             known.refused_until = self._clock() + pause
 
     def latest_beat(self, session: WorkerSession) -> int | None:
-        """Return the latest beat of a current session, None if there is none."""
+        """Return the heartbeat number of the latest report of a current session.
+
+        :returns: None if the session is not current or has not reported yet.
+        """
         worker = self._workers.get(session.worker)
         if worker is None or worker.session is not session or worker.report is None:
             return None
         return worker.report.beat
 
     def add_run(self, worker: str, key: RunKey, size: Resources, team: str) -> None:
-        """Reserve room for a run, from the decision on, before any await."""
-        reserved = self._reserved.setdefault(worker, _Reserved())
+        """Reserve resources for a run, before any await after the decision."""
+        reserved = self._reserved.setdefault(worker, _Reservations())
         reserved.sizes[key] = size
         reserved.unreported[key] = size
         reserved.teams[team] += 1
         self._team_cpu[team] += size.cpu_milli
 
     def remove_run(self, worker: str, key: RunKey, team: str) -> None:
-        """Give the room of a run back."""
+        """Release the resources of a run."""
         reserved = self._reserved.get(worker)
         if reserved is None or key not in reserved.sizes:
             return
@@ -141,11 +148,11 @@
         if not self._team_cpu[team]:
             del self._team_cpu[team]
 
-    def rooms(self) -> list[WorkerRoom]:
+    def list_candidates(self) -> list[WorkerCandidate]:
         """Return the workers that may be given tasks now."""
         now = self._clock()
         return [
-            self._build_room(worker)
+            self._build_candidate(worker)
             for worker in self._workers.values()
             if worker.report is not None
             and not worker.report.draining
@@ -153,18 +160,18 @@
         ]
 
     def could_fit(self, size: Resources) -> bool:
-        """Tell whether any worker that was ever seen could hold this size."""
+        """Return whether any known worker is large enough for this size."""
         return any(size.fits(capacity) for capacity in self._capacities.values())
 
     def could_start(self, size: Resources) -> bool:
-        """Tell whether a worker would hold this size once its tasks have ended."""
+        """Return whether a linked worker could fit this size without its tasks."""
         return any(
-            size.fits(self._find_room_without_tasks(worker))
+            size.fits(self._compute_free_without_tasks(worker))
             for worker in self._workers.values()
         )
 
     def largest(self) -> Resources:
-        """Return the largest capacity seen, field by field."""
+        """Return the maximum of each resource over all known workers."""
         largest = Resources()
         for capacity in self._capacities.values():
             largest = largest.enlarge(capacity)
@@ -174,33 +181,33 @@
         """Return why a task of this size can never run."""
         return f"never fits: asks for {size}, the largest worker has {self.largest()}"
 
-    def _find_room_without_tasks(self, worker: _Worker) -> Resources:
+    def _compute_free_without_tasks(self, worker: _Worker) -> Resources:
         if worker.report is None:
             return Resources()
-        room = worker.report.free
+        free = worker.report.free
         reserved = self._reserved.get(worker.session.worker)
         if reserved is None:
-            return room
+            return free
         for key, size in reserved.sizes.items():
             if key not in reserved.unreported:
-                room = room + size
-        return room
+                free = free + size
+        return free
 
-    def _build_room(self, worker: _Worker) -> WorkerRoom:
+    def _build_candidate(self, worker: _Worker) -> WorkerCandidate:
         assert worker.report is not None
         session = worker.session
-        room = worker.report.free
+        free = worker.report.free
         teams: Counter[str] = Counter()
         reserved = self._reserved.get(session.worker)
         if reserved is not None:
             teams = Counter(reserved.teams)
             for size in reserved.unreported.values():
-                room = room - size
-        return WorkerRoom(
+                free = free - size
+        return WorkerCandidate(
             worker=session.worker,
             data_centre=session.data_centre,
             rack=session.rack,
             capacity=worker.report.capacity,
-            room=room,
+            free=free,
             teams=teams,
         )
--- a/tests/unit/test_batch_late_ends.py
+++ b/tests/unit/test_batch_late_ends.py
@@ -1,4 +1,4 @@
-"""Ends of attempts that come late."""
+"""Late reports of the end of an earlier attempt."""
 
 from __future__ import annotations
 
@@ -8,39 +8,38 @@
 
 from pistachiodeal.model.tasks import TaskState
 from pistachiodeal.wire.task_messages import TaskEnded
-from tests.unit.test_batch_service import World, post
+from tests.unit.test_batch_service import BatchHarness, post
 
 
 @pytest.mark.parametrize("state", ["finished", "stopped"])
 def test_late_end_of_an_earlier_attempt_changes_nothing(state):
-    """Only the end of the attempt that is placed now counts.
+    """Only the end of the currently placed attempt counts.
 
-    Symptom: a task was finished, or queued again, while its second attempt ran.
-    Sequence: attempt 1 expires and is told so; attempt 2 starts on the same worker;
-        word of attempt 1 comes once more, by an older link.
-    Cause: a task's end was taken for that of whatever attempt is placed.
+    Attempt 1 expires, attempt 2 starts on the same worker, and the end of attempt 1 is
+    reported again over an older link. It used to be applied to the placed attempt, so
+    the task was finished or requeued while attempt 2 ran.
     """
 
     async def main():
-        world = World()
-        entry = world.entry("a")
-        await world.round(entry)
-        session = await world.connect(entry)
+        harness = BatchHarness()
+        entry = harness.entry("a")
+        await harness.round(entry)
+        session = await harness.connect(entry)
         answer = await entry.service.handle(post("k1"))
         task_id = orjson.loads(answer.body)["id"]
-        await world.place(entry, session)
-        world.agent.end(task_id, "expired", "")
-        late = next(iter(world.agent.ended.values()))
+        await harness.place(entry, session)
+        harness.agent.end(task_id, "expired", "")
+        late = next(iter(harness.agent.ended.values()))
         await entry.service.receive(session, late)
-        await world.deliver(entry, session)
-        await world.report(entry, session)
-        await world.place(entry, session)
-        assert world.agent.started == [(task_id, 1), (task_id, 2)]
+        await harness.deliver(entry, session)
+        await harness.report(entry, session)
+        await harness.place(entry, session)
+        assert harness.agent.started == [(task_id, 1), (task_id, 2)]
 
         again = TaskEnded(task_id, 1, state, "old", "", late.used, 0)
         await entry.service.receive(session, again)
-        await world.deliver(entry, session)
-        record = entry.host(task_id).state.find(task_id)
+        await harness.deliver(entry, session)
+        record = entry.server(task_id).state.find(task_id)
         assert (record.state, record.attempt) == (TaskState.PLACED, 2)
 
     curio.run(main)
