--- a/bench/simulation.py
+++ b/bench/simulation.py
@@ -14,7 +14,7 @@
 from bench.shapes import Deployment, Shape
 from pistachiodeal.config.agent import GuardSettings
 from pistachiodeal.control.views import Evict, RunView, ServiceReading
-from pistachiodeal.entry.evidence import create_evidence_relay
+from pistachiodeal.entry.interference import create_interference_relay
 from pistachiodeal.wire.messages import Evidence
 
 STEP_S = 0.5
@@ -61,7 +61,7 @@
             worker.name: deque() for worker in self._workers
         }
         self._now = 0.0
-        self._relay = create_evidence_relay(lambda: self._now)
+        self._relay = create_interference_relay(lambda: self._now)
 
     def run(self) -> dict[str, object]:
         """Run the script to its end; return the figures."""
--- a/pistachiodeal/agent/app.py
+++ b/pistachiodeal/agent/app.py
@@ -33,7 +33,7 @@
 from pistachiodeal.metrics import create_metrics
 from pistachiodeal.profiles.cache import create_policy_cache
 from pistachiodeal.signals import SignalWatch
-from pistachiodeal.supervisor import Supervisor, compute_pause
+from pistachiodeal.supervisor import Supervisor, compute_backoff
 from pistachiodeal.web.server import WebServer, create_server
 
 log = logbook.Logger("agent")
@@ -139,7 +139,7 @@
             except WorkerError as error:
                 failures += 1
                 log.error("agent: cannot attach, {}", error)
-            await curio.sleep(compute_pause(failures))
+            await curio.sleep(compute_backoff(failures))
         self._runners.open_for_runners(self._tasks.ledger)
         await self._attached.set()
 
--- a/pistachiodeal/batch/forward.py
+++ b/pistachiodeal/batch/forward.py
@@ -15,7 +15,7 @@
     ProtocolError,
     RequestError,
 )
-from pistachiodeal.supervisor import compute_pause
+from pistachiodeal.supervisor import compute_backoff
 from pistachiodeal.web.messages import WebRequest, WebResponse
 from pistachiodeal.wire.identity import Identity
 from pistachiodeal.wire.link import Link, LinkTimings
@@ -69,7 +69,7 @@
             except (LinkClosedError, ProtocolError, AuthenticationError) as error:
                 failures += 1
                 log.info("batch: link to {} lost: {}", self._address, error)
-                await curio.sleep(compute_pause(failures))
+                await curio.sleep(compute_backoff(failures))
 
     async def call(self, request: WebRequest, timeout: float) -> WebResponse:
         """Hand a request to the peer and return its whole answer.
--- a/pistachiodeal/entry/composition.py
+++ b/pistachiodeal/entry/composition.py
@@ -17,8 +17,8 @@
     DispatchParts,
     create_dispatcher,
 )
-from pistachiodeal.entry.evidence import create_evidence_relay
 from pistachiodeal.entry.front import Front, FrontParts, create_front
+from pistachiodeal.entry.interference import create_interference_relay
 from pistachiodeal.entry.links import LinkParts, LinkServer
 from pistachiodeal.entry.pushing import Pusher
 from pistachiodeal.entry.services import ServiceTable
@@ -81,7 +81,7 @@
         self._dispatcher = self._create_dispatcher()
         self._web = self._create_web()
         self._batch = self._create_batch()
-        self._evidence = create_evidence_relay()
+        self._evidence = create_interference_relay()
         self._pusher = Pusher(
             self._sessions, self._keeper, self._evidence, self._batch.directory
         )
--- a/pistachiodeal/entry/evidence.py
+++ b/pistachiodeal/entry/interference.py
@@ -42,7 +42,7 @@
         self.weight += pair.weight_milli
 
 
-class EvidenceRelay:
+class InterferenceRelay:
     """Collects evidence, and hands each agent what the others sent.
 
     An agent must not get its own evidence back: it would count it twice, and
@@ -115,8 +115,8 @@
     return Evidence(tuple(kept[:PAIR_LIMIT])) if kept else None
 
 
-def create_evidence_relay(
+def create_interference_relay(
     clock: Callable[[], float] = time.monotonic,
-) -> EvidenceRelay:
+) -> InterferenceRelay:
     """Return a relay that has nothing to hand on."""
-    return EvidenceRelay(clock)
+    return InterferenceRelay(clock)
--- a/pistachiodeal/entry/links.py
+++ b/pistachiodeal/entry/links.py
@@ -11,9 +11,9 @@
 from curio.io import Socket
 from logbook import Logger
 
-from pistachiodeal.entry.evidence import EvidenceRelay
 from pistachiodeal.entry.forwarding import Forwarding
 from pistachiodeal.entry.inbox import BatchInbox
+from pistachiodeal.entry.interference import InterferenceRelay
 from pistachiodeal.entry.protocols import TaskService
 from pistachiodeal.entry.pushing import Pusher
 from pistachiodeal.entry.sessions import Session, SessionTable
@@ -63,7 +63,7 @@
     batch: TaskService
     keeper: ProfileKeeper
     pusher: Pusher
-    evidence: EvidenceRelay
+    evidence: InterferenceRelay
     metrics: Metrics
 
 
--- a/pistachiodeal/entry/pushing.py
+++ b/pistachiodeal/entry/pushing.py
@@ -7,7 +7,7 @@
 
 import curio
 
-from pistachiodeal.entry.evidence import EvidenceRelay
+from pistachiodeal.entry.interference import InterferenceRelay
 from pistachiodeal.entry.sessions import Session, SessionTable
 from pistachiodeal.profiles.keeper import ProfileKeeper
 from pistachiodeal.wire.identity import AGENT_ROLE
@@ -30,7 +30,7 @@
         self,
         sessions: SessionTable,
         keeper: ProfileKeeper,
-        evidence: EvidenceRelay,
+        evidence: InterferenceRelay,
         read_directory: Callable[[], Directory],
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
--- a/pistachiodeal/jobagent/leader_link.py
+++ b/pistachiodeal/jobagent/leader_link.py
@@ -12,7 +12,7 @@
 from pistachiodeal.jobagent.signals import AgentSignals
 from pistachiodeal.leader.directory import is_heard
 from pistachiodeal.leader.leader_row import LeaderRows
-from pistachiodeal.peers import PeerContext, ask_who_leads, dial_peer
+from pistachiodeal.peers import PeerContext, dial_peer, query_leader
 from pistachiodeal.store.row_store import RowStore
 from pistachiodeal.task_groups import run_until_one_ends
 from pistachiodeal.wire.job_messages import Directive, LeaderNotice
@@ -170,7 +170,7 @@
             if self._grant_ms >= LEAST_GRANT_MS:
                 continue
             for address in self._directory.list_others(self._directory.leader):
-                notice = await ask_who_leads(self._peers, address)
+                notice = await query_leader(self._peers, address)
                 if notice is not None:
                     self._directory.take_notice(notice)
         self._events.emit("leader.superseded", epoch=epoch, by=self._directory.epoch)
--- a/pistachiodeal/leader/witnesses.py
+++ b/pistachiodeal/leader/witnesses.py
@@ -6,7 +6,7 @@
 
 from pistachiodeal.leader.directory import is_heard
 from pistachiodeal.leader.leader_row import LeaderRow
-from pistachiodeal.peers import PeerContext, ask_who_leads
+from pistachiodeal.peers import PeerContext, query_leader
 
 # A leader writes or looks at its row every 0.65 s at most: an age above this means that
 # the store refuses the leader, or that its answers take long.
@@ -22,7 +22,7 @@
     others = peers.directory.list_others(peers.address, row.address)
     random.shuffle(others)
     for address in others:
-        notice = await ask_who_leads(peers, address)
+        notice = await query_leader(peers, address)
         if notice is None:
             continue
         fresh = notice.store_age_ms < STORE_AGE_LIMIT_S * 1000
--- a/pistachiodeal/peers.py
+++ b/pistachiodeal/peers.py
@@ -69,7 +69,7 @@
     return dial_link(address, peers.identity, peers.secret, peers.timings)
 
 
-async def ask_who_leads(peers: PeerContext, address: str) -> LeaderNotice | None:
+async def query_leader(peers: PeerContext, address: str) -> LeaderNotice | None:
     """Hear from an entry who leads; None if it gives no answer."""
     try:
         async with dial_peer(peers, address) as link:
--- a/pistachiodeal/supervisor.py
+++ b/pistachiodeal/supervisor.py
@@ -89,14 +89,14 @@
             if failures >= FAILURES_IN_A_ROW:
                 await self._fail(ChildFailedError(f"child {name}", step=self._name))
                 return
-            await curio.sleep(compute_pause(failures))
+            await curio.sleep(compute_backoff(failures))
 
     async def _fail(self, error: Exception) -> None:
         self._error = error
         await self._done.set()
 
 
-def compute_pause(failures: int) -> float:
+def compute_backoff(failures: int) -> float:
     """Return a jittered pause in seconds that doubles with each failure in a row.
 
     Without the jitter all processes that lost the same peer would come back in
--- a/tests/unit/test_entry_links.py
+++ b/tests/unit/test_entry_links.py
@@ -4,7 +4,7 @@
 
 import curio
 
-from pistachiodeal.entry.evidence import create_evidence_relay
+from pistachiodeal.entry.interference import create_interference_relay
 from pistachiodeal.entry.links import LinkParts, LinkServer
 from pistachiodeal.entry.pushing import Pusher
 from pistachiodeal.entry.sessions import create_session_table
@@ -81,7 +81,7 @@
         self.targets = create_target_table()
         self.metrics = MemoryMetrics()
         self.listener = bind_listener("127.0.0.1", 0)
-        evidence = create_evidence_relay()
+        evidence = create_interference_relay()
         self.pusher = Pusher(self.sessions, self.keeper, evidence, self.batch.directory)
         parts = LinkParts(
             identity=Identity("entry", "e1", 1, "dc1"),
@@ -266,7 +266,7 @@
     Sequence: an agent's evidence is handed back to it, counted, and sent again.
     Cause: the relay doesn't keep who said what.
     """
-    relay = create_evidence_relay(clock=lambda: 0.0)
+    relay = create_interference_relay(clock=lambda: 0.0)
     pair = PairEvidence("orders", "noisy", 3000, 2000)
     relay.accept("a1", Evidence((pair,)))
     relay.accept("a2", Evidence((pair,)))
