--- a/pistachiodeal/addresses.py
+++ b/pistachiodeal/addresses.py
@@ -4,7 +4,7 @@
 
 import ipaddress
 
-HIGHEST_PORT = 65_535
+MAX_PORT = 65_535
 
 
 def is_address(value: str) -> bool:
@@ -14,7 +14,7 @@
         ipaddress.IPv4Address(host)
     except ValueError:
         return False
-    return port.isdecimal() and 0 < int(port) <= HIGHEST_PORT
+    return port.isdecimal() and 0 < int(port) <= MAX_PORT
 
 
 def split_address(address: str) -> tuple[str, int]:
--- a/pistachiodeal/commands/entries.py
+++ b/pistachiodeal/commands/entries.py
@@ -58,7 +58,7 @@
             )
         except CommandError as latest:
             error = latest
-            if not _may_go_on(latest, repeatable):
+            if not _should_try_next(latest, repeatable):
                 raise
     assert error is not None
     raise error
@@ -92,7 +92,7 @@
     )
 
 
-def _may_go_on(error: CommandError, repeatable: bool) -> bool:
+def _should_try_next(error: CommandError, repeatable: bool) -> bool:
     if error.exit_status != exit_codes.UNREACHABLE:
         return False
     # A change whose answer was lost may have taken effect. Sent again with its
--- a/pistachiodeal/commands/histograms.py
+++ b/pistachiodeal/commands/histograms.py
@@ -11,7 +11,7 @@
 from pistachiodeal.commands.errors import CommandError, UsageError
 from pistachiodeal.commands.options import Context
 from pistachiodeal.commands.output import format_error, print_json, print_table
-from pistachiodeal.commands.parsers import Subparsers, add_leaf
+from pistachiodeal.commands.parsers import Subparsers, add_command
 from pistachiodeal.exceptions import ProtocolError
 from pistachiodeal.histograms import Histograms, create_histograms
 
@@ -32,7 +32,7 @@
 def add_commands(parsers: Subparsers, common: argparse.ArgumentParser) -> None:
     """Add the command to the parser."""
     text = "show the latencies of all entries named, merged"
-    parser = add_leaf(parsers, common, "histograms", text, run_histograms)
+    parser = add_command(parsers, common, "histograms", text, run_histograms)
     parser.add_argument(
         "--by",
         choices=("both", "service", "caller"),
@@ -51,14 +51,14 @@
 async def run_histograms(context: Context, args: argparse.Namespace) -> None:
     """Print the merged histograms of all entries and files named."""
     documents = [read_document(path, "a document of histograms") for path in args.file]
-    documents += await _ask_entries(context, needed=not documents)
+    documents += await _fetch_documents(context, needed=not documents)
     merged = create_histograms(MERGED_LIMIT)
     for document in documents:
         _merge(merged, document, args.by)
     _print(context, merged)
 
 
-async def _ask_entries(context: Context, *, needed: bool) -> list[dict[str, Any]]:
+async def _fetch_documents(context: Context, *, needed: bool) -> list[dict[str, Any]]:
     """Return what each entry has; one that is out of reach is named on stderr."""
     if needed and not context.entries:
         raise UsageError("no entry and no file: give --entry ip:port or --file FILE")
--- a/pistachiodeal/commands/job.py
+++ b/pistachiodeal/commands/job.py
@@ -19,7 +19,7 @@
 from pistachiodeal.commands.job_path import add_path
 from pistachiodeal.commands.options import Context
 from pistachiodeal.commands.output import print_fields, print_json, print_table
-from pistachiodeal.commands.parsers import Subparsers, add_group, add_leaf
+from pistachiodeal.commands.parsers import Subparsers, add_command, add_group
 from pistachiodeal.exceptions import ProtocolError, StoreError
 from pistachiodeal.jobs.explain import explain_job, report_steps
 from pistachiodeal.jobs.model import JobState
@@ -58,20 +58,22 @@
 def add_commands(parsers: Subparsers, common: argparse.ArgumentParser) -> None:
     """Add the commands to the parser."""
     group = add_group(parsers, "job", "look at jobs on the users' platform")
-    show = add_leaf(group, common, "show", "show a job and its steps", run_show)
-    why = add_leaf(group, common, "why", "tell what a job waits for", run_why)
-    listing = add_leaf(group, common, "list", "list jobs", run_list)
+    show = add_command(group, common, "show", "show a job and its steps", run_show)
+    why = add_command(group, common, "why", "tell what a job waits for", run_why)
+    listing = add_command(group, common, "list", "list jobs", run_list)
     listing.add_argument("--queue", default="", help="of this queue only")
     listing.add_argument(
         "--open", action="store_true", help="only those that are not final"
     )
-    queues = add_leaf(group, common, "queues", "count jobs by queue", run_queues)
-    for leaf in (show, why):
-        leaf.add_argument("job_id")
+    queues = add_command(group, common, "queues", "count jobs by queue", run_queues)
+    for command in (show, why):
+        command.add_argument("job_id")
     add_path(group, common)
-    closed = add_leaf(group, common, "closed", "list closed data centres", run_closed)
-    for leaf in (show, why, listing, queues, closed):
-        leaf.add_argument(
+    closed = add_command(
+        group, common, "closed", "list closed data centres", run_closed
+    )
+    for command in (show, why, listing, queues, closed):
+        command.add_argument(
             "--store",
             metavar="IP:PORT",
             default=os.environ.get(STORE_VARIABLE, ""),
--- a/pistachiodeal/commands/job_path.py
+++ b/pistachiodeal/commands/job_path.py
@@ -11,7 +11,7 @@
 from pistachiodeal.commands.errors import CommandError
 from pistachiodeal.commands.options import Context
 from pistachiodeal.commands.output import print_json, print_table
-from pistachiodeal.commands.parsers import Subparsers, add_leaf
+from pistachiodeal.commands.parsers import Subparsers, add_command
 from pistachiodeal.jobpath.lines import LineReader
 from pistachiodeal.jobpath.summary import QueueSummary, summarise
 from pistachiodeal.jobpath.traces import Tracer
@@ -21,11 +21,13 @@
 
 def add_path(group: Subparsers, common: argparse.ArgumentParser) -> None:
     """Add the command to the parser."""
-    leaf = add_leaf(
+    command = add_command(
         group, common, "path", "tell where jobs spent their time, from logs", run_path
     )
-    leaf.add_argument("logs", nargs="+", metavar="LOG", help="a file; - for the input")
-    leaf.add_argument("--queue", default="", help="of this queue only")
+    command.add_argument(
+        "logs", nargs="+", metavar="LOG", help="a file; - for the input"
+    )
+    command.add_argument("--queue", default="", help="of this queue only")
 
 
 async def run_path(context: Context, args: argparse.Namespace) -> None:
--- a/pistachiodeal/commands/parsers.py
+++ b/pistachiodeal/commands/parsers.py
@@ -8,7 +8,7 @@
 
 from pistachiodeal.commands.options import Context
 
-Runner: TypeAlias = Callable[[Context, argparse.Namespace], Awaitable[None]]
+CommandHandler: TypeAlias = Callable[[Context, argparse.Namespace], Awaitable[None]]
 Subparsers: TypeAlias = "argparse._SubParsersAction[argparse.ArgumentParser]"
 
 
@@ -18,12 +18,12 @@
     return parser.add_subparsers(dest=f"{name}_command", required=True, metavar="WHAT")
 
 
-def add_leaf(
+def add_command(
     parsers: Subparsers,
     common: argparse.ArgumentParser,
     name: str,
     text: str,
-    run: Runner,
+    run: CommandHandler,
 ) -> argparse.ArgumentParser:
     """Add a command that does something.
 
--- a/pistachiodeal/commands/profile.py
+++ b/pistachiodeal/commands/profile.py
@@ -9,7 +9,7 @@
 from pistachiodeal.commands.errors import UsageError
 from pistachiodeal.commands.options import Context
 from pistachiodeal.commands.output import print_fields, print_json, print_table
-from pistachiodeal.commands.parsers import Subparsers, add_group, add_leaf
+from pistachiodeal.commands.parsers import Subparsers, add_command, add_group
 from pistachiodeal.commands.profile_fields import (
     add_field_options,
     build_profile,
@@ -32,20 +32,22 @@
 def add_commands(parsers: Subparsers, common: argparse.ArgumentParser) -> None:
     """Add the commands to the parser."""
     group = add_group(parsers, "profile", "define, revise and retire profiles")
-    define = add_leaf(group, common, "define", "define a new profile", run_define)
+    define = add_command(group, common, "define", "define a new profile", run_define)
     define.add_argument("name")
     define.add_argument("--file", metavar="FILE", help="JSON object of fields")
     add_field_options(define)
-    revise = add_leaf(group, common, "revise", "change fields of a profile", run_revise)
+    revise = add_command(
+        group, common, "revise", "change fields of a profile", run_revise
+    )
     revise.add_argument("name")
     revise.add_argument("--file", metavar="FILE", help="JSON object of fields")
     _add_version(revise)
     add_field_options(revise)
-    retire = add_leaf(group, common, "retire", "remove a profile", run_retire)
+    retire = add_command(group, common, "retire", "remove a profile", run_retire)
     retire.add_argument("name")
     _add_version(retire)
-    add_leaf(group, common, "list", "list the profiles", run_list)
-    show = add_leaf(group, common, "show", "show one profile", run_show)
+    add_command(group, common, "list", "list the profiles", run_list)
+    show = add_command(group, common, "show", "show one profile", run_show)
     show.add_argument("name")
 
 
--- a/pistachiodeal/commands/service.py
+++ b/pistachiodeal/commands/service.py
@@ -10,7 +10,7 @@
 from pistachiodeal.commands.errors import UsageError
 from pistachiodeal.commands.options import Context
 from pistachiodeal.commands.output import print_fields, print_json, print_table
-from pistachiodeal.commands.parsers import Subparsers, add_group, add_leaf
+from pistachiodeal.commands.parsers import Subparsers, add_command, add_group
 from pistachiodeal.model.policies import NAME_PATTERN
 
 SERVICES = "/-/services"
@@ -20,13 +20,15 @@
 def add_commands(parsers: Subparsers, common: argparse.ArgumentParser) -> None:
     """Add the commands to the parser."""
     group = add_group(parsers, "service", "assign services to profiles")
-    assign = add_leaf(group, common, "assign", "give a service a profile", run_assign)
+    assign = add_command(
+        group, common, "assign", "give a service a profile", run_assign
+    )
     assign.add_argument("service")
     assign.add_argument("profile")
-    add_leaf(group, common, "list", "list the services", run_list)
-    show = add_leaf(group, common, "show", "show one service", run_show)
+    add_command(group, common, "list", "list the services", run_list)
+    show = add_command(group, common, "show", "show one service", run_show)
     show.add_argument("service")
-    remove = add_leaf(
+    remove = add_command(
         group, common, "remove", "take a service off its profile", run_remove
     )
     remove.add_argument("service")
--- a/pistachiodeal/commands/settings.py
+++ b/pistachiodeal/commands/settings.py
@@ -11,7 +11,7 @@
 
 from pistachiodeal.commands.options import Context
 from pistachiodeal.commands.output import print_json
-from pistachiodeal.commands.parsers import Subparsers, add_group, add_leaf
+from pistachiodeal.commands.parsers import Subparsers, add_command, add_group
 from pistachiodeal.config.agent import AgentSettings
 from pistachiodeal.config.entry import EntrySettings
 from pistachiodeal.config.load import load_settings
@@ -23,7 +23,7 @@
 def add_commands(parsers: Subparsers, common: argparse.ArgumentParser) -> None:
     """Add the commands to the parser."""
     group = add_group(parsers, "settings", "check settings without starting anything")
-    check = add_leaf(group, common, "check", "check a settings file", run_check)
+    check = add_command(group, common, "check", "check a settings file", run_check)
     check.add_argument("file", metavar="FILE")
     check.add_argument(
         "--program",
@@ -31,7 +31,7 @@
         help="whose settings they are (default: whose fields they have most of)",
     )
     text = "print every setting with its default"
-    add_leaf(group, common, "reference", text, run_reference)
+    add_command(group, common, "reference", text, run_reference)
 
 
 async def run_check(context: Context, args: argparse.Namespace) -> None:
--- a/pistachiodeal/commands/status.py
+++ b/pistachiodeal/commands/status.py
@@ -7,13 +7,13 @@
 from pistachiodeal.commands.entries import call_entries
 from pistachiodeal.commands.options import Context
 from pistachiodeal.commands.output import print_fields, print_json
-from pistachiodeal.commands.parsers import Subparsers, add_leaf
+from pistachiodeal.commands.parsers import Subparsers, add_command
 
 
 def add_commands(parsers: Subparsers, common: argparse.ArgumentParser) -> None:
     """Add the command to the parser."""
     text = "show what the first entry that answers sees"
-    add_leaf(parsers, common, "status", text, run_status)
+    add_command(parsers, common, "status", text, run_status)
 
 
 async def run_status(context: Context, args: argparse.Namespace) -> None:
--- a/pistachiodeal/commands/task.py
+++ b/pistachiodeal/commands/task.py
@@ -12,7 +12,7 @@
 from pistachiodeal.commands.errors import UsageError
 from pistachiodeal.commands.options import Context
 from pistachiodeal.commands.output import print_fields, print_json
-from pistachiodeal.commands.parsers import Subparsers, add_group, add_leaf
+from pistachiodeal.commands.parsers import Subparsers, add_command, add_group
 
 TASKS = "/tasks"
 TASK_ID = re.compile(r"^[A-Za-z0-9._-]{1,200}$")
@@ -21,7 +21,7 @@
 def add_commands(parsers: Subparsers, common: argparse.ArgumentParser) -> None:
     """Add the commands to the parser."""
     group = add_group(parsers, "task", "submit, cancel and show batch tasks")
-    submit = add_leaf(group, common, "submit", "submit a task", run_submit)
+    submit = add_command(group, common, "submit", "submit a task", run_submit)
     submit.add_argument("--kind", required=True, help="kind of work")
     submit.add_argument("--team", required=True, help="whose quota it counts against")
     submit.add_argument("--profile", required=True, help="how it is treated")
@@ -34,9 +34,9 @@
     submit.add_argument(
         "--key", help="idempotency key: the same key never makes a second task"
     )
-    cancel = add_leaf(group, common, "cancel", "cancel a task", run_cancel)
+    cancel = add_command(group, common, "cancel", "cancel a task", run_cancel)
     cancel.add_argument("task_id")
-    show = add_leaf(group, common, "show", "show what became of a task", run_show)
+    show = add_command(group, common, "show", "show what became of a task", run_show)
     show.add_argument("task_id")
 
 
--- a/pistachiodeal/entry/app.py
+++ b/pistachiodeal/entry/app.py
@@ -59,13 +59,13 @@
         until = time.monotonic() + self.settings.drain_s
         log.notice("entry: draining, {} requests in flight", self.in_flight)
         await self._drain_batch(self.settings.drain_s * BATCH_DRAIN_SHARE)
-        await self.links.say_goodbye("entry is leaving")
-        whole = await self.web.drain(max(0.0, until - time.monotonic()))
-        if not whole:
+        await self.links.send_goodbye("entry is leaving")
+        drained = await self.web.drain(max(0.0, until - time.monotonic()))
+        if not drained:
             log.warning("entry: time is up, {} requests cut", self.in_flight)
         if not await self.claims.flush(CLAIM_FLUSH_S):
             log.warning("entry: {} claims have no end written", self.claims.pending)
-        return whole
+        return drained
 
     def write_histograms(self) -> None:
         """Write the histograms to the file of the settings, if there is one."""
--- a/pistachiodeal/entry/attempts.py
+++ b/pistachiodeal/entry/attempts.py
@@ -5,7 +5,7 @@
 from logbook import Logger
 
 from pistachiodeal.entry.calls import Call
-from pistachiodeal.entry.pending import LinkLost, Pending
+from pistachiodeal.entry.pending import LinkLost, PendingRequest
 from pistachiodeal.entry.sessions import Session
 from pistachiodeal.exceptions import Outcome, RequestError
 from pistachiodeal.wire.messages import Failure, Refusal
@@ -20,7 +20,7 @@
 DEADLINE = "deadline"
 INTERNAL = "internal"
 OUTCOMES = {str(outcome): outcome for outcome in Outcome}
-SHORTEST_RETRY_S = 0.05
+MIN_RETRY_AFTER_S = 0.05
 
 
 class CallAttempts:
@@ -42,10 +42,10 @@
         self.outcome = Outcome.NOT_RUN
         self.error: RequestError | None = None
         self.session: Session | None = None
-        self.pending: Pending | None = None
+        self.pending: PendingRequest | None = None
         self._retry_after: float | None = None
 
-    def begin(self, session: Session, pending: Pending) -> None:
+    def begin(self, session: Session, pending: PendingRequest) -> None:
         """Note that an attempt is about to be handed to an agent."""
         self.count += 1
         self.tried.add(session.node)
@@ -57,21 +57,21 @@
         self.session = None
         self.pending = None
 
-    def note_unsent(self, node: str, detail: str) -> None:
+    def record_unsent(self, node: str, detail: str) -> None:
         """Note that the request never left: it is as good as refused."""
         self.tried.add(node)
         log.debug("entry: nothing sent to {}: {}", node, detail)
         detail = "the link to the agent is closed"
         self.error = self._build(detail, AGENT_LOST, 503, STEP_SEND, node)
 
-    def note_answer(self, node: str, answer: Refusal | Failure | LinkLost) -> None:
+    def record_answer(self, node: str, answer: Refusal | Failure | LinkLost) -> None:
         """Note an answer that is not a response."""
         if isinstance(answer, Refusal):
-            self._note_refusal(node, answer)
+            self._record_refusal(node, answer)
         elif isinstance(answer, Failure):
-            self._note_failure(node, answer)
+            self._record_failure(node, answer)
         else:
-            self._note_lost(answer)
+            self._record_link_loss(answer)
 
     def give_up(self) -> RequestError:
         """Return the error for a call whose deadline has passed."""
@@ -90,22 +90,22 @@
         self._worsen(Outcome.UNKNOWN)
         return self.session.node
 
-    def _note_refusal(self, node: str, refusal: Refusal) -> None:
+    def _record_refusal(self, node: str, refusal: Refusal) -> None:
         """Note a refusal; the shortest time to come back is the one to tell."""
-        retry_after = max(SHORTEST_RETRY_S, refusal.retry_after_ms / 1000.0)
+        retry_after = max(MIN_RETRY_AFTER_S, refusal.retry_after_ms / 1000.0)
         if self._retry_after is None or retry_after < self._retry_after:
             self._retry_after = retry_after
         code = refusal.code or REFUSED
         self.error = self._build(refusal.detail, code, 503, STEP_ACCEPT, node)
 
-    def _note_lost(self, lost: LinkLost) -> None:
+    def _record_link_loss(self, lost: LinkLost) -> None:
         """Note that the link broke while the answer was awaited."""
         self._worsen(Outcome.UNKNOWN)
         log.debug("entry: link to {} lost: {}", lost.peer, lost.detail)
         detail = "the link to the agent broke"
         self.error = self._build(detail, AGENT_LOST, 502, STEP_SEND, lost.peer)
 
-    def _note_failure(self, node: str, failure: Failure) -> None:
+    def _record_failure(self, node: str, failure: Failure) -> None:
         """Note that a runner had the request and gave no whole answer."""
         self._worsen(OUTCOMES.get(failure.outcome, Outcome.UNKNOWN))
         # The agent's detail holds addresses, which are no business of callers.
@@ -122,7 +122,7 @@
     ) -> RequestError:
         retry_after = None
         if self.outcome is Outcome.NOT_RUN:
-            retry_after = self._retry_after or SHORTEST_RETRY_S
+            retry_after = self._retry_after or MIN_RETRY_AFTER_S
         return RequestError(
             detail,
             code=code,
--- a/pistachiodeal/entry/cli.py
+++ b/pistachiodeal/entry/cli.py
@@ -91,8 +91,8 @@
 
 
 async def _drain(entry: EntryApp) -> int:
-    whole = await entry.drain()
-    return exit_codes.OK if whole else exit_codes.FAILURE
+    drained = await entry.drain()
+    return exit_codes.OK if drained else exit_codes.FAILURE
 
 
 async def _end_at_once(entry: EntryApp, watch: SignalWatch) -> int:
--- a/pistachiodeal/entry/composition.py
+++ b/pistachiodeal/entry/composition.py
@@ -1,4 +1,4 @@
-"""Creates the parts of an entry and puts them together."""
+"""Creates the components of an entry and puts them together."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from pistachiodeal.entry.app import EntryApp
 from pistachiodeal.entry.dispatch import (
     Dispatcher,
-    DispatchParts,
+    DispatcherComponents,
     create_dispatcher,
 )
-from pistachiodeal.entry.front import Front, FrontParts, create_front
 from pistachiodeal.entry.interference import create_interference_relay
-from pistachiodeal.entry.links import LinkParts, LinkServer
+from pistachiodeal.entry.links import LinkServer, LinkServerComponents
 from pistachiodeal.entry.pushing import Pusher
+from pistachiodeal.entry.router import HttpRouter, RouterComponents, create_router
 from pistachiodeal.entry.services import ServiceTable
 from pistachiodeal.entry.sessions import create_session_table
-from pistachiodeal.entry.status import StatusParts, build_status
+from pistachiodeal.entry.status import StatusSources, build_status
 from pistachiodeal.entry.targets import create_target_table
 from pistachiodeal.exceptions import PistachiodealError
 from pistachiodeal.histograms import create_histograms
@@ -44,7 +44,7 @@
 
 @asynccontextmanager
 async def open_entry(settings: EntrySettings) -> AsyncIterator[EntryApp]:
-    """Bind the ports and put the parts together; closes the ports at the end.
+    """Bind the ports and put the components together; closes the ports at the end.
 
     :raises OSError: a port is taken.
     """
@@ -57,7 +57,7 @@
 
 
 class EntryBuilder:
-    """Creates the parts of an entry, each once, in the order of their needs."""
+    """Creates the components of an entry, each once, in the order of their needs."""
 
     def __init__(self, settings: EntrySettings, listener: stdlib_socket.socket) -> None:
         self._settings = settings
@@ -76,16 +76,16 @@
         self._histograms = create_histograms()
         self._sessions = create_session_table()
         self._targets = create_target_table()
-        self._keeper = create_profile_keeper(self._table, settings.profile_poll_s)
+        self._profiles = create_profile_keeper(self._table, settings.profile_poll_s)
         self._claims = self._create_claims()
         self._dispatcher = self._create_dispatcher()
         self._web = self._create_web()
         self._batch = self._create_batch()
         self._evidence = create_interference_relay()
         self._pusher = Pusher(
-            self._sessions, self._keeper, self._evidence, self._batch.directory
+            self._sessions, self._profiles, self._evidence, self._batch.directory
         )
-        self._keeper.on_change = self._pusher.note_changes
+        self._profiles.on_change = self._pusher.queue_policies
         self._links = self._create_links()
 
     def build(self) -> EntryApp:
@@ -100,7 +100,7 @@
             dispatcher=self._dispatcher,
             histograms=self._histograms,
         )
-        self._front = self._create_front(app)
+        self._router = self._create_router(app)
         return app
 
     def _create_claims(self) -> ClaimKeeper:
@@ -113,8 +113,8 @@
         )
 
     def _create_dispatcher(self) -> Dispatcher:
-        services = ServiceTable(self._keeper, self._targets, time.monotonic)
-        parts = DispatchParts(
+        services = ServiceTable(self._profiles, self._targets, time.monotonic)
+        components = DispatcherComponents(
             settings=self._settings.requests,
             sessions=self._sessions,
             targets=self._targets,
@@ -125,7 +125,7 @@
             histograms=self._histograms,
             claim_timeout=self._settings.store.timeout_s,
         )
-        return create_dispatcher(parts)
+        return create_dispatcher(components)
 
     def _create_web(self) -> WebServer:
         http = self._settings.http
@@ -140,7 +140,7 @@
         return create_server(http.host, http.port, self._handle, limits)
 
     async def _handle(self, request: WebRequest) -> WebResponse:
-        return await self._front.handle(request)
+        return await self._router.handle(request)
 
     def _create_batch(self) -> BatchService:
         settings = self._settings
@@ -156,10 +156,10 @@
             f"{settings.http.host}:{self._web.port}",
             self._table,
             objects,
-            self._keeper.profile,
+            self._profiles.profile,
             self._metrics,
             histograms=self._histograms,
-            refresh_profiles=self._keeper.refresh_quietly,
+            refresh_profiles=self._profiles.refresh_quietly,
         )
 
     def _build_internal_address(self) -> str:
@@ -170,38 +170,38 @@
     def _create_links(self) -> LinkServer:
         link = self._settings.link
         timings = LinkTimings(link.ping_s, link.silent_s, link.handshake_s)
-        parts = LinkParts(
+        components = LinkServerComponents(
             identity=self._identity,
             secret=self._settings.secret,
             timings=timings,
             sessions=self._sessions,
             targets=self._targets,
             batch=self._batch,
-            keeper=self._keeper,
+            profiles=self._profiles,
             pusher=self._pusher,
             evidence=self._evidence,
             metrics=self._metrics,
         )
-        return LinkServer(self._listener, parts)
+        return LinkServer(self._listener, components)
 
-    def _create_front(self, app: EntryApp) -> Front:
-        status = StatusParts(
+    def _create_router(self, app: EntryApp) -> HttpRouter:
+        status = StatusSources(
             identity=self._identity,
             started_at=time.monotonic(),
             sessions=self._sessions,
             targets=self._targets,
-            keeper=self._keeper,
+            profiles=self._profiles,
             batch=self._batch,
             dispatcher=self._dispatcher,
             web=self._web,
             metrics=self._metrics,
         )
-        return create_front(
-            FrontParts(
+        return create_router(
+            RouterComponents(
                 operator_token=self._settings.operator_token,
                 dispatcher=self._dispatcher,
                 batch=self._batch,
-                profiles=create_profile_api(self._table, self._keeper),
+                profiles=create_profile_api(self._table, self._profiles),
                 histograms=self._histograms,
                 read_status=lambda: build_status(status, app.draining),
                 is_draining=lambda: app.draining,
@@ -210,7 +210,7 @@
 
     def _create_supervisor(self) -> Supervisor:
         supervisor = Supervisor("entry")
-        supervisor.add("profiles", self._keeper.run)
+        supervisor.add("profiles", self._profiles.run)
         supervisor.add("claims", self._claims.run)
         supervisor.add("batch", self._batch.run)
         supervisor.add("pusher", self._pusher.run)
@@ -222,5 +222,5 @@
         # Without a first look at the profiles a request that comes at once would
         # be told that its service does not exist.
         with suppress(PistachiodealError):
-            await self._keeper.refresh()
+            await self._profiles.refresh()
         await self._web.run()
--- a/pistachiodeal/entry/dispatch.py
+++ b/pistachiodeal/entry/dispatch.py
@@ -39,12 +39,12 @@
 
 log = Logger("entry")
 
-SHORTEST_BUDGET_S = 0.001
+MIN_BUDGET_S = 0.001
 SERVER_FAILURE = 500
 
 
 @dataclass(frozen=True, slots=True)
-class DispatchParts:
+class DispatcherComponents:
     """What a dispatcher works with.
 
     :param claim_timeout: seconds that one claim may take.
@@ -64,19 +64,21 @@
 class Dispatcher:
     """Routes callers' requests to agents and brings the answers back."""
 
-    def __init__(self, parts: DispatchParts, clock: Callable[[], float]) -> None:
-        self._settings = parts.settings
-        self._sessions = parts.sessions
-        self._targets = parts.targets
-        self._services = parts.services
-        self._claims = parts.claims
-        self._chooser = parts.chooser
-        self._metrics = parts.metrics
-        self._histograms = parts.histograms
-        self._claim_timeout = parts.claim_timeout
+    def __init__(
+        self, components: DispatcherComponents, clock: Callable[[], float]
+    ) -> None:
+        self._settings = components.settings
+        self._sessions = components.sessions
+        self._targets = components.targets
+        self._services = components.services
+        self._claims = components.claims
+        self._chooser = components.chooser
+        self._metrics = components.metrics
+        self._histograms = components.histograms
+        self._claim_timeout = components.claim_timeout
         self._clock = clock
         self._callers: CallerLimits = create_caller_limits(
-            parts.settings.caller_in_flight
+            components.settings.caller_in_flight
         )
 
     @property
@@ -99,7 +101,7 @@
             self._metrics.count("entry.answered")
             return response
         except RequestError as error:
-            self._note_error(call, error, self._clock() - started)
+            self._record_error(call, error, self._clock() - started)
             raise
         finally:
             self._callers.leave(call.caller, self._clock() - started)
@@ -116,7 +118,7 @@
             step="entry.admit",
         )
 
-    def _note_error(self, call: Call, error: RequestError, seconds: float) -> None:
+    def _record_error(self, call: Call, error: RequestError, seconds: float) -> None:
         self._metrics.count(f"entry.problem.{error.code}")
         self._metrics.count(f"entry.outcome.{error.outcome}")
         if error.outcome is not Outcome.NOT_RUN or error.code == DEADLINE:
@@ -125,10 +127,10 @@
 
     async def _answer(self, call: Call, profile: Profile) -> WebResponse:
         if call.key and not call.is_repeatable(profile):
-            return await self._answer_once(call, profile)
-        return await self._answer_in_time(call, profile)
+            return await self._answer_with_claim(call, profile)
+        return await self._answer_before_deadline(call, profile)
 
-    async def _answer_once(self, call: Call, profile: Profile) -> WebResponse:
+    async def _answer_with_claim(self, call: Call, profile: Profile) -> WebResponse:
         """Claim the key first, so that no entry runs this request a second time."""
         timeout = min(self._claim_timeout, call.deadline - self._clock())
         claim = await self._claims.claim(
@@ -138,7 +140,7 @@
             self._metrics.count("entry.replayed")
             return claim.response
         try:
-            response = await self._answer_in_time(call, profile)
+            response = await self._answer_before_deadline(call, profile)
         except RequestError as error:
             await self._close_claim(claim, error)
             raise
@@ -156,14 +158,16 @@
         else:
             await self._claims.mark_unknown(claim)
 
-    async def _answer_in_time(self, call: Call, profile: Profile) -> WebResponse:
+    async def _answer_before_deadline(
+        self, call: Call, profile: Profile
+    ) -> WebResponse:
         attempts = CallAttempts(call)
         left = call.deadline - self._clock()
         if left <= 0:
             raise attempts.give_up()
         try:
             async with curio.timeout_after(left):
-                return await self._try_until_answered(attempts, profile)
+                return await self._attempt_until_answered(attempts, profile)
         except curio.TaskTimeout:
             response = await self._give_up(attempts)
             if response is None:
@@ -189,10 +193,10 @@
         attempts.end()
         if isinstance(answer, Response):
             return self._build_response(attempts, answer)
-        attempts.note_answer(session.node, answer)
+        attempts.record_answer(session.node, answer)
         return None
 
-    async def _try_until_answered(
+    async def _attempt_until_answered(
         self, attempts: CallAttempts, profile: Profile
     ) -> WebResponse:
         budget = self._services.find_budget(attempts.call.service, profile)
@@ -248,7 +252,7 @@
         """Hand the call to one agent; return its answer, None when it never left."""
         session = self._sessions.get(candidate.node)
         if session is None:
-            attempts.note_unsent(candidate.node, "no link to the agent")
+            attempts.record_unsent(candidate.node, "no link to the agent")
             return None
         pending = session.open_request()
         candidate.outstanding += 1
@@ -259,17 +263,17 @@
                 await session.send(message)
             except LinkClosedError as error:
                 attempts.end()
-                attempts.note_unsent(candidate.node, error.detail)
+                attempts.record_unsent(candidate.node, error.detail)
                 return None
             answer = await pending.wait()
         finally:
             candidate.outstanding -= 1
             session.close_request(pending)
         attempts.end()
-        self._note_answer(attempts, candidate, answer)
+        self._record_answer(attempts, candidate, answer)
         return answer
 
-    def _note_answer(
+    def _record_answer(
         self, attempts: CallAttempts, candidate: Candidate, answer: Answer
     ) -> None:
         now = self._clock()
@@ -283,10 +287,10 @@
             candidate.note_refusal(now, retry_after, random.random())
         else:
             candidate.note_failure(now)
-        attempts.note_answer(candidate.node, answer)
+        attempts.record_answer(candidate.node, answer)
 
     def _build_request(self, call: Call, request_id: int) -> Request:
-        left = max(SHORTEST_BUDGET_S, call.deadline - self._clock())
+        left = max(MIN_BUDGET_S, call.deadline - self._clock())
         return Request(
             request_id=request_id,
             service=call.service,
@@ -305,7 +309,7 @@
 
 
 def create_dispatcher(
-    parts: DispatchParts, clock: Callable[[], float] = time.monotonic
+    components: DispatcherComponents, clock: Callable[[], float] = time.monotonic
 ) -> Dispatcher:
     """Return a dispatcher with nothing in flight."""
-    return Dispatcher(parts, clock)
+    return Dispatcher(components, clock)
--- a/pistachiodeal/entry/forwarding.py
+++ b/pistachiodeal/entry/forwarding.py
@@ -19,7 +19,7 @@
 Handler = Callable[[Request], Awaitable[Response | Refusal]]
 
 
-class Forwarding:
+class ForwardedRequestServer:
     """Answers one link's requests with a bounded number of tasks.
 
     Tasks start as they are needed and end when nothing waits.
--- a/pistachiodeal/entry/interference.py
+++ b/pistachiodeal/entry/interference.py
@@ -12,8 +12,8 @@
 HALF_LIFE_S = 600.0
 PAIR_LIMIT = 512
 RECENT_LIMIT = 4096
-GREETED_LIMIT = 10_000
-SMALLEST_WEIGHT_MILLI = 1
+KNOWN_AGENTS_LIMIT = 10_000
+MIN_WEIGHT_MILLI = 1
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,7 +53,7 @@
         self._clock = clock
         self._recent: deque[_Item] = deque(maxlen=RECENT_LIMIT)
         self._totals: dict[tuple[str, str], _Total] = {}
-        self._greeted: dict[str, int] = {}
+        self._incarnations: dict[str, int] = {}
 
     def accept(self, node: str, evidence: Evidence) -> None:
         """Take an agent's new evidence."""
@@ -62,16 +62,16 @@
             self._recent.append(_Item(node, pair))
             self._add_total(pair, now)
 
-    def greet(self, node: str, incarnation: int) -> Evidence | None:
+    def build_initial(self, node: str, incarnation: int) -> Evidence | None:
         """Return all that is known for an agent that has just started.
 
         :param incarnation: an agent that merely dialled again gets nothing.
         """
-        if self._greeted.get(node) == incarnation:
+        if self._incarnations.get(node) == incarnation:
             return None
-        if len(self._greeted) >= GREETED_LIMIT:
-            self._greeted.clear()
-        self._greeted[node] = incarnation
+        if len(self._incarnations) >= KNOWN_AGENTS_LIMIT:
+            self._incarnations.clear()
+        self._incarnations[node] = incarnation
         now = self._clock()
         for total in self._totals.values():
             total.decay(now)
@@ -111,7 +111,7 @@
 
 
 def _build_evidence(pairs: Iterable[PairEvidence]) -> Evidence | None:
-    kept = [pair for pair in pairs if pair.weight_milli >= SMALLEST_WEIGHT_MILLI]
+    kept = [pair for pair in pairs if pair.weight_milli >= MIN_WEIGHT_MILLI]
     return Evidence(tuple(kept[:PAIR_LIMIT])) if kept else None
 
 
--- a/pistachiodeal/entry/links.py
+++ b/pistachiodeal/entry/links.py
@@ -11,7 +11,7 @@
 from curio.io import Socket
 from logbook import Logger
 
-from pistachiodeal.entry.forwarding import Forwarding
+from pistachiodeal.entry.forwarding import ForwardedRequestServer
 from pistachiodeal.entry.inbox import BatchInbox
 from pistachiodeal.entry.interference import InterferenceRelay
 from pistachiodeal.entry.protocols import TaskService
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LinkParts:
+class LinkServerComponents:
     """What the internal port works with."""
 
     identity: Identity
@@ -61,7 +61,7 @@
     sessions: SessionTable
     targets: TargetTable
     batch: TaskService
-    keeper: ProfileKeeper
+    profiles: ProfileKeeper
     pusher: Pusher
     evidence: InterferenceRelay
     metrics: Metrics
@@ -70,18 +70,20 @@
 class LinkServer:
     """Serves the internal port until cancelled."""
 
-    def __init__(self, listener: stdlib_socket.socket, parts: LinkParts) -> None:
+    def __init__(
+        self, listener: stdlib_socket.socket, components: LinkServerComponents
+    ) -> None:
         self._listener = listener
-        self._identity = parts.identity
-        self._secret = parts.secret
-        self._timings = parts.timings
-        self._sessions = parts.sessions
-        self._targets = parts.targets
-        self._batch = parts.batch
-        self._keeper = parts.keeper
-        self._pusher = parts.pusher
-        self._evidence = parts.evidence
-        self._metrics = parts.metrics
+        self._identity = components.identity
+        self._secret = components.secret
+        self._timings = components.timings
+        self._sessions = components.sessions
+        self._targets = components.targets
+        self._batch = components.batch
+        self._profiles = components.profiles
+        self._pusher = components.pusher
+        self._evidence = components.evidence
+        self._metrics = components.metrics
         self._tasks: set[curio.Task] = set()
         self._entries: set[Session] = set()
 
@@ -100,7 +102,7 @@
             while self._tasks:
                 await self._tasks.pop().cancel()
 
-    async def say_goodbye(self, reason: str) -> None:
+    async def send_goodbye(self, reason: str) -> None:
         """Tell all peers that nothing new should come here."""
         goodbye = Goodbye(reason)
         for session in (*self._sessions.list_all(), *self._entries):
@@ -148,8 +150,8 @@
     async def _serve_entry(self, link: Link) -> None:
         session = Session(link, await curio.current_task(), 0.0)
         self._entries.add(session)
-        forwarding = Forwarding(session, self._batch.handle_forwarded)
-        outbox = await curio.spawn(self._run_part, session.run_outbox, daemon=True)
+        forwarding = ForwardedRequestServer(session, self._batch.handle_forwarded)
+        outbox = await curio.spawn(self._run_helper, session.run_outbox, daemon=True)
         try:
             while True:
                 message = await link.receive()
@@ -163,28 +165,28 @@
     async def _serve_agent(self, link: Link) -> None:
         session = await self._open(link)
         inbox = BatchInbox(session, self._batch)
-        parts = [
-            await curio.spawn(self._run_part, session.run_outbox, daemon=True),
-            await curio.spawn(self._run_part, inbox.run, daemon=True),
+        helpers = [
+            await curio.spawn(self._run_helper, session.run_outbox, daemon=True),
+            await curio.spawn(self._run_helper, inbox.run, daemon=True),
         ]
         detail = "the link was closed"
         try:
-            await self._pusher.greet(session)
+            await self._pusher.on_open(session)
             while True:
                 await self._receive(session, inbox, await link.receive())
         except PistachiodealError as error:
             detail = error.detail
             raise
         finally:
-            for part in parts:
-                await part.cancel()
+            for helper in helpers:
+                await helper.cancel()
             await self._close(session, detail)
 
-    async def _run_part(self, part: Callable[[], Awaitable[None]]) -> None:
+    async def _run_helper(self, helper: Callable[[], Awaitable[None]]) -> None:
         """Run a helper task of a link; a failure of it closes nothing else."""
         while True:
             try:
-                await part()
+                await helper()
             except LinkClosedError:
                 return
             except Exception:
@@ -221,17 +223,17 @@
             # older than what the newer one brought.
             return
         elif isinstance(message, Report):
-            await self._receive_report(session, inbox, message)
+            await self._handle_report(session, inbox, message)
         elif isinstance(message, TASK_MESSAGES):
-            await self._put(inbox, message)
+            await self._enqueue(inbox, message)
         elif isinstance(message, Policies):
-            self._keeper.merge(message.parts)
+            self._profiles.merge(message.parts)
         elif isinstance(message, Evidence):
             self._evidence.accept(session.node, message)
         elif isinstance(message, Goodbye):
-            self._receive_goodbye(session, message)
+            self._handle_goodbye(session, message)
 
-    async def _receive_report(
+    async def _handle_report(
         self, session: Session, inbox: BatchInbox, report: Report
     ) -> None:
         session.report = report
@@ -246,15 +248,15 @@
                 await self._pusher.push_services(session, added)
         else:
             self._withdraw_targets(session)
-        await self._put(inbox, report)
+        await self._enqueue(inbox, report)
 
-    async def _put(
+    async def _enqueue(
         self, inbox: BatchInbox, message: Report | StartRefused | TaskEnded
     ) -> None:
         if not await inbox.put(message):
             self._metrics.count("entry.task_messages_dropped")
 
-    def _receive_goodbye(self, session: Session, goodbye: Goodbye) -> None:
+    def _handle_goodbye(self, session: Session, goodbye: Goodbye) -> None:
         log.notice("entry: agent {} is leaving: {}", session.node, goodbye.reason)
         session.draining = True
         self._withdraw_targets(session)
--- a/pistachiodeal/entry/pending.py
+++ b/pistachiodeal/entry/pending.py
@@ -23,7 +23,7 @@
 Answer = Response | Refusal | Failure | LinkLost
 
 
-class Pending:
+class PendingRequest:
     """One open request on one link; one task waits, the link's task answers."""
 
     __slots__ = ("_answered", "answer", "request_id")
--- a/pistachiodeal/entry/pushing.py
+++ b/pistachiodeal/entry/pushing.py
@@ -13,7 +13,7 @@
 from pistachiodeal.wire.identity import AGENT_ROLE
 from pistachiodeal.wire.messages import Directory, Policies
 
-LOOK_S = 0.1
+PUSH_INTERVAL_S = 0.1
 # A link loses nothing while it is up, so the repeat only guards against a fault of
 # our own. Each 3 s it was half a megabyte a second for an agent at 160 entries.
 DIRECTORY_S = 60.0
@@ -29,13 +29,13 @@
     def __init__(
         self,
         sessions: SessionTable,
-        keeper: ProfileKeeper,
+        profiles: ProfileKeeper,
         evidence: InterferenceRelay,
         read_directory: Callable[[], Directory],
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self._sessions = sessions
-        self._keeper = keeper
+        self._profiles = profiles
         self._evidence = evidence
         self._read_directory = read_directory
         self._clock = clock
@@ -44,20 +44,20 @@
         self._directory_at = clock()
         self._evidence_at = clock()
 
-    def note_changes(self, services: set[str]) -> None:
+    def queue_policies(self, services: set[str]) -> None:
         """Have the policies of these services sent to who hosts them."""
         self._changed |= services
 
-    async def greet(self, session: Session) -> None:
+    async def on_open(self, session: Session) -> None:
         """Send the directory, and all evidence, to an agent's new link."""
         await session.post(self._read_directory())
-        evidence = self._evidence.greet(session.node, session.incarnation)
+        evidence = self._evidence.build_initial(session.node, session.incarnation)
         if evidence is not None:
             await session.post(evidence)
 
     async def push_services(self, session: Session, services: frozenset[str]) -> None:
         """Send the policies in force of services that an agent hosts."""
-        parts = self._keeper.parts(services)
+        parts = self._profiles.parts(services)
         if parts:
             await session.post(Policies(parts))
 
@@ -65,7 +65,7 @@
         """Look for changes until cancelled."""
         while True:
             await self.push_once()
-            await curio.sleep(LOOK_S)
+            await curio.sleep(PUSH_INTERVAL_S)
 
     async def push_once(self) -> None:
         """Send what changed since the last look."""
--- a/pistachiodeal/entry/front.py
+++ b/pistachiodeal/entry/router.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FrontParts:
+class RouterComponents:
     """What answers the requests.
 
     :param read_status: builds the status document.
@@ -43,17 +43,17 @@
     is_draining: Callable[[], bool]
 
 
-class Front:
+class HttpRouter:
     """Routes by the first part of the path."""
 
-    def __init__(self, parts: FrontParts) -> None:
-        self._token = parts.operator_token.encode()
-        self._dispatcher = parts.dispatcher
-        self._batch = parts.batch
-        self._profiles = parts.profiles
-        self._histograms = parts.histograms
-        self._read_status = parts.read_status
-        self._is_draining = parts.is_draining
+    def __init__(self, components: RouterComponents) -> None:
+        self._token = components.operator_token.encode()
+        self._dispatcher = components.dispatcher
+        self._batch = components.batch
+        self._profiles = components.profiles
+        self._histograms = components.histograms
+        self._read_status = components.read_status
+        self._is_draining = components.is_draining
 
     async def handle(self, request: WebRequest) -> WebResponse:
         """Answer one request.
@@ -115,6 +115,6 @@
             )
 
 
-def create_front(parts: FrontParts) -> Front:
+def create_router(components: RouterComponents) -> HttpRouter:
     """Return the router of an entry's HTTP port."""
-    return Front(parts)
+    return HttpRouter(components)
--- a/pistachiodeal/entry/services.py
+++ b/pistachiodeal/entry/services.py
@@ -20,9 +20,9 @@
     """Looks up services; one is known when assigned a profile, or announced."""
 
     def __init__(
-        self, keeper: ProfileKeeper, targets: TargetTable, clock: Callable[[], float]
+        self, profiles: ProfileKeeper, targets: TargetTable, clock: Callable[[], float]
     ) -> None:
-        self._keeper = keeper
+        self._profiles = profiles
         self._targets = targets
         self._clock = clock
         self._budgets: dict[str, RetryBudget] = {}
@@ -32,12 +32,12 @@
 
         :raises RequestError: 404, or 503 while this entry can't know yet.
         """
-        policy = self._keeper.policy(service)
+        policy = self._profiles.policy(service)
         if policy is not None and policy.profile is not None:
             return policy.profile
         if self._targets.find(service):
             return UNASSIGNED
-        if self._keeper.version == 0 and self._keeper.failing:
+        if self._profiles.version == 0 and self._profiles.failing:
             # Started in a store outage and not yet told by an agent: a 404 would
             # make callers drop work for a service that exists.
             raise self.build_no_runner(service)
--- a/pistachiodeal/entry/sessions.py
+++ b/pistachiodeal/entry/sessions.py
@@ -9,7 +9,7 @@
 
 import curio
 
-from pistachiodeal.entry.pending import Answer, LinkLost, Pending
+from pistachiodeal.entry.pending import Answer, LinkLost, PendingRequest
 from pistachiodeal.exceptions import LinkClosedError
 from pistachiodeal.wire.link import Link
 from pistachiodeal.wire.messages import Message, Report
@@ -42,7 +42,7 @@
         self._link = link
         self._reader = reader
         self._ids = itertools.count(1)
-        self._pending: dict[int, Pending] = {}
+        self._pending: dict[int, PendingRequest] = {}
         self._outbox: deque[Message] = deque()
         self._posted = curio.Event()
 
@@ -87,13 +87,13 @@
             while self._outbox:
                 await self._link.send(self._outbox.popleft())
 
-    def open_request(self) -> Pending:
+    def open_request(self) -> PendingRequest:
         """Register a request under an id that this link never uses again."""
-        pending = Pending(next(self._ids))
+        pending = PendingRequest(next(self._ids))
         self._pending[pending.request_id] = pending
         return pending
 
-    def close_request(self, pending: Pending) -> None:
+    def close_request(self, pending: PendingRequest) -> None:
         """Stop waiting; an answer that still comes is late and gets dropped."""
         self._pending.pop(pending.request_id, None)
 
--- a/pistachiodeal/entry/status.py
+++ b/pistachiodeal/entry/status.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StatusParts:
+class StatusSources:
     """Where the figures come from.
 
     :param started_at: monotonic time at which the process was put together.
@@ -28,35 +28,35 @@
     started_at: float
     sessions: SessionTable
     targets: TargetTable
-    keeper: ProfileKeeper
+    profiles: ProfileKeeper
     batch: TaskService
     dispatcher: Dispatcher
     web: WebServer
     metrics: Metrics
 
 
-def build_status(parts: StatusParts, draining: bool) -> dict[str, Any]:
+def build_status(sources: StatusSources, draining: bool) -> dict[str, Any]:
     """Return what operators see of this process."""
-    counters = parts.web.counters
+    counters = sources.web.counters
     return {
-        "node": parts.identity.node,
-        "incarnation": parts.identity.incarnation,
-        "data_centre": parts.identity.data_centre,
-        "uptime_s": round(time.monotonic() - parts.started_at, 1),
+        "node": sources.identity.node,
+        "incarnation": sources.identity.incarnation,
+        "data_centre": sources.identity.data_centre,
+        "uptime_s": round(time.monotonic() - sources.started_at, 1),
         "draining": draining,
-        "in_flight": parts.dispatcher.in_flight,
+        "in_flight": sources.dispatcher.in_flight,
         "http": {
             "connections": counters.connections,
             "open": counters.open_now,
             "requests": counters.requests,
             "rejected": counters.rejected,
         },
-        "profiles_version": parts.keeper.version,
-        "policies": parts.keeper.describe(),
-        "agents": [_describe(session) for session in parts.sessions.list_all()],
-        "services": parts.targets.build_status(),
-        "counts": parts.metrics.counts(),
-        "batch": parts.batch.status(),
+        "profiles_version": sources.profiles.version,
+        "policies": sources.profiles.describe(),
+        "agents": [_describe(session) for session in sources.sessions.list_all()],
+        "services": sources.targets.build_status(),
+        "counts": sources.metrics.counts(),
+        "batch": sources.batch.status(),
     }
 
 
--- a/pistachiodeal/events.py
+++ b/pistachiodeal/events.py
@@ -30,7 +30,7 @@
 LINES_PER_S = 1_500
 # Lines of all events a second: half a megabyte, and a tenth of a core.
 ALL_LINES_PER_S = 6_000
-TIMES = ("took_ms", "waited_ms", "away_ms", "over_ms")
+DURATION_FIELDS = ("took_ms", "waited_ms", "away_ms", "over_ms")
 
 
 class EventLog:
@@ -70,7 +70,7 @@
     def _measure(self, event: str, fields: dict[str, Any]) -> None:
         name = event.replace(".", "_")
         self._stats.count(name)
-        for field in TIMES:
+        for field in DURATION_FIELDS:
             if field in fields:
                 measured = f"{name}_{field.removesuffix('_ms')}"
                 self._stats.time(measured, fields[field] / 1000)
--- a/pistachiodeal/histograms.py
+++ b/pistachiodeal/histograms.py
@@ -20,7 +20,7 @@
 HIGHEST_US = 60_000_000
 DIGITS = 2
 OTHER = "other"
-ROWS_AT_ONCE = 20
+ROWS_PER_YIELD = 20
 PERCENTILES = {"p50_us": 50.0, "p90_us": 90.0, "p99_us": 99.0, "p999_us": 99.9}
 
 Key = tuple[str, str]
@@ -57,7 +57,7 @@
         rows = []
         for row in self._iterate_rows():
             rows.append(row)
-            if len(rows) % ROWS_AT_ONCE == 0:
+            if len(rows) % ROWS_PER_YIELD == 0:
                 await curio.sleep(0)
         return {"histograms": rows}
 
--- a/pistachiodeal/logs.py
+++ b/pistachiodeal/logs.py
@@ -37,7 +37,7 @@
 
     :param settings: least severe level, and whether lines are text or JSON.
     """
-    logbook.set_datetime_format(_read_utc)
+    logbook.set_datetime_format(_get_utc_now)
     # Records below the level must end here: logbook's default handler would
     # otherwise write them to standard error in a form of its own.
     logbook.NullHandler().push_application()
@@ -53,5 +53,5 @@
     return handler
 
 
-def _read_utc() -> datetime:
+def _get_utc_now() -> datetime:
     return datetime.now(UTC).replace(tzinfo=None)
--- a/pistachiodeal/stats.py
+++ b/pistachiodeal/stats.py
@@ -11,7 +11,7 @@
 # Milliseconds, in steps of about two: the aims lie between 150 ms and a few seconds.
 BOUNDS_MS = (1, 2, 5, 10, 20, 50, 100, 200, 500, 1_000, 2_000, 5_000, 10_000, 30_000)
 # Names beyond this share one: a name may hold a queue, and queues come and go.
-MOST_NAMES = 500
+MAX_NAMES = 500
 OTHER = "other"
 
 
@@ -25,13 +25,13 @@
 
     def count(self, name: str, n: int = 1) -> None:
         """Add to a counter."""
-        if name not in self._counters and len(self._counters) >= MOST_NAMES:
+        if name not in self._counters and len(self._counters) >= MAX_NAMES:
             name = OTHER
         self._counters[name] = self._counters.get(name, 0) + n
 
     def time(self, name: str, seconds: float) -> None:
         """Add a latency to a histogram."""
-        if name not in self._histograms and len(self._histograms) >= MOST_NAMES:
+        if name not in self._histograms and len(self._histograms) >= MAX_NAMES:
             name = OTHER
         buckets = self._histograms.setdefault(name, [0] * (len(BOUNDS_MS) + 1))
         buckets[bisect_left(BOUNDS_MS, seconds * 1000)] += 1
--- a/pistachiodeal/supervisor.py
+++ b/pistachiodeal/supervisor.py
@@ -15,9 +15,9 @@
 
 Child = Callable[[], Awaitable[None]]
 
-FIRST_PAUSE_S = 0.1
-LONGEST_PAUSE_S = 5.0
-FAILURES_IN_A_ROW = 20
+INITIAL_BACKOFF_S = 0.1
+MAX_BACKOFF_S = 5.0
+MAX_CONSECUTIVE_FAILURES = 20
 HEALTHY_AFTER_S = 10.0
 
 
@@ -55,7 +55,7 @@
         """
         try:
             for name, child in self._children:
-                self._tasks.append(await curio.spawn(self._keep, name, child))
+                self._tasks.append(await curio.spawn(self._supervise, name, child))
             await self._done.wait()
         finally:
             await self._cancel_children()
@@ -70,7 +70,7 @@
         while self._tasks:
             await self._tasks.pop().cancel()
 
-    async def _keep(self, name: str, child: Child) -> None:
+    async def _supervise(self, name: str, child: Child) -> None:
         failures = 0
         while True:
             started = time.monotonic()
@@ -86,7 +86,7 @@
                 failures += 1
                 log.error("{}: child {} failed: {!r}", self._name, name, error)
                 log.debug("{}: trace of {}", self._name, name, exc_info=True)
-            if failures >= FAILURES_IN_A_ROW:
+            if failures >= MAX_CONSECUTIVE_FAILURES:
                 await self._fail(ChildFailedError(f"child {name}", step=self._name))
                 return
             await curio.sleep(compute_backoff(failures))
@@ -102,5 +102,5 @@
     Without the jitter all processes that lost the same peer would come back in
     the same instant.
     """
-    longest = min(LONGEST_PAUSE_S, FIRST_PAUSE_S * 2 ** min(failures, 10))
+    longest = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2 ** min(failures, 10))
     return random.uniform(longest / 2, longest)
--- a/pistachiodeal/task_groups.py
+++ b/pistachiodeal/task_groups.py
@@ -20,7 +20,7 @@
     results: dict[int, T] = {}
     failures: list[Exception] = []
 
-    async def keep(number: int) -> None:
+    async def run_call(number: int) -> None:
         try:
             results[number] = await calls[number]()
         except Exception as error:
@@ -28,7 +28,7 @@
 
     async with curio.TaskGroup(wait=all) as group:
         for number in range(len(calls)):
-            await group.spawn(keep, number)
+            await group.spawn(run_call, number)
     if failures:
         raise failures[0]
     return [results[number] for number in range(len(calls))]
@@ -44,7 +44,7 @@
     # Leaving a task group doesn't raise what a child raised: a fenced journal, or
     # a worker that another agent has, would look like a child that has done its
     # work. Curio also writes a trace of each such child to standard error.
-    async def keep(child: Child) -> None:
+    async def run_call(child: Child) -> None:
         try:
             await child()
         except Exception as error:
@@ -52,7 +52,7 @@
 
     async with curio.TaskGroup(wait=any) as group:
         for child in children:
-            await group.spawn(keep, child)
+            await group.spawn(run_call, child)
     if failures:
         raise failures[0]
     if group.exception is not None:
--- a/tests/unit/test_commands.py
+++ b/tests/unit/test_commands.py
@@ -24,7 +24,7 @@
     """Gives scripted answers (status, headers, document) and notes the requests."""
 
     answers: list[Any] = field(default_factory=list)
-    seen: list[tuple[str, str, dict[str, str], Any]] = field(default_factory=list)
+    requests: list[tuple[str, str, dict[str, str], Any]] = field(default_factory=list)
     address: str = ""
 
 
@@ -39,7 +39,7 @@
             body = self.rfile.read(int(self.headers.get("content-length") or 0))
             headers = {name.lower(): value for name, value in self.headers.items()}
             document = json.loads(body) if body else None
-            entry.seen.append((self.command, self.path, headers, document))
+            entry.requests.append((self.command, self.path, headers, document))
             answer = entry.answers.pop(0)
             if answer is LOST:
                 self.close_connection = True
@@ -97,7 +97,7 @@
     status = main(["profile", "revise", "desk", "--urgency", "4"])
     assert status == exit_codes.UNREACHABLE
     assert "outcome unknown" in capsys.readouterr().err
-    assert entries[1].seen == []
+    assert entries[1].requests == []
 
 
 def test_a_revision_keeps_other_fields_and_names_the_version_it_saw(
@@ -106,7 +106,7 @@
     lost_race = {"code": "precondition_failed", "detail": "it changed at version 9"}
     entries[0].answers = [show_profile(7), (412, {}, lost_race)]
     status = main(["profile", "revise", "desk", "--no-evict-batch", "--json"])
-    method, path, headers, document = entries[0].seen[1]
+    method, path, headers, document = entries[0].requests[1]
     assert (method, path) == ("PUT", "/-/profiles/desk")
     assert headers["if-match"] == '"7"'
     assert headers["authorization"] == "Bearer token-from-environment"
@@ -129,7 +129,7 @@
     entries[1].answers = [(201, {}, {"id": "0001-a", "state": "queued"})]
     arguments = ["--kind", "press", "--team", "hall", "--profile", "batch"]
     assert main(["task", "submit", *arguments]) == exit_codes.OK
-    keys = {entry.seen[0][2]["idempotency-key"] for entry in entries}
+    keys = {entry.requests[0][2]["idempotency-key"] for entry in entries}
     assert len(keys) == 1
     assert "id: 0001-a" in capsys.readouterr().out
 
@@ -151,7 +151,7 @@
     status = main(["profile", "define", "Desk", *arguments])
     assert status == exit_codes.BAD_USAGE
     assert len(capsys.readouterr().err.splitlines()) == 5
-    assert entries[0].seen == []
+    assert entries[0].requests == []
 
 
 @pytest.mark.parametrize(
--- a/tests/unit/test_entry_dispatch.py
+++ b/tests/unit/test_entry_dispatch.py
@@ -8,7 +8,7 @@
 
 from pistachiodeal.claims.keeper import Claimed, Replayed
 from pistachiodeal.config.entry import RequestSettings
-from pistachiodeal.entry.dispatch import DispatchParts, create_dispatcher
+from pistachiodeal.entry.dispatch import DispatcherComponents, create_dispatcher
 from pistachiodeal.entry.services import ServiceTable
 from pistachiodeal.entry.sessions import create_session_table
 from pistachiodeal.entry.targets import create_target_table
@@ -56,7 +56,7 @@
         return [one for one in self.sent if isinstance(one, Request)]
 
 
-class FakeKeeper:
+class FakeProfiles:
     version = 1
     failing = False
 
@@ -72,22 +72,22 @@
 class FakeClaims:
     def __init__(self, replay=None):
         self.replay = replay
-        self.said = []
+        self.calls = []
 
     async def claim(self, service, key, fingerprint, timeout):
-        self.said.append(("claim", key))
+        self.calls.append(("claim", key))
         if self.replay:
             return Replayed(self.replay)
         return Claimed("row", "nonce", 1)
 
     async def record(self, claim, response):
-        self.said.append(("record", response.status))
+        self.calls.append(("record", response.status))
 
     async def mark_unknown(self, claim):
-        self.said.append(("unknown",))
+        self.calls.append(("unknown",))
 
     async def release(self, claim):
-        self.said.append(("release",))
+        self.calls.append(("release",))
 
 
 def reply(status=200, body=b"whole"):
@@ -121,16 +121,16 @@
     return break_link
 
 
-class Bench:
+class DispatchHarness:
     """A dispatcher with scripted agents."""
 
-    def __init__(self, keeper=None, claims=None, **limits):
+    def __init__(self, profiles=None, claims=None, **limits):
         self.sessions = create_session_table()
         self.targets = create_target_table()
         self.metrics = MemoryMetrics()
         self.claims = claims or FakeClaims()
-        services = ServiceTable(keeper or FakeKeeper(), self.targets, lambda: 0.0)
-        parts = DispatchParts(
+        services = ServiceTable(profiles or FakeProfiles(), self.targets, lambda: 0.0)
+        components = DispatcherComponents(
             settings=RequestSettings(**limits),
             sessions=self.sessions,
             targets=self.targets,
@@ -141,7 +141,7 @@
             histograms=create_histograms(),
             claim_timeout=1.0,
         )
-        self.dispatcher = create_dispatcher(parts)
+        self.dispatcher = create_dispatcher(components)
 
     async def add(self, node, *script, busy=0, latency_us=0):
         link = FakeLink(node, script)
@@ -167,9 +167,9 @@
 
 def test_whole_answer_comes_back_without_hop_by_hop_headers():
     async def main():
-        bench = Bench()
-        link = await bench.add("a", reply())
-        response = await bench.call(
+        harness = DispatchHarness()
+        link = await harness.add("a", reply())
+        response = await harness.call(
             te="x", host="h", x_case="7", pistachiodeal_caller="shop"
         )
         assert response.status == 200
@@ -178,7 +178,7 @@
         (request,) = link.requests
         assert request.headers == (("x-case", "7"),)
         assert request.caller == "shop"
-        assert bench.targets.find("orders")[0].outstanding == 0
+        assert harness.targets.find("orders")[0].outstanding == 0
 
     curio.run(main)
 
@@ -195,9 +195,9 @@
 )
 def test_bad_headers_are_refused(headers):
     async def main():
-        bench = Bench()
-        link = await bench.add("a")
-        error = await bench.fail(**headers)
+        harness = DispatchHarness()
+        link = await harness.add("a")
+        error = await harness.fail(**headers)
         assert error.status == 400
         assert error.outcome is Outcome.NOT_RUN
         assert not link.requests
@@ -207,9 +207,9 @@
 
 def test_unknown_service_and_service_without_runner():
     async def main():
-        bench = Bench()
-        assert (await bench.fail("GET", "nothing")).code == "unknown_service"
-        error = await bench.fail()
+        harness = DispatchHarness()
+        assert (await harness.fail("GET", "nothing")).code == "unknown_service"
+        error = await harness.fail()
         assert (error.status, error.code) == (503, "no_runner")
         assert error.retry_after
 
@@ -218,10 +218,10 @@
 
 def test_refusal_is_tried_elsewhere_also_for_post():
     async def main():
-        bench = Bench()
-        first = await bench.add("a", refuse())
-        second = await bench.add("b", refuse())
-        error = await bench.fail("POST")
+        harness = DispatchHarness()
+        first = await harness.add("a", refuse())
+        second = await harness.add("b", refuse())
+        error = await harness.fail("POST")
         assert (error.status, error.code) == (503, "queue_full")
         assert error.outcome is Outcome.NOT_RUN
         assert error.retry_after == 0.3
@@ -238,9 +238,9 @@
     """
 
     async def main():
-        bench = Bench()
-        links = [await bench.add("a", lost), await bench.add("b", lost)]
-        error = await bench.fail("POST")
+        harness = DispatchHarness()
+        links = [await harness.add("a", lost), await harness.add("b", lost)]
+        error = await harness.fail("POST")
         assert (error.status, error.outcome) == (502, Outcome.UNKNOWN)
         assert sum(len(link.requests) for link in links) == 1
 
@@ -254,15 +254,15 @@
     """
 
     async def main():
-        bench = Bench(attempts=2)
+        harness = DispatchHarness(attempts=2)
         scripts = [lose(), refuse()]
 
         async def play(session, request_id):
             await scripts.pop(0)(session, request_id)
 
-        await bench.add("a", play)
-        await bench.add("b", play)
-        error = await bench.fail("PUT")
+        await harness.add("a", play)
+        await harness.add("b", play)
+        error = await harness.fail("PUT")
         assert error.code == "queue_full"
         assert error.outcome is Outcome.UNKNOWN
 
@@ -276,9 +276,9 @@
     """
 
     async def main():
-        bench = Bench()
-        link = await bench.add("a")
-        error = await bench.fail("POST", pistachiodeal_deadline_ms="1")
+        harness = DispatchHarness()
+        link = await harness.add("a")
+        error = await harness.fail("POST", pistachiodeal_deadline_ms="1")
         assert (error.status, error.code) == (504, "deadline")
         assert error.outcome is Outcome.UNKNOWN
         outbox = await curio.spawn(link.session.run_outbox)
@@ -296,9 +296,9 @@
     """
 
     async def main():
-        bench = Bench()
-        link = await bench.add("a")
-        await bench.fail(pistachiodeal_deadline_ms="1")
+        harness = DispatchHarness()
+        link = await harness.add("a")
+        await harness.fail(pistachiodeal_deadline_ms="1")
         given_up = link.requests[0].request_id
 
         async def answer_late_then_right(session, request_id):
@@ -307,16 +307,16 @@
             await reply(body=b"of the second")(session, request_id)
 
         link.script.append(answer_late_then_right)
-        assert (await bench.call()).body == b"of the second"
+        assert (await harness.call()).body == b"of the second"
 
     curio.run(main)
 
 
 def test_hopeless_request_is_refused_at_once():
     async def main():
-        bench = Bench()
-        link = await bench.add("a", busy=16, latency_us=1_000_000)
-        error = await bench.fail(pistachiodeal_deadline_ms="100")
+        harness = DispatchHarness()
+        link = await harness.add("a", busy=16, latency_us=1_000_000)
+        error = await harness.fail(pistachiodeal_deadline_ms="100")
         assert (error.status, error.code) == (503, "overloaded")
         assert error.retry_after > 1
         assert not link.requests
@@ -326,13 +326,13 @@
 
 def test_caller_limit():
     async def main():
-        bench = Bench(caller_in_flight=1)
-        link = await bench.add("a")
-        first = await curio.spawn(bench.call)
+        harness = DispatchHarness(caller_in_flight=1)
+        link = await harness.add("a")
+        first = await curio.spawn(harness.call)
         while not link.requests:
             await curio.sleep(0)
         with pytest.raises(RequestError) as caught:
-            await bench.call()
+            await harness.call()
         assert (caught.value.status, caught.value.code) == (429, "caller_limit")
         await reply()(link.session, link.requests[0].request_id)
         assert (await first.join()).status == 200
@@ -350,11 +350,13 @@
 )
 def test_claim_gets_its_end(answer, end):
     async def main():
-        bench = Bench(attempts=1)
-        await bench.add("a", answer)
+        harness = DispatchHarness(attempts=1)
+        await harness.add("a", answer)
         with suppress(RequestError):
-            await bench.call("POST", idempotency_key="k1", pistachiodeal_caller="shop")
-        assert bench.claims.said == [("claim", "shop/k1"), end]
+            await harness.call(
+                "POST", idempotency_key="k1", pistachiodeal_caller="shop"
+            )
+        assert harness.claims.calls == [("claim", "shop/k1"), end]
 
     curio.run(main)
 
@@ -366,22 +368,24 @@
     """
 
     async def main():
-        bench = Bench()
-        link = await bench.add("a")
-        task = await curio.spawn(partial(bench.call, "POST", idempotency_key="k1"))
+        harness = DispatchHarness()
+        link = await harness.add("a")
+        task = await curio.spawn(partial(harness.call, "POST", idempotency_key="k1"))
         while not link.requests:
             await curio.sleep(0)
         await task.cancel()
-        assert bench.claims.said[-1] == ("unknown",)
+        assert harness.claims.calls[-1] == ("unknown",)
 
     curio.run(main)
 
 
 def test_repeat_of_a_key_gets_the_recorded_answer():
     async def main():
-        bench = Bench(claims=FakeClaims(replay=WebResponse(201, (), b"earlier")))
-        link = await bench.add("a")
-        response = await bench.call("POST", idempotency_key="k1")
+        harness = DispatchHarness(
+            claims=FakeClaims(replay=WebResponse(201, (), b"earlier"))
+        )
+        link = await harness.add("a")
+        response = await harness.call("POST", idempotency_key="k1")
         assert response.body == b"earlier"
         assert not link.requests
 
--- a/tests/unit/test_entry_links.py
+++ b/tests/unit/test_entry_links.py
@@ -5,7 +5,7 @@
 import curio
 
 from pistachiodeal.entry.interference import create_interference_relay
-from pistachiodeal.entry.links import LinkParts, LinkServer
+from pistachiodeal.entry.links import LinkServer, LinkServerComponents
 from pistachiodeal.entry.pushing import Pusher
 from pistachiodeal.entry.sessions import create_session_table
 from pistachiodeal.entry.targets import create_target_table
@@ -59,7 +59,7 @@
         return Directory((), ())
 
 
-class FakeKeeper:
+class FakeProfiles:
     def __init__(self):
         self.merged = []
 
@@ -71,31 +71,33 @@
         return tuple(PolicyPart(service, 3, "{}") for service in services)
 
 
-class Bench:
+class LinkHarness:
     """A link server on a free loopback port."""
 
     def __init__(self):
         self.batch = FakeBatch()
-        self.keeper = FakeKeeper()
+        self.profiles = FakeProfiles()
         self.sessions = create_session_table()
         self.targets = create_target_table()
         self.metrics = MemoryMetrics()
         self.listener = bind_listener("127.0.0.1", 0)
         evidence = create_interference_relay()
-        self.pusher = Pusher(self.sessions, self.keeper, evidence, self.batch.directory)
-        parts = LinkParts(
+        self.pusher = Pusher(
+            self.sessions, self.profiles, evidence, self.batch.directory
+        )
+        components = LinkServerComponents(
             identity=Identity("entry", "e1", 1, "dc1"),
             secret=SECRET,
             timings=TIMINGS,
             sessions=self.sessions,
             targets=self.targets,
             batch=self.batch,
-            keeper=self.keeper,
+            profiles=self.profiles,
             pusher=self.pusher,
             evidence=evidence,
             metrics=self.metrics,
         )
-        self.server = LinkServer(self.listener, parts)
+        self.server = LinkServer(self.listener, components)
         self.address = f"127.0.0.1:{self.server.port}"
 
     def dial(self, node="a1", role="agent", incarnation=7):
@@ -104,14 +106,14 @@
 
 
 @asynccontextmanager
-async def run_bench():
-    bench = Bench()
-    task = await curio.spawn(bench.server.run)
+async def run_harness():
+    harness = LinkHarness()
+    task = await curio.spawn(harness.server.run)
     try:
-        yield bench
+        yield harness
     finally:
         await task.cancel()
-        bench.listener.close()
+        harness.listener.close()
 
 
 def build_report(*services, draining=False):
@@ -133,14 +135,14 @@
 
 def test_agent_is_told_what_it_needs_and_becomes_a_target():
     async def main():
-        async with run_bench() as bench, bench.dial() as link:
+        async with run_harness() as harness, harness.dial() as link:
             await receive(link, Directory)
             await link.send(build_report("orders"))
             policies = await receive(link, Policies)
             assert policies.parts == (PolicyPart("orders", 3, "{}"),)
-            assert [one.node for one in bench.targets.find("orders")] == ["a1"]
+            assert [one.node for one in harness.targets.find("orders")] == ["a1"]
             await link.send(build_report())
-            await wait_until(lambda: not bench.targets.find("orders"))
+            await wait_until(lambda: not harness.targets.find("orders"))
 
     curio.run(main)
 
@@ -152,19 +154,19 @@
     """
 
     async def main():
-        async with run_bench() as bench:
-            async with bench.dial() as link:
+        async with run_harness() as harness:
+            async with harness.dial() as link:
                 await link.send(build_report("orders"))
-                await wait_until(lambda: bench.targets.find("orders"))
+                await wait_until(lambda: harness.targets.find("orders"))
                 await link.send(Goodbye("leaving"))
                 await link.send(build_report("orders"))
-                await wait_until(lambda: bench.batch.events.count("Report") == 2)
-                assert not bench.targets.find("orders")
-            await wait_until(lambda: len(bench.sessions) == 0)
-            async with bench.dial() as link:
+                await wait_until(lambda: harness.batch.events.count("Report") == 2)
+                assert not harness.targets.find("orders")
+            await wait_until(lambda: len(harness.sessions) == 0)
+            async with harness.dial() as link:
                 await link.send(build_report("orders"))
-                await wait_until(lambda: bench.targets.find("orders"))
-            await wait_until(lambda: not bench.targets.find("orders"))
+                await wait_until(lambda: harness.targets.find("orders"))
+            await wait_until(lambda: not harness.targets.find("orders"))
 
     curio.run(main)
 
@@ -177,22 +179,22 @@
     """
 
     async def main():
-        async with run_bench() as bench, bench.dial() as older:
-            await wait_until(lambda: bench.sessions.get("a1"))
-            first = bench.sessions.get("a1")
+        async with run_harness() as harness, harness.dial() as older:
+            await wait_until(lambda: harness.sessions.get("a1"))
+            first = harness.sessions.get("a1")
             pending = first.open_request()
-            async with bench.dial() as newer:
-                await wait_until(lambda: bench.sessions.get("a1") is not first)
-                await bench.pusher.push_once()
+            async with harness.dial() as newer:
+                await wait_until(lambda: harness.sessions.get("a1") is not first)
+                await harness.pusher.push_once()
                 response = Response(pending.request_id, 200, (), b"whole")
                 await older.send(response)
                 assert await pending.wait() == response
-                await bench.pusher.push_once()
+                await harness.pusher.push_once()
                 await wait_until(lambda: first.closed)
                 await newer.send(build_report("orders"))
-                await wait_until(lambda: bench.targets.find("orders"))
-            await wait_until(lambda: len(bench.sessions) == 0)
-            names = [event[0] for event in bench.batch.events if event != "Report"]
+                await wait_until(lambda: harness.targets.find("orders"))
+            await wait_until(lambda: len(harness.sessions) == 0)
+            names = [event[0] for event in harness.batch.events if event != "Report"]
             assert names == ["opened", "closed", "opened", "closed"]
 
     curio.run(main)
@@ -205,28 +207,28 @@
     """
 
     async def main():
-        async with run_bench() as bench, bench.dial() as link:
-            bench.batch.gate = curio.Event()
-            await wait_until(lambda: bench.sessions.get("a1"))
-            pending = bench.sessions.get("a1").open_request()
+        async with run_harness() as harness, harness.dial() as link:
+            harness.batch.gate = curio.Event()
+            await wait_until(lambda: harness.sessions.get("a1"))
+            pending = harness.sessions.get("a1").open_request()
             await link.send(TaskEnded("t", 1, "finished", "", "", SIZE, 5))
             await link.send(Response(pending.request_id, 200, (), b""))
             assert (await pending.wait()).status == 200
-            await bench.batch.gate.set()
-            await wait_until(lambda: "TaskEnded" in bench.batch.events)
+            await harness.batch.gate.set()
+            await wait_until(lambda: "TaskEnded" in harness.batch.events)
 
     curio.run(main)
 
 
 def test_lost_link_wakes_who_waits_and_late_answers_are_counted():
     async def main():
-        async with run_bench() as bench:
-            async with bench.dial() as link:
-                await wait_until(lambda: bench.sessions.get("a1"))
-                pending = bench.sessions.get("a1").open_request()
+        async with run_harness() as harness:
+            async with harness.dial() as link:
+                await wait_until(lambda: harness.sessions.get("a1"))
+                pending = harness.sessions.get("a1").open_request()
                 await link.send(Response(99, 200, (), b""))
                 await wait_until(
-                    lambda: bench.metrics.counts().get("entry.late_answers")
+                    lambda: harness.metrics.counts().get("entry.late_answers")
                 )
             assert (await pending.wait()).peer == "a1"
 
@@ -235,28 +237,28 @@
 
 def test_garbage_on_the_internal_port_harms_nobody():
     async def main():
-        async with run_bench() as bench, bench.dial() as link:
-            sock = await curio.open_connection("127.0.0.1", bench.server.port)
+        async with run_harness() as harness, harness.dial() as link:
+            sock = await curio.open_connection("127.0.0.1", harness.server.port)
             await sock.sendall(b"GET / HTTP/1.1\r\n\r\n" * 10)
             while await sock.recv(4096):
                 pass
             await sock.close()
             await link.send(build_report("orders"))
-            await wait_until(lambda: bench.targets.find("orders"))
+            await wait_until(lambda: harness.targets.find("orders"))
 
     curio.run(main)
 
 
 def test_entry_link_reaches_the_owner():
     async def main():
-        async with run_bench() as bench, bench.dial("e2", "entry") as link:
+        async with run_harness() as harness, harness.dial("e2", "entry") as link:
             for number, service in ((1, "@tasks"), (2, "orders")):
                 await link.send(
                     Request(number, service, "c", "POST", "/tasks", (), b"t", 1000)
                 )
             answers = {(await link.receive()).request_id for _ in range(2)}
             assert answers == {1, 2}
-            assert len(bench.sessions) == 0
+            assert len(harness.sessions) == 0
 
     curio.run(main)
 
@@ -274,5 +276,5 @@
     assert relay.build_for("a3").pairs[0].weight_milli == 4000
     relay.end_round()
     assert relay.build_for("a1") is None
-    assert relay.greet("a4", 1).pairs[0].weight_milli == 4000
-    assert relay.greet("a4", 1) is None
+    assert relay.build_initial("a4", 1).pairs[0].weight_milli == 4000
+    assert relay.build_initial("a4", 1) is None
--- a/tests/unit/test_entry_front.py
+++ b/tests/unit/test_entry_router.py
@@ -4,7 +4,7 @@
 import orjson
 import pytest
 
-from pistachiodeal.entry.front import FrontParts, create_front
+from pistachiodeal.entry.router import RouterComponents, create_router
 from pistachiodeal.exceptions import RequestError
 from pistachiodeal.histograms import create_histograms
 from pistachiodeal.web.messages import WebRequest, WebResponse
@@ -12,7 +12,7 @@
 TOKEN = "token-of-the-operators"
 
 
-class Named:
+class NamedHandler:
     """Answers with its own name."""
 
     def __init__(self, name):
@@ -23,19 +23,19 @@
 
 
 def call(target, *, token="", draining=False, method="GET"):
-    front = create_front(
-        FrontParts(
+    router = create_router(
+        RouterComponents(
             operator_token=TOKEN,
-            dispatcher=Named("service"),
-            batch=Named("tasks"),
-            profiles=Named("profiles"),
+            dispatcher=NamedHandler("service"),
+            batch=NamedHandler("tasks"),
+            profiles=NamedHandler("profiles"),
             histograms=create_histograms(),
             read_status=lambda: {"node": "e1"},
             is_draining=lambda: draining,
         )
     )
     headers = (("authorization", token),) if token else ()
-    return curio.run(front.handle, WebRequest(method, target, headers))
+    return curio.run(router.handle, WebRequest(method, target, headers))
 
 
 @pytest.mark.parametrize(
