--- a/pistachiodeal/entry/__init__.py
+++ b/pistachiodeal/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The entry process: callers' and operators' HTTP, links, interactive requests."""
+"""The entry process: accepts HTTP requests and routes them to agents."""
--- a/pistachiodeal/entry/app.py
+++ b/pistachiodeal/entry/app.py
@@ -1,4 +1,4 @@
-"""A running entry, and the order in which it stops."""
+"""The running entry process and its shutdown sequence."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True)
 class EntryApp:
-    """A running entry; made by :func:`open_entry`."""
+    """A running entry; created by :func:`open_entry`."""
 
     settings: EntrySettings
     supervisor: Supervisor
@@ -40,7 +40,7 @@
 
     @property
     def in_flight(self) -> int:
-        """Return the interactive requests that have no answer yet."""
+        """Return how many interactive requests have no answer yet."""
         return self.dispatcher.in_flight
 
     async def run(self) -> None:
@@ -51,9 +51,9 @@
         await self.supervisor.run()
 
     async def drain(self) -> bool:
-        """Hand over what this entry holds and end what is in flight.
+        """Hand over this entry's partitions and finish the requests in flight.
 
-        :returns: False when requests were still open at the end of the time.
+        :returns: False when requests were still open at the end of ``drain_s``.
         """
         self.draining = True
         until = time.monotonic() + self.settings.drain_s
@@ -64,11 +64,13 @@
         if not drained:
             log.warning("entry: time is up, {} requests cut", self.in_flight)
         if not await self.claims.flush(CLAIM_FLUSH_S):
-            log.warning("entry: {} claims have no end written", self.claims.pending)
+            log.warning(
+                "entry: {} claims were not closed in the store", self.claims.pending
+            )
         return drained
 
     def write_histograms(self) -> None:
-        """Write the histograms to the file of the settings, if there is one."""
+        """Write the histograms to the configured file, if there is one."""
         path = self.settings.histogram_file
         if not path:
             return
@@ -78,8 +80,8 @@
             log.error("entry: histograms not written: {!r}", error)
 
     async def _drain_batch(self, seconds: float) -> None:
-        # The hand-over needs the table, which may be down; the requests in
-        # flight need the rest of the time.
+        # The hand-over needs the table, which may be down. It gets only a share of
+        # the drain time, because requests in flight need the rest.
         try:
             async with curio.ignore_after(seconds) as limit:
                 await self.batch.drain()
--- a/pistachiodeal/entry/attempts.py
+++ b/pistachiodeal/entry/attempts.py
@@ -1,4 +1,4 @@
-"""What happened to one call so far, and what its caller may be told."""
+"""Tracks the attempts of one call and the error its caller receives."""
 
 from __future__ import annotations
 
@@ -24,15 +24,15 @@
 
 
 class CallAttempts:
-    """Keeps the attempts of one call and the worst outcome that is possible.
+    """Tracks the attempts of one call and the worst outcome that is possible.
 
-    A refusal of a later attempt says nothing about an earlier one whose answer
-    was lost. Told by the last refusal alone, the caller would read ``not_run``
-    for work that ran; so the outcome only ever gets worse.
+    A later refusal doesn't cancel an earlier attempt whose answer was lost. If
+    only the last refusal counted, the caller would see ``not_run`` for work that
+    ran; so the outcome only ever gets worse.
 
-    :ivar count: how often the call was handed to an agent.
-    :ivar tried: nodes that had it.
-    :ivar error: what the caller is told when nothing else is tried.
+    :ivar count: how often the call was sent to an agent.
+    :ivar tried: nodes that were tried.
+    :ivar error: the error for the caller if there is no further attempt.
     """
 
     def __init__(self, call: Call) -> None:
@@ -46,26 +46,26 @@
         self._retry_after: float | None = None
 
     def begin(self, session: Session, pending: PendingRequest) -> None:
-        """Note that an attempt is about to be handed to an agent."""
+        """Record an attempt that is about to be sent to an agent."""
         self.count += 1
         self.tried.add(session.node)
         self.session = session
         self.pending = pending
 
     def end(self) -> None:
-        """Note that the attempt has its answer, or will not have one."""
+        """Record that the attempt was answered, or that no answer will come."""
         self.session = None
         self.pending = None
 
     def record_unsent(self, node: str, detail: str) -> None:
-        """Note that the request never left: it is as good as refused."""
+        """Record that the request was never sent, which is equal to a refusal."""
         self.tried.add(node)
-        log.debug("entry: nothing sent to {}: {}", node, detail)
+        log.debug("entry: request not sent to {}: {}", node, detail)
         detail = "the link to the agent is closed"
         self.error = self._build(detail, AGENT_LOST, 503, STEP_SEND, node)
 
     def record_answer(self, node: str, answer: Refusal | Failure | LinkLost) -> None:
-        """Note an answer that is not a response."""
+        """Record an answer that is not a response."""
         if isinstance(answer, Refusal):
             self._record_refusal(node, answer)
         elif isinstance(answer, Failure):
@@ -79,19 +79,19 @@
         return self._build("no answer in time", DEADLINE, 504, STEP_ROUTE, node)
 
     def fail(self, detail: str) -> RequestError:
-        """Return the error for a call that a fault of this process ended."""
+        """Return the error for a call that failed on a bug in this process."""
         node = self._abandon()
         return self._build(detail, INTERNAL, 500, STEP_ROUTE, node)
 
     def _abandon(self) -> str:
-        """Leave the open attempt to its fate; return the node that has it."""
+        """Stop waiting for the open attempt; return its node, if there is one."""
         if self.session is None:
             return ""
         self._worsen(Outcome.UNKNOWN)
         return self.session.node
 
     def _record_refusal(self, node: str, refusal: Refusal) -> None:
-        """Note a refusal; the shortest time to come back is the one to tell."""
+        """Record a refusal; the caller gets the shortest retry time of them all."""
         retry_after = max(MIN_RETRY_AFTER_S, refusal.retry_after_ms / 1000.0)
         if self._retry_after is None or retry_after < self._retry_after:
             self._retry_after = retry_after
@@ -99,16 +99,16 @@
         self.error = self._build(refusal.detail, code, 503, STEP_ACCEPT, node)
 
     def _record_link_loss(self, lost: LinkLost) -> None:
-        """Note that the link broke while the answer was awaited."""
+        """Record that the link broke while the answer was pending."""
         self._worsen(Outcome.UNKNOWN)
         log.debug("entry: link to {} lost: {}", lost.peer, lost.detail)
         detail = "the link to the agent broke"
         self.error = self._build(detail, AGENT_LOST, 502, STEP_SEND, lost.peer)
 
     def _record_failure(self, node: str, failure: Failure) -> None:
-        """Note that a runner had the request and gave no whole answer."""
+        """Record that a runner got the request and gave no complete answer."""
         self._worsen(OUTCOMES.get(failure.outcome, Outcome.UNKNOWN))
-        # The agent's detail holds addresses, which are no business of callers.
+        # The agent's detail holds internal addresses, which callers must not see.
         log.debug("entry: failure at {}: {}", node, failure.detail)
         detail = "the runner gave no whole answer"
         self.error = self._build(detail, failure.code, 502, failure.step, node)
--- a/pistachiodeal/entry/calls.py
+++ b/pistachiodeal/entry/calls.py
@@ -1,4 +1,4 @@
-"""Reads what a caller asked for, and checks it."""
+"""Parses and validates callers' requests."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 DEFAULT_CALLER = "anonymous"
 # RFC 9110, section 9.2.2.
 IDEMPOTENT_METHODS = frozenset(("GET", "HEAD", "PUT", "DELETE", "OPTIONS", "TRACE"))
-# RFC 9110, section 7.6.1, and what each connection's own side writes afresh.
+# RFC 9110, section 7.6.1, and headers that each hop sets itself.
 NOT_FORWARDED = frozenset(
     (
         "connection",
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """A caller's interactive request, checked.
+    """A caller's validated interactive request.
 
     :param deadline: monotonic time at which the caller stops waiting.
     :param key: idempotency key, empty for none.
@@ -60,15 +60,15 @@
 
     @property
     def claim_key(self) -> str:
-        """Return the key as it is claimed: two callers may choose the same."""
+        """Return the key scoped by caller, as two callers may choose the same."""
         return f"{self.caller}/{self.key}"
 
     def is_repeatable(self, profile: Profile) -> bool:
-        """Tell whether running this twice does no harm."""
+        """Return whether this request may safely run more than once."""
         return self.request.method in IDEMPOTENT_METHODS or profile.repeat_unsafe
 
     def compute_fingerprint(self) -> str:
-        """Return a hash of what is asked, by which a reused key is noticed."""
+        """Return a hash of the request, which detects a reused key."""
         digest = xxhash.xxh3_128()
         for part in (self.request.method, self.request.target):
             digest.update(part.encode())
@@ -80,10 +80,10 @@
 def parse_call(
     service: str, request: WebRequest, settings: RequestSettings, now: float
 ) -> Call:
-    """Return the checked call.
+    """Return the validated call.
 
-    :param now: monotonic time at which the request was there.
-    :raises RequestError: 400 with the code of the first fault.
+    :param now: monotonic time at which the request arrived.
+    :raises RequestError: 400 with the code of the first error.
     """
     deadline_ms = _parse_deadline(request, settings)
     return Call(
@@ -96,14 +96,14 @@
 
 
 def strip_request_headers(headers: Headers) -> Headers:
-    """Return the headers that a runner gets."""
+    """Return the headers that are forwarded to a runner."""
     return _strip(headers, NOT_FOR_RUNNERS)
 
 
 def strip_response_headers(headers: Headers, method: str) -> Headers:
-    """Return the headers that a caller gets.
+    """Return the headers that are returned to a caller.
 
-    An answer to HEAD keeps its content-length, which is not that of its body.
+    An answer to HEAD keeps its content-length, which doesn't describe its body.
     """
     return _strip(headers, NOT_FOR_HEAD if method == "HEAD" else NOT_FORWARDED)
 
--- a/pistachiodeal/entry/cli.py
+++ b/pistachiodeal/entry/cli.py
@@ -22,8 +22,8 @@
 log = Logger("entry")
 
 EPILOG = """\
-exit status: 0 after a graceful stop; 1 when a part failed for good or requests
-were cut; 2 for wrong arguments or settings
+exit status: 0 after a graceful stop; 1 when a component failed permanently or
+requests were aborted; 2 for wrong arguments or settings
 """
 
 
@@ -39,14 +39,14 @@
     try:
         return curio.run(_serve, settings)
     except (PistachiodealError, OSError) as error:
-        log.error("entry: ended: {}", error)
+        log.error("entry: exiting on error: {}", error)
         return exit_codes.FAILURE
 
 
 def _parse_arguments(argv: Sequence[str] | None) -> argparse.Namespace:
     parser = argparse.ArgumentParser(
         prog="pistachiodeal-entry",
-        description="Takes in callers' requests and batch tasks.",
+        description="Accepts callers' requests and batch tasks.",
         epilog=EPILOG,
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
@@ -62,7 +62,7 @@
         async with open_entry(settings) as entry:
             print(f"http {entry.web.port}")
             print(f"internal {entry.links.port}", flush=True)
-            log.notice("entry: {} listens", settings.node)
+            log.notice("entry: {} is listening", settings.node)
             status = await _run_until_signal(entry, watch)
             entry.write_histograms()
             return status
@@ -81,7 +81,7 @@
 
 
 async def _stop_on_signal(entry: EntryApp, watch: SignalWatch) -> int:
-    """Drain at the first signal, end at once at the second."""
+    """Drain at the first signal, exit immediately at the second."""
     number = await watch.wait()
     log.notice("entry: {} received", signal.Signals(number).name)
     async with curio.TaskGroup(wait=any) as group:
--- a/pistachiodeal/entry/composition.py
+++ b/pistachiodeal/entry/composition.py
@@ -1,4 +1,4 @@
-"""Creates the components of an entry and puts them together."""
+"""Creates the components of an entry and connects them."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 @asynccontextmanager
 async def open_entry(settings: EntrySettings) -> AsyncIterator[EntryApp]:
-    """Bind the ports and put the components together; closes the ports at the end.
+    """Bind the ports and create the entry; closes the ports at the end.
 
     :raises OSError: a port is taken.
     """
@@ -57,7 +57,7 @@
 
 
 class EntryBuilder:
-    """Creates the components of an entry, each once, in the order of their needs."""
+    """Creates each component of an entry once, in dependency order."""
 
     def __init__(self, settings: EntrySettings, listener: stdlib_socket.socket) -> None:
         self._settings = settings
@@ -219,8 +219,8 @@
         return supervisor
 
     async def _serve_web(self) -> None:
-        # Without a first look at the profiles a request that comes at once would
-        # be told that its service does not exist.
+        # Profiles are loaded first: otherwise the earliest requests would be
+        # rejected because their service does not exist.
         with suppress(PistachiodealError):
             await self._profiles.refresh()
         await self._web.run()
--- a/pistachiodeal/entry/dispatch.py
+++ b/pistachiodeal/entry/dispatch.py
@@ -1,4 +1,4 @@
-"""One interactive request, from its arrival to its final answer."""
+"""Dispatches interactive requests to agents and returns their answers."""
 
 from __future__ import annotations
 
@@ -45,9 +45,9 @@
 
 @dataclass(frozen=True, slots=True)
 class DispatcherComponents:
-    """What a dispatcher works with.
+    """The collaborators of a dispatcher.
 
-    :param claim_timeout: seconds that one claim may take.
+    :param claim_timeout: seconds that claiming a key may take.
     """
 
     settings: RequestSettings
@@ -62,7 +62,7 @@
 
 
 class Dispatcher:
-    """Routes callers' requests to agents and brings the answers back."""
+    """Routes callers' requests to agents and returns the answers."""
 
     def __init__(
         self, components: DispatcherComponents, clock: Callable[[], float]
@@ -83,13 +83,13 @@
 
     @property
     def in_flight(self) -> int:
-        """Return the requests that were taken in and have no answer yet."""
+        """Return how many admitted requests have no answer yet."""
         return self._callers.total
 
     async def handle(self, service: str, request: WebRequest) -> WebResponse:
-        """Return the whole answer of a runner.
+        """Return a runner's complete answer.
 
-        :raises RequestError: there is none; says what is known of the outcome.
+        :raises RequestError: there is none; carries the known outcome.
         """
         started = self._clock()
         call = parse_call(service, request, self._settings, started)
@@ -122,7 +122,7 @@
         self._metrics.count(f"entry.problem.{error.code}")
         self._metrics.count(f"entry.outcome.{error.outcome}")
         if error.outcome is not Outcome.NOT_RUN or error.code == DEADLINE:
-            # Quick refusals would flatter the percentiles of those who waited.
+            # Fast refusals would lower the latency percentiles of requests that ran.
             self._histograms.record(call.caller, call.service, seconds)
 
     async def _answer(self, call: Call, profile: Profile) -> WebResponse:
@@ -131,7 +131,7 @@
         return await self._answer_before_deadline(call, profile)
 
     async def _answer_with_claim(self, call: Call, profile: Profile) -> WebResponse:
-        """Claim the key first, so that no entry runs this request a second time."""
+        """Claim the key first, so that no other entry runs this request again."""
         timeout = min(self._claim_timeout, call.deadline - self._clock())
         claim = await self._claims.claim(
             call.service, call.claim_key, call.compute_fingerprint(), timeout
@@ -145,8 +145,8 @@
             await self._close_claim(claim, error)
             raise
         except BaseException:
-            # A cancelled connection leaves a request that may run: a claim that
-            # stayed open would answer "in progress" to its repeats for ever.
+            # After a cancelled connection the request may still run. If its claim
+            # stayed open, retries would be answered "in progress" for ever.
             await self._claims.mark_unknown(claim)
             raise
         await self._claims.record(claim, response)
@@ -176,13 +176,13 @@
         except RequestError:
             raise
         except Exception as error:
-            # The web server would tell ``not_run`` of any error it does not
-            # know, also of one that came up after a runner had the request.
+            # The web server reports ``not_run`` for any unknown error, also for
+            # one raised after a runner had received the request.
             log.exception("entry: dispatch failed")
             raise attempts.fail(type(error).__name__) from error
 
     async def _give_up(self, attempts: CallAttempts) -> WebResponse | None:
-        """Withdraw the open attempt; return its answer if it has just come."""
+        """Withdraw the open attempt; return its answer if it has just arrived."""
         session, pending = attempts.session, attempts.pending
         if session is None or pending is None:
             return None
@@ -249,7 +249,7 @@
     async def _attempt(
         self, attempts: CallAttempts, candidate: Candidate
     ) -> Answer | None:
-        """Hand the call to one agent; return its answer, None when it never left."""
+        """Send the call to one agent; return its answer, None if it was not sent."""
         session = self._sessions.get(candidate.node)
         if session is None:
             attempts.record_unsent(candidate.node, "no link to the agent")
@@ -311,5 +311,5 @@
 def create_dispatcher(
     components: DispatcherComponents, clock: Callable[[], float] = time.monotonic
 ) -> Dispatcher:
-    """Return a dispatcher with nothing in flight."""
+    """Return a dispatcher without open requests."""
     return Dispatcher(components, clock)
--- a/pistachiodeal/entry/forwarding.py
+++ b/pistachiodeal/entry/forwarding.py
@@ -1,4 +1,4 @@
-"""Requests about tasks that another entry hands to this partition owner."""
+"""Serves task requests that other entries forward to this partition owner."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 
 
 class ForwardedRequestServer:
-    """Answers one link's requests with a bounded number of tasks.
+    """Answers the requests of one link with a bounded number of curio tasks.
 
-    Tasks start as they are needed and end when nothing waits.
+    Tasks start on demand and end when the queue is empty.
     """
 
     def __init__(self, session: Session, handler: Handler) -> None:
@@ -32,7 +32,7 @@
         self._workers: set[curio.Task] = set()
 
     async def accept(self, request: Request) -> None:
-        """Queue a request, or refuse it when too many wait."""
+        """Queue a request, or refuse it when the queue is full."""
         if request.service != TASK_SERVICE:
             await self._refuse(request, "unknown_service")
             return
@@ -44,7 +44,7 @@
             self._workers.add(await curio.spawn(self._work, daemon=True))
 
     async def close(self) -> None:
-        """Cancel what is being handled: its answers have nowhere to go."""
+        """Cancel open requests: the link for their answers is closed."""
         self._waiting.clear()
         for worker in tuple(self._workers):
             await worker.cancel()
--- a/pistachiodeal/entry/inbox.py
+++ b/pistachiodeal/entry/inbox.py
@@ -1,4 +1,4 @@
-"""Hands an agent's messages about tasks to the batch service."""
+"""Queues an agent's task messages for the batch service."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 
 class BatchInbox:
-    """Keeps one link's messages until the batch service has taken them.
+    """Queues the messages of one link until the batch service has handled them.
 
-    The batch service waits for the table. Were it called by the task that reads
-    the link, a slow table would hold up the answers of interactive requests that
-    stand behind such a message: latency would follow the store's.
+    The batch service waits for the table. If the task that reads the link called
+    it directly, a slow table would delay the answers of interactive requests that
+    are queued behind such a message: latency would follow the store's.
     """
 
     def __init__(self, session: Session, batch: TaskService) -> None:
@@ -31,9 +31,9 @@
         self._added = curio.Event()
 
     async def put(self, message: BatchMessage) -> bool:
-        """Take a message; False when it was dropped because too many wait.
+        """Queue a message; return False when the queue was full and it was dropped.
 
-        Agents repeat reports and ends of tasks, so that a dropped one is late
+        Agents repeat reports and ends of tasks, so a dropped message is delayed
         and not lost.
         """
         if len(self._waiting) >= INBOX_LIMIT:
@@ -43,7 +43,7 @@
         return True
 
     async def run(self) -> None:
-        """Hand messages on until cancelled."""
+        """Pass messages to the batch service until cancelled."""
         while True:
             await self._added.wait()
             self._added.clear()
--- a/pistachiodeal/entry/interference.py
+++ b/pistachiodeal/entry/interference.py
@@ -1,4 +1,4 @@
-"""Passes on between agents what each learnt of services beside kinds of task."""
+"""Shares between agents the measured interference of tasks with services."""
 
 from __future__ import annotations
 
@@ -24,7 +24,10 @@
 
 @dataclass(slots=True)
 class _Total:
-    """Decaying sum of a pair's evidence, in thousandths, as of a time."""
+    """Exponentially decaying sum of a pair's evidence, in thousandths.
+
+    :ivar at: monotonic time up to which the sums have been decayed.
+    """
 
     at: float
     slowdown: float = 0.0
@@ -43,10 +46,10 @@
 
 
 class InterferenceRelay:
-    """Collects evidence, and hands each agent what the others sent.
+    """Collects evidence from agents and forwards it to all other agents.
 
-    An agent must not get its own evidence back: it would count it twice, and
-    again at each round, until one early measurement outweighed all later ones.
+    An agent must not receive its own evidence: it would count it twice, and
+    again in each round, until one early measurement outweighed all later ones.
     """
 
     def __init__(self, clock: Callable[[], float]) -> None:
@@ -56,16 +59,17 @@
         self._incarnations: dict[str, int] = {}
 
     def accept(self, node: str, evidence: Evidence) -> None:
-        """Take an agent's new evidence."""
+        """Add an agent's new evidence."""
         now = self._clock()
         for pair in evidence.pairs[:PAIR_LIMIT]:
             self._recent.append(_Item(node, pair))
             self._add_total(pair, now)
 
     def build_initial(self, node: str, incarnation: int) -> Evidence | None:
-        """Return all that is known for an agent that has just started.
+        """Return all known evidence for an agent that has just started.
 
-        :param incarnation: an agent that merely dialled again gets nothing.
+        :param incarnation: an agent that reconnects with the same incarnation
+            gets None.
         """
         if self._incarnations.get(node) == incarnation:
             return None
@@ -94,7 +98,7 @@
         return _build_evidence(PairEvidence(*key, *sum_) for key, sum_ in sums.items())
 
     def end_round(self) -> None:
-        """Forget what was handed on."""
+        """Drop the evidence that was forwarded in this round."""
         self._recent.clear()
 
     def _add_total(self, pair: PairEvidence, now: float) -> None:
@@ -118,5 +122,5 @@
 def create_interference_relay(
     clock: Callable[[], float] = time.monotonic,
 ) -> InterferenceRelay:
-    """Return a relay that has nothing to hand on."""
+    """Return a relay without evidence."""
     return InterferenceRelay(clock)
--- a/pistachiodeal/entry/links.py
+++ b/pistachiodeal/entry/links.py
@@ -1,4 +1,4 @@
-"""The internal port: accepts links, and serves each by one task that reads it."""
+"""The internal port: accepts links and serves each one in a task of its own."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkServerComponents:
-    """What the internal port works with."""
+    """The collaborators of the link server."""
 
     identity: Identity
     secret: str
@@ -68,7 +68,7 @@
 
 
 class LinkServer:
-    """Serves the internal port until cancelled."""
+    """Accepts and serves the links of agents and other entries."""
 
     def __init__(
         self, listener: stdlib_socket.socket, components: LinkServerComponents
@@ -93,7 +93,7 @@
         return self._listener.getsockname()[1]
 
     async def run(self) -> None:
-        """Accept links; cancelling this ends them all."""
+        """Accept links until cancelled, which closes them all."""
         listener = Socket(self._listener)
         try:
             while True:
@@ -103,7 +103,7 @@
                 await self._tasks.pop().cancel()
 
     async def send_goodbye(self, reason: str) -> None:
-        """Tell all peers that nothing new should come here."""
+        """Tell all peers to send nothing new to this entry."""
         goodbye = Goodbye(reason)
         for session in (*self._sessions.list_all(), *self._entries):
             with suppress(LinkClosedError):
@@ -113,8 +113,8 @@
         try:
             sock, _ = await listener.accept()
         except OSError as error:
-            # Out of descriptors, for example: without the pause this loop would
-            # take a whole processor and starve those who could free some.
+            # For example, no file descriptors are left. Without the pause this loop
+            # would use a whole core and starve the tasks that could free some.
             log.error("entry: accept failed: {!r}", error)
             await curio.sleep(ACCEPT_PAUSE_S)
             return
@@ -135,13 +135,13 @@
             log.info("entry: link ended: {}", error)
         except Exception:
             self._metrics.count("entry.link_error.internal")
-            log.exception("entry: link task failed")
+            log.exception("entry: task serving a link failed")
         finally:
             await sock.close()
             self._tasks.discard(await curio.current_task())
 
     async def _serve_link(self, link: Link) -> None:
-        # The handshake lets no other roles in than these two.
+        # The handshake accepts only these two roles.
         if link.peer.role == AGENT_ROLE:
             await self._serve_agent(link)
         else:
@@ -183,7 +183,7 @@
             await self._close(session, detail)
 
     async def _run_helper(self, helper: Callable[[], Awaitable[None]]) -> None:
-        """Run a helper task of a link; a failure of it closes nothing else."""
+        """Run a helper task of a link and restart it on errors; the link stays open."""
         while True:
             try:
                 await helper()
@@ -199,9 +199,11 @@
             same_process = earlier.incarnation == session.incarnation
             session.draining = earlier.draining and same_process
             self._batch.session_closed(earlier)
-            log.notice("entry: new link of {} replaces the older one", session.node)
+            log.notice(
+                "entry: new link of agent {} replaces the previous one", session.node
+            )
         else:
-            log.notice("entry: agent {} joined", session.node)
+            log.notice("entry: agent {} connected", session.node)
         self._batch.session_opened(session)
         return session
 
@@ -219,8 +221,8 @@
             if not await session.resolve(message.request_id, message):
                 self._metrics.count("entry.late_answers")
         elif session.retired:
-            # Its successor says the same; a report from an older link may be
-            # older than what the newer one brought.
+            # The newer link carries the same messages; a report on the older link
+            # may be outdated.
             return
         elif isinstance(message, Report):
             await self._handle_report(session, inbox, message)
--- a/pistachiodeal/entry/pending.py
+++ b/pistachiodeal/entry/pending.py
@@ -1,4 +1,4 @@
-"""A request that was handed to an agent and waits for its answer."""
+"""A request that was sent to an agent and has no answer yet."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkLost:
-    """The link broke while the answer was awaited: the fate is not known.
+    """The link broke while the answer was pending: the outcome is unknown.
 
-    :param peer: node at the other end.
+    :param peer: node at the other end of the link.
     """
 
     peer: str
@@ -24,7 +24,10 @@
 
 
 class PendingRequest:
-    """One open request on one link; one task waits, the link's task answers."""
+    """One open request on one link.
+
+    The dispatching task waits for it; the task that reads the link resolves it.
+    """
 
     __slots__ = ("_answered", "answer", "request_id")
 
@@ -34,12 +37,12 @@
         self._answered = curio.Event()
 
     async def wait(self) -> Answer:
-        """Return the answer once it is there."""
+        """Wait for the answer and return it."""
         await self._answered.wait()
         assert self.answer is not None
         return self.answer
 
     async def resolve(self, answer: Answer) -> None:
-        """Hand the answer to the waiting task."""
+        """Set the answer and wake the waiting task."""
         self.answer = answer
         await self._answered.set()
--- a/pistachiodeal/entry/protocols.py
+++ b/pistachiodeal/entry/protocols.py
@@ -1,4 +1,4 @@
-"""What the entry process needs of the service that holds the batch tasks."""
+"""Interface of the batch service that the entry process depends on."""
 
 from __future__ import annotations
 
@@ -11,33 +11,33 @@
 
 
 class TaskService(Protocol):
-    """Holds this entry's partitions of the task queue."""
+    """Owns this entry's partitions of the task queue."""
 
     async def run(self) -> None:
-        """Work until cancelled."""
+        """Run until cancelled."""
 
     async def drain(self) -> None:
-        """Hand the partitions over and take no new ones."""
+        """Hand over the partitions and acquire no new ones."""
 
     async def handle(self, request: WebRequest) -> WebResponse:
         """Answer a caller's request about tasks."""
 
     async def handle_forwarded(self, request: Request) -> Response | Refusal:
-        """Answer a request that another entry handed on."""
+        """Answer a request that another entry forwarded."""
 
     def session_opened(self, session: WorkerSession) -> None:
-        """Note a new link of an agent."""
+        """Handle a new link of an agent."""
 
     def session_closed(self, session: WorkerSession) -> None:
-        """Note the end of an agent's link, or that a newer one replaces it."""
+        """Handle the end of an agent's link, or its replacement by a newer one."""
 
     async def receive(
         self, session: WorkerSession, message: Report | StartRefused | TaskEnded
     ) -> None:
-        """Take an agent's message about tasks."""
+        """Handle an agent's message about tasks."""
 
     def directory(self) -> Directory:
-        """Return the entries and the partitions' owners as known now."""
+        """Return the known entries and owners of partitions."""
 
     def status(self) -> dict[str, Any]:
-        """Return figures for operators."""
+        """Return the batch part of the status document."""
--- a/pistachiodeal/entry/pushing.py
+++ b/pistachiodeal/entry/pushing.py
@@ -1,4 +1,4 @@
-"""Tells agents of entries, partition owners, policies and shared evidence."""
+"""Pushes the directory, policies and interference evidence to agents."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from pistachiodeal.wire.messages import Directory, Policies
 
 PUSH_INTERVAL_S = 0.1
-# A link loses nothing while it is up, so the repeat only guards against a fault of
-# our own. Each 3 s it was half a megabyte a second for an agent at 160 entries.
+# A link loses no messages while it is up, so resending only guards against bugs.
+# Sent every 3 s, directories of 160 entries cost an agent half a megabyte a second.
 DIRECTORY_S = 60.0
 EVIDENCE_S = 5.0
 
 
 class Pusher:
-    """Sends every agent what changed; a child of the entry's supervisor.
+    """Sends changes to every agent; runs as a child of the entry's supervisor.
 
-    :param read_directory: returns the entries and owners as known now.
+    :param read_directory: returns the known entries and owners of partitions.
     """
 
     def __init__(
@@ -45,30 +45,30 @@
         self._evidence_at = clock()
 
     def queue_policies(self, services: set[str]) -> None:
-        """Have the policies of these services sent to who hosts them."""
+        """Queue the policies of services for the agents that host these."""
         self._changed |= services
 
     async def on_open(self, session: Session) -> None:
-        """Send the directory, and all evidence, to an agent's new link."""
+        """Send the directory and all evidence on an agent's new link."""
         await session.post(self._read_directory())
         evidence = self._evidence.build_initial(session.node, session.incarnation)
         if evidence is not None:
             await session.post(evidence)
 
     async def push_services(self, session: Session, services: frozenset[str]) -> None:
-        """Send the policies in force of services that an agent hosts."""
+        """Send an agent the current policies of services that it hosts."""
         parts = self._profiles.parts(services)
         if parts:
             await session.post(Policies(parts))
 
     async def run(self) -> None:
-        """Look for changes until cancelled."""
+        """Push changes periodically until cancelled."""
         while True:
             await self.push_once()
             await curio.sleep(PUSH_INTERVAL_S)
 
     async def push_once(self) -> None:
-        """Send what changed since the last look."""
+        """Send all changes since the previous call."""
         now = self._clock()
         await self._push_policies()
         await self._push_directory(now)
--- a/pistachiodeal/entry/router.py
+++ b/pistachiodeal/entry/router.py
@@ -1,4 +1,4 @@
-"""Where each HTTP request goes: operators, batch tasks, or a service."""
+"""Routes HTTP requests to the operator API, the batch service or a service."""
 
 from __future__ import annotations
 
@@ -28,10 +28,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RouterComponents:
-    """What answers the requests.
+    """The handlers that requests are routed to.
 
     :param read_status: builds the status document.
-    :param is_draining: tells whether this process is leaving.
+    :param is_draining: returns whether this process is shutting down.
     """
 
     operator_token: str
@@ -44,7 +44,7 @@
 
 
 class HttpRouter:
-    """Routes by the first part of the path."""
+    """Routes requests by the first segment of the path."""
 
     def __init__(self, components: RouterComponents) -> None:
         self._token = components.operator_token.encode()
@@ -58,12 +58,15 @@
     async def handle(self, request: WebRequest) -> WebResponse:
         """Answer one request.
 
-        :raises RequestError: turned into a problem document by the web server.
+        :raises RequestError: the web server turns it into a problem document.
         """
         path = request.path
         if not path.startswith("/"):
             raise RequestError(
-                "the target is no path", code="bad_target", status=400, step=STEP
+                "the request target is not a path",
+                code="bad_target",
+                status=400,
+                step=STEP,
             )
         first = path[1:].partition("/")[0]
         if first == OPERATORS:
@@ -81,21 +84,21 @@
             return await self._profiles.handle(request)
         if path not in (STATUS, HISTOGRAMS):
             raise RequestError(
-                f"no operators' page {path[:80]!r}",
+                f"no operator page {path[:80]!r}",
                 code="not_found",
                 status=404,
                 step=STEP,
             )
         if request.method not in ("GET", "HEAD"):
             raise RequestError(
-                "only GET", code="method_not_allowed", status=405, step=STEP
+                "only GET is allowed", code="method_not_allowed", status=405, step=STEP
             )
         if path == STATUS:
             return build_json(OK, self._read_status())
         return build_json(OK, await self._histograms.collect_document())
 
     def _answer_health(self) -> WebResponse:
-        """Answer the balancer, which has no token."""
+        """Answer the load balancer's health check, which needs no token."""
         if self._is_draining():
             return build_json(UNAVAILABLE, {"health": "draining"})
         return build_json(OK, {"health": "ok"})
@@ -103,12 +106,12 @@
     def _check_token(self, request: WebRequest) -> None:
         given = request.header("authorization")
         scheme, token = given[: len(BEARER)], given[len(BEARER) :]
-        # compare_digest takes the same time wherever the first difference is;
-        # with == a token could be guessed byte by byte from the answer times.
+        # compare_digest runs in constant time; with == a token could be guessed
+        # byte by byte from the response times.
         matches = hmac.compare_digest(token.encode(), self._token)
         if scheme.lower() != BEARER or not matches:
             raise RequestError(
-                "a bearer token of an operator is needed",
+                "an operator's bearer token is required",
                 code="unauthenticated",
                 status=401,
                 step=STEP,
--- a/pistachiodeal/entry/services.py
+++ b/pistachiodeal/entry/services.py
@@ -1,4 +1,4 @@
-"""What an entry keeps for each service: its profile in force and retry budget."""
+"""The profile and the retry budget of each service."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ServiceTable:
-    """Looks up services; one is known when assigned a profile, or announced."""
+    """Looks up services that have a profile or an announced runner."""
 
     def __init__(
         self, profiles: ProfileKeeper, targets: TargetTable, clock: Callable[[], float]
@@ -28,9 +28,9 @@
         self._budgets: dict[str, RetryBudget] = {}
 
     def find_profile(self, service: str) -> Profile:
-        """Return the profile in force for a service.
+        """Return the current profile of a service.
 
-        :raises RequestError: 404, or 503 while this entry can't know yet.
+        :raises RequestError: 404, or 503 while no profiles are loaded.
         """
         policy = self._profiles.policy(service)
         if policy is not None and policy.profile is not None:
@@ -38,8 +38,8 @@
         if self._targets.find(service):
             return UNASSIGNED
         if self._profiles.version == 0 and self._profiles.failing:
-            # Started in a store outage and not yet told by an agent: a 404 would
-            # make callers drop work for a service that exists.
+            # The entry started during a store outage, and no agent has reported
+            # yet: a 404 would make callers drop work for an existing service.
             raise self.build_no_runner(service)
         raise RequestError(
             f"no service {service[:80]!r}",
@@ -49,7 +49,7 @@
         )
 
     def find_budget(self, service: str, profile: Profile) -> RetryBudget:
-        """Return a known service's retry budget, at its profile's share."""
+        """Return a service's retry budget with the share of its profile."""
         budget = self._budgets.get(service)
         if budget is None:
             if len(self._budgets) >= BUDGET_LIMIT:
--- a/pistachiodeal/entry/sessions.py
+++ b/pistachiodeal/entry/sessions.py
@@ -1,4 +1,4 @@
-"""Sessions: the links of agents and entries that are open at this entry."""
+"""Sessions: the open links of agents and entries at this entry."""
 
 from __future__ import annotations
 
@@ -19,11 +19,12 @@
 
 
 class Session:
-    """One link of one peer, from its handshake to its end.
+    """One link of one peer, from the handshake until it closes.
 
     :ivar report: the agent's latest report, None before the first.
-    :ivar draining: the peer is leaving: nothing new goes there.
-    :ivar services: services that the agent's last report named.
+    :ivar draining: the peer is shutting down: it gets no new requests.
+    :ivar retired: a newer link of the same node has replaced this one.
+    :ivar services: services listed in the agent's latest report.
     """
 
     def __init__(self, link: Link, reader: curio.Task, joined_at: float) -> None:
@@ -48,29 +49,29 @@
 
     @property
     def outstanding(self) -> int:
-        """Return how many requests wait for an answer on this link."""
+        """Return how many requests on this link have no answer yet."""
         return len(self._pending)
 
     @property
     def closed(self) -> bool:
-        """Tell whether the link is of no more use."""
+        """Return whether the link is closed."""
         return self._link.closed
 
     async def send(self, message: Message) -> None:
         """Send a message; waits while the link's outbox is full.
 
-        :raises LinkClosedError: it was not, and will not be, sent.
+        :raises LinkClosedError: the message was not and will not be sent.
         """
         await self._link.send(message)
 
     async def post(self, message: Message) -> None:
-        """Leave a message for :meth:`run_outbox`; never waits for the peer.
+        """Queue a message for :meth:`run_outbox`; never waits for the peer.
 
-        A peer that takes nothing would else hold up the task that serves all
-        others. Its link is closed when too much piles up: it dials again and is
-        told everything afresh.
+        Otherwise a peer that stops reading would block the task that serves all
+        peers. When the outbox is full the link is closed: the peer reconnects and
+        gets the full state again.
 
-        :raises LinkClosedError: too much piled up, and the caller is the task
+        :raises LinkClosedError: the outbox is full, and the caller is the task
             that reads this link.
         """
         if len(self._outbox) >= OUTBOX_LIMIT:
@@ -80,7 +81,7 @@
         await self._posted.set()
 
     async def run_outbox(self) -> None:
-        """Send what was posted; ends with the link."""
+        """Send queued messages until the link closes."""
         while True:
             await self._posted.wait()
             self._posted.clear()
@@ -88,17 +89,17 @@
                 await self._link.send(self._outbox.popleft())
 
     def open_request(self) -> PendingRequest:
-        """Register a request under an id that this link never uses again."""
+        """Register a request under an id that is never reused on this link."""
         pending = PendingRequest(next(self._ids))
         self._pending[pending.request_id] = pending
         return pending
 
     def close_request(self, pending: PendingRequest) -> None:
-        """Stop waiting; an answer that still comes is late and gets dropped."""
+        """Stop waiting for an answer; a late one is dropped."""
         self._pending.pop(pending.request_id, None)
 
     async def resolve(self, request_id: int, answer: Answer) -> bool:
-        """Hand an answer to who waits for it; False when nobody does."""
+        """Resolve a pending request; return False when there is none."""
         pending = self._pending.pop(request_id, None)
         if pending is None:
             return False
@@ -106,7 +107,7 @@
         return True
 
     async def fail_requests(self, detail: str) -> None:
-        """Tell all who wait that the link is lost."""
+        """Resolve all pending requests with :class:`LinkLost`."""
         lost = LinkLost(self.node, detail)
         while self._pending:
             _, pending = self._pending.popitem()
@@ -115,9 +116,9 @@
     async def close(self) -> None:
         """End the session.
 
-        The task that reads the link is cancelled, and closes the link on its way
-        out. Closing it here would wait until a peer that takes nothing has been
-        given the time to, and hold up the task that serves all others.
+        Cancels the task that reads the link, which closes the link as it ends.
+        Closing it here would wait for a peer that has stopped reading, and block
+        the task that serves all peers.
 
         :raises LinkClosedError: when called by that task itself.
         """
@@ -127,10 +128,10 @@
 
 
 class SessionTable:
-    """All sessions; for each node the newest one is current.
+    """All sessions; the newest session of each node is the current one.
 
-    An agent whose link fell silent dials a new one. The older link is retired:
-    it gets nothing new, while its open requests may still be answered on it.
+    An agent whose link timed out dials a new one. The older link is retired: it
+    gets no new requests, but its open requests may still be answered on it.
     """
 
     def __init__(self, clock: Callable[[], float]) -> None:
@@ -155,7 +156,7 @@
     async def open(self, link: Link) -> tuple[Session, Session | None]:
         """Make a new link current; return its session and the one it replaces.
 
-        To be called by the task that reads the link.
+        Must be called by the task that reads the link.
         """
         session = Session(link, await curio.current_task(), self._clock())
         earlier = self._current.get(session.node)
@@ -167,7 +168,7 @@
         return session, earlier
 
     def close(self, session: Session) -> bool:
-        """Forget a session; tell whether it was its node's current one."""
+        """Remove a session; return whether it was its node's current one."""
         if session.retired:
             self._retired.remove(session)
             return False
@@ -175,7 +176,7 @@
         return True
 
     async def close_idle_retired(self) -> None:
-        """Close retired links on which nothing is awaited any more."""
+        """Close retired links without open requests."""
         for session in tuple(self._retired):
             if session.outstanding == 0:
                 await session.close()
--- a/pistachiodeal/entry/status.py
+++ b/pistachiodeal/entry/status.py
@@ -19,9 +19,9 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusSources:
-    """Where the figures come from.
+    """The objects that the status document is read from.
 
-    :param started_at: monotonic time at which the process was put together.
+    :param started_at: monotonic time at which the entry was created.
     """
 
     identity: Identity
@@ -36,7 +36,7 @@
 
 
 def build_status(sources: StatusSources, draining: bool) -> dict[str, Any]:
-    """Return what operators see of this process."""
+    """Return the status document of this process."""
     counters = sources.web.counters
     return {
         "node": sources.identity.node,
--- a/pistachiodeal/entry/targets.py
+++ b/pistachiodeal/entry/targets.py
@@ -1,4 +1,4 @@
-"""The targets of each service, kept current by the agents' reports."""
+"""The targets of each service, updated by the agents' reports."""
 
 from __future__ import annotations
 
@@ -27,15 +27,15 @@
         return tuple(self._services)
 
     def find(self, service: str) -> Sequence[Candidate]:
-        """Return a service's candidates, none when no agent announces it."""
+        """Return a service's candidates; empty when no agent announces it."""
         return self._lists.get(service, ())
 
     def update(
         self, node: str, data_centre: str, report: Report, earlier: frozenset[str]
     ) -> frozenset[str]:
-        """Take over an agent's report; return the services that it names.
+        """Apply an agent's report; return the services that it lists.
 
-        :param earlier: services that its report before this one named.
+        :param earlier: services that the agent's previous report listed.
         """
         now = self._clock()
         named: set[str] = set()
@@ -50,7 +50,7 @@
         return frozenset(named)
 
     def remove(self, node: str, services: frozenset[str]) -> None:
-        """Offer a node's runners of these services no more."""
+        """Remove a node's targets of these services."""
         for service in services:
             nodes = self._services.get(service, {})
             if nodes.pop(node, None) is None:
@@ -62,7 +62,7 @@
                 del self._lists[service]
 
     def build_status(self) -> dict[str, list[dict[str, Any]]]:
-        """Return the figures for operators."""
+        """Return the targets of each service for the status document."""
         now = self._clock()
         return {
             service: [_describe(candidate, now) for candidate in nodes.values()]
