--- a/pistachiodeal/commands/__init__.py
+++ b/pistachiodeal/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' command line, one module a command."""
+"""The operators' command line, one module per command."""
--- a/pistachiodeal/commands/cli.py
+++ b/pistachiodeal/commands/cli.py
@@ -1,4 +1,4 @@
-"""``pistachiodeal``: parses the arguments and hands over to a command."""
+"""``pistachiodeal``: parses the arguments and runs a command."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
     codes = "\n".join(f"  {code}  {text}" for code, text in exit_codes.MEANINGS.items())
     parser = argparse.ArgumentParser(
         prog="pistachiodeal",
-        description="Drives pistachiodeal: profiles, services, batch tasks.",
+        description="Manages profiles, services, batch tasks and jobs.",
         epilog=f"exit status:\n{codes}",
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
@@ -79,7 +79,7 @@
 
 
 def _discard_output() -> int:
-    """Keep the interpreter from failing once more when it flushes at its end."""
+    """Redirect stdout, so that the interpreter's final flush doesn't fail again."""
     os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
     return exit_codes.OK
 
--- a/pistachiodeal/commands/documents.py
+++ b/pistachiodeal/commands/documents.py
@@ -1,4 +1,4 @@
-"""JSON documents that an operator names on the command line."""
+"""Reads JSON files that are named on the command line."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 def read_document(path: str, kind: str) -> dict[str, Any]:
     """Return the JSON object in a file.
 
-    :param kind: what it should be, for the operator's eyes.
-    :raises UsageError: it can't be read, or is something else.
+    :param kind: what the file should contain, for the error message.
+    :raises UsageError: the file can't be read or doesn't contain a JSON object.
     """
     try:
         document = orjson.loads(Path(path).read_bytes())
@@ -23,5 +23,5 @@
     except orjson.JSONDecodeError as error:
         raise UsageError(f"{path}: {error}") from error
     if not isinstance(document, dict):
-        raise UsageError(f"{path}: is not {kind}")
+        raise UsageError(f"{path}: not {kind}")
     return document
--- a/pistachiodeal/commands/entries.py
+++ b/pistachiodeal/commands/entries.py
@@ -1,4 +1,4 @@
-"""Calls to the first entry that can be reached."""
+"""Calls entries in turn until one can be reached."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 class Answer:
     """A successful answer.
 
-    :param document: the JSON body, None when empty.
-    :param etag: entity tag of what was read or written, as it came.
+    :param document: the parsed JSON body, None when empty.
+    :param etag: entity tag of the resource, as received.
     """
 
     status: int
@@ -44,8 +44,8 @@
 ) -> Answer:
     """Call one entry after the other until one answers.
 
-    :param repeatable: the call may be made again although an entry may have
-        carried it out already.
+    :param repeatable: the call may be repeated although an entry may already
+        have executed it.
     :raises CommandError: no entry answered, or the answer is not a success.
     """
     if not context.entries:
@@ -75,7 +75,7 @@
 ) -> Answer:
     """Call one entry.
 
-    :raises CommandError: no whole answer in time, or no success.
+    :raises CommandError: no complete answer in time, or not a success.
     """
     body = b"" if document is None else orjson.dumps(document)
     own_headers = (*_create_headers(context, body), *headers)
@@ -95,8 +95,8 @@
 def _should_try_next(error: CommandError, repeatable: bool) -> bool:
     if error.exit_status != exit_codes.UNREACHABLE:
         return False
-    # A change whose answer was lost may have taken effect. Sent again with its
-    # If-Match it would lose against itself and be told as a conflict.
+    # A change whose answer was lost may have taken effect. Repeated with the same
+    # If-Match, it would conflict with itself.
     return repeatable or error.outcome is Outcome.NOT_RUN
 
 
--- a/pistachiodeal/commands/errors.py
+++ b/pistachiodeal/commands/errors.py
@@ -1,4 +1,4 @@
-"""Errors that end a command, each with the exit status that it leads to."""
+"""Errors that end a command, with their exit statuses."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     """A command that did not succeed.
 
     :ivar exit_status: one of :mod:`pistachiodeal.exit_codes`.
-    :ivar outcome: what is known of the change that was asked for.
+    :ivar outcome: what is known of the effect of the requested change.
     """
 
     code = "command"
@@ -48,7 +48,7 @@
         self.outcome = outcome
 
     def build_document(self) -> dict[str, Any]:
-        """Return the error for ``--json``."""
+        """Return the error as printed with ``--json``."""
         return {
             "code": self.code,
             "detail": self.detail,
@@ -60,7 +60,7 @@
 
 
 class UsageError(CommandError):
-    """Wrong arguments; nothing was sent."""
+    """Invalid arguments; nothing was sent."""
 
     code = "bad_usage"
 
@@ -69,7 +69,7 @@
 
 
 def create_answer_error(response: WebResponse, entry: str) -> CommandError:
-    """Return the error that an answer without success stands for."""
+    """Return the error for an unsuccessful answer."""
     problem = _read_problem(response)
     try:
         outcome = Outcome(str(problem.get("outcome")))
@@ -78,7 +78,7 @@
     detail = str(problem.get("detail") or f"HTTP status {response.status}")
     retry_after = response.header("retry-after")
     if retry_after:
-        detail = f"{detail} (ask again in {retry_after} s)"
+        detail = f"{detail} (retry in {retry_after} s)"
     return CommandError(
         detail,
         STATUS_EXITS.get(response.status, exit_codes.FAILURE),
--- a/pistachiodeal/commands/histograms.py
+++ b/pistachiodeal/commands/histograms.py
@@ -1,4 +1,4 @@
-"""``pistachiodeal histograms``: latencies of each caller and service."""
+"""``pistachiodeal histograms``: latencies by caller and service."""
 
 from __future__ import annotations
 
@@ -31,25 +31,25 @@
 
 def add_commands(parsers: Subparsers, common: argparse.ArgumentParser) -> None:
     """Add the command to the parser."""
-    text = "show the latencies of all entries named, merged"
+    text = "show the merged latencies of the given entries"
     parser = add_command(parsers, common, "histograms", text, run_histograms)
     parser.add_argument(
         "--by",
         choices=("both", "service", "caller"),
         default="both",
-        help="what to keep apart (default: caller and service)",
+        help="what to group by (default: caller and service)",
     )
     parser.add_argument(
         "--file",
         action="append",
         default=[],
         metavar="FILE",
-        help="read what a process wrote at shut-down; may be given again",
+        help="file written by a process at shutdown; can be repeated",
     )
 
 
 async def run_histograms(context: Context, args: argparse.Namespace) -> None:
-    """Print the merged histograms of all entries and files named."""
+    """Print the merged histograms of the given entries and files."""
     documents = [read_document(path, "a document of histograms") for path in args.file]
     documents += await _fetch_documents(context, needed=not documents)
     merged = create_histograms(MERGED_LIMIT)
@@ -59,7 +59,7 @@
 
 
 async def _fetch_documents(context: Context, *, needed: bool) -> list[dict[str, Any]]:
-    """Return what each entry has; one that is out of reach is named on stderr."""
+    """Return the document of each entry; prints the failed calls on stderr."""
     if needed and not context.entries:
         raise UsageError("no entry and no file: give --entry ip:port or --file FILE")
     documents = []
--- a/pistachiodeal/commands/job.py
+++ b/pistachiodeal/commands/job.py
@@ -1,6 +1,7 @@
-"""``pistachiodeal job``: what the rows say of jobs on the users' platform.
+"""``pistachiodeal job``: shows jobs on the users' platform.
 
-The rows are read from the store itself, so a command also answers while no entry does.
+The rows are read directly from the store, so the commands also work while no entry is
+reachable.
 """
 
 from __future__ import annotations
@@ -42,14 +43,14 @@
 
 @dataclass(frozen=True, slots=True)
 class FoundJob:
-    """A job as its rows have it."""
+    """A job as read from its rows."""
 
     record: JobRecord
     cancelled: bool
 
     @property
     def state(self) -> JobState:
-        """Return the state that callers are told."""
+        """Return the state that callers see."""
         if self.cancelled and not self.record.state.final:
             return JobState.CANCELLED
         return self.record.state
@@ -57,13 +58,13 @@
 
 def add_commands(parsers: Subparsers, common: argparse.ArgumentParser) -> None:
     """Add the commands to the parser."""
-    group = add_group(parsers, "job", "look at jobs on the users' platform")
+    group = add_group(parsers, "job", "inspect jobs on the users' platform")
     show = add_command(group, common, "show", "show a job and its steps", run_show)
-    why = add_command(group, common, "why", "tell what a job waits for", run_why)
+    why = add_command(group, common, "why", "explain what a job waits for", run_why)
     listing = add_command(group, common, "list", "list jobs", run_list)
-    listing.add_argument("--queue", default="", help="of this queue only")
+    listing.add_argument("--queue", default="", help="only jobs of this queue")
     listing.add_argument(
-        "--open", action="store_true", help="only those that are not final"
+        "--open", action="store_true", help="only jobs that are not final"
     )
     queues = add_command(group, common, "queues", "count jobs by queue", run_queues)
     for command in (show, why):
@@ -121,7 +122,7 @@
 
 
 async def run_queues(context: Context, args: argparse.Namespace) -> None:
-    """Print how many jobs of each queue are in which state."""
+    """Print the number of jobs by queue and state."""
     counts: dict[str, dict[str, int]] = {}
     for found in await _read(_read_jobs, args):
         states = counts.setdefault(found.record.job.queue.name, {})
@@ -138,7 +139,7 @@
 
 
 async def run_closed(context: Context, args: argparse.Namespace) -> None:
-    """Print the data centres in which nothing is started."""
+    """Print the closed data centres, in which no runs are started."""
     names = sorted((await _read(_read_closed, args)).names)
     if context.as_json:
         print_json(names)
@@ -147,7 +148,7 @@
 
 
 async def _read(read: Any, args: argparse.Namespace) -> Any:
-    """Read from the store; its errors end the command."""
+    """Read from the store; turns its errors into command errors."""
     if not is_address(args.store):
         raise UsageError("no store: give --store ip:port")
     try:
--- a/pistachiodeal/commands/job_path.py
+++ b/pistachiodeal/commands/job_path.py
@@ -1,4 +1,4 @@
-"""``pistachiodeal job path``: where jobs spent their time, from structured logs."""
+"""``pistachiodeal job path``: breaks down job latency from structured logs."""
 
 from __future__ import annotations
 
@@ -22,25 +22,27 @@
 def add_path(group: Subparsers, common: argparse.ArgumentParser) -> None:
     """Add the command to the parser."""
     command = add_command(
-        group, common, "path", "tell where jobs spent their time, from logs", run_path
+        group, common, "path", "break down job latency from logs", run_path
     )
     command.add_argument(
-        "logs", nargs="+", metavar="LOG", help="a file; - for the input"
+        "logs", nargs="+", metavar="LOG", help="log file; - for standard input"
     )
-    command.add_argument("--queue", default="", help="of this queue only")
+    command.add_argument("--queue", default="", help="only jobs of this queue")
 
 
 async def run_path(context: Context, args: argparse.Namespace) -> None:
-    """Print how long each part of the way took, by queue."""
+    """Print how long each phase of a job took, by queue."""
     reader, tracer = LineReader(), Tracer()
     for name in args.logs:
         tracer.take(reader.read(_open(name)))
     summaries = [
-        one for one in summarise(tracer) if not args.queue or one.queue == args.queue
+        summary
+        for summary in summarise(tracer)
+        if not args.queue or summary.queue == args.queue
     ]
     if tracer.unreadable:
         print(
-            f"pistachiodeal: {tracer.unreadable} lines of known events lack fields",
+            f"pistachiodeal: {tracer.unreadable} lines of known events are incomplete",
             file=sys.stderr,
         )
     if not summaries:
@@ -50,10 +52,10 @@
             code="no_ended_job",
         )
     if context.as_json:
-        print_json([asdict(one) for one in summaries])
+        print_json([asdict(summary) for summary in summaries])
         return
-    for one in summaries:
-        _print_queue(one)
+    for summary in summaries:
+        _print_queue(summary)
 
 
 def _open(name: str) -> Iterator[str]:
@@ -71,8 +73,10 @@
         ) from None
 
 
-def _print_queue(one: QueueSummary) -> None:
-    print(f"{one.queue}: {one.ended} ended, {one.late} of them late or failed")
+def _print_queue(summary: QueueSummary) -> None:
+    print(
+        f"{summary.queue}: {summary.ended} ended, {summary.late} of them late or failed"
+    )
     print_table(
         ("part", "median_ms", "p95_ms", "p99_ms", "of late jobs' time"),
         [
@@ -83,6 +87,6 @@
                 part.p99_ms,
                 f"{part.late_share:.2f}",
             ]
-            for part in one.parts
+            for part in summary.parts
         ],
     )
--- a/pistachiodeal/commands/options.py
+++ b/pistachiodeal/commands/options.py
@@ -1,4 +1,4 @@
-"""Options that all commands share, and where their values come from."""
+"""Options common to all commands, read from arguments and the environment."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Context:
-    """How to reach the entries and how to print.
+    """Settings shared by all commands.
 
     :param timeout: seconds for one call to one entry.
     """
@@ -37,16 +37,16 @@
         "--entry",
         action="append",
         metavar="IP:PORT",
-        help="an entry's HTTP address; give it again for the next one to try "
+        help="HTTP address of an entry; repeat to add entries to try in turn "
         f"(default: {ENTRY_VARIABLE}, comma-separated)",
     )
     group.add_argument("--token", help=f"operators' token (default: {TOKEN_VARIABLE})")
-    group.add_argument("--token-file", metavar="FILE", help="file with the token")
+    group.add_argument("--token-file", metavar="FILE", help="file that holds the token")
     group.add_argument(
         "--timeout",
         type=float,
         metavar="SECONDS",
-        help=f"for one call to one entry (default: {DEFAULT_TIMEOUT_S:g})",
+        help=f"timeout of one call to one entry (default: {DEFAULT_TIMEOUT_S:g})",
     )
     group.add_argument("--json", action="store_true", help="print JSON")
     return parser
@@ -55,11 +55,11 @@
 def create_context(args: argparse.Namespace) -> Context:
     """Return the context from arguments and environment.
 
-    :raises UsageError: an address, the time-out or the token file is wrong.
+    :raises UsageError: an address, the timeout or the token is invalid.
     """
     timeout = getattr(args, "timeout", DEFAULT_TIMEOUT_S)
     if not 0 < timeout < float("inf"):
-        raise UsageError("--timeout must be over 0")
+        raise UsageError("--timeout must be greater than 0")
     return Context(
         entries=_read_entries(args),
         token=_read_token(args),
@@ -93,5 +93,7 @@
     if token is None:
         token = os.environ.get(TOKEN_VARIABLE, "")
     if not token.isascii() or not token.isprintable():
-        raise UsageError("the token holds characters that no header may hold")
+        raise UsageError(
+            "the token contains characters that are not allowed in a header"
+        )
     return str(token)
--- a/pistachiodeal/commands/output.py
+++ b/pistachiodeal/commands/output.py
@@ -1,4 +1,4 @@
-"""Printing, as JSON or as plain columns."""
+"""Prints output as JSON or as plain text."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 def print_json(document: Any) -> None:
-    """Print a document with sorted keys."""
+    """Print a JSON document with sorted keys."""
     print(json.dumps(document, indent=2, sort_keys=True))
 
 
 def print_table(columns: Sequence[str], rows: Iterable[Sequence[Any]]) -> None:
-    """Print rows under a heading, each column as wide as its widest cell."""
+    """Print rows under a header, each column as wide as its widest cell."""
     cells = [list(columns), *([format_cell(cell) for cell in row] for row in rows)]
     widths = [max(len(row[index]) for row in cells) for index in range(len(columns))]
     for row in cells:
@@ -24,13 +24,13 @@
 
 
 def print_fields(document: Any) -> None:
-    """Print a document as one line for each of its values."""
+    """Print a document, one line per value."""
     for path, value in _flatten(document, ""):
         print(f"{path}: {format_cell(value)}")
 
 
 def format_cell(value: Any) -> str:
-    """Return a value as one short text."""
+    """Format a value for a table cell or a line."""
     if value is None or value == "":
         return "-"
     if isinstance(value, bool):
@@ -43,7 +43,7 @@
 
 
 def format_error(error: CommandError) -> str:
-    """Return the lines for a person."""
+    """Format an error as text lines."""
     lines = [f"pistachiodeal: {error}"]
     if "\n" in error.detail:
         where = f" {error.peer}" if error.peer else ""
@@ -51,7 +51,7 @@
         lines += [f"  {line}" for line in error.detail.splitlines()]
     if error.outcome != "not_run":
         lines.append(
-            f"pistachiodeal: outcome {error.outcome}: look before asking again"
+            f"pistachiodeal: outcome {error.outcome}: check the state before retrying"
         )
     return "\n".join(lines)
 
--- a/pistachiodeal/commands/parsers.py
+++ b/pistachiodeal/commands/parsers.py
@@ -1,4 +1,4 @@
-"""Building blocks of the argument parser."""
+"""Helpers that build the argument parser."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def add_group(parsers: Subparsers, name: str, text: str) -> Subparsers:
-    """Add a command that only holds others."""
+    """Add a command that only groups subcommands."""
     parser = parsers.add_parser(name, help=text, description=_sentence(text))
     return parser.add_subparsers(dest=f"{name}_command", required=True, metavar="WHAT")
 
@@ -25,7 +25,7 @@
     text: str,
     run: CommandHandler,
 ) -> argparse.ArgumentParser:
-    """Add a command that does something.
+    """Add an executable command.
 
     :param run: called with the context and the arguments.
     """
--- a/pistachiodeal/commands/profile.py
+++ b/pistachiodeal/commands/profile.py
@@ -52,7 +52,7 @@
 
 
 async def run_define(context: Context, args: argparse.Namespace) -> None:
-    """Define a profile; loses against one of that name that is there already."""
+    """Define a profile; fails if one of that name already exists."""
     profile = build_profile(args.name, read_fields(args))
     answer = await call_entries(
         context,
@@ -65,14 +65,15 @@
 
 
 async def run_revise(context: Context, args: argparse.Namespace) -> None:
-    """Change the named fields of the profile as it was read a moment ago.
+    """Change the given fields of a profile.
 
-    Somebody else's change in between makes the entry refuse this one, so an
-    operator never overwrites what they have not seen.
+    The profile is read first and written with a condition on its version. If
+    it changes in between, the entry refuses the write, so an operator never
+    overwrites a change that they have not seen.
     """
     changes = read_fields(args)
     if not changes:
-        raise UsageError("no field to change was named")
+        raise UsageError("no field to change was given")
     target = _target(args.name)
     current = await call_entries(context, "GET", target, repeatable=True)
     fields = {**current.document["profile"], **changes}
@@ -88,7 +89,7 @@
 
 
 async def run_retire(context: Context, args: argparse.Namespace) -> None:
-    """Remove a profile that no service holds."""
+    """Remove a profile that no service uses."""
     target = _target(args.name)
     current = await call_entries(context, "GET", target, repeatable=True)
     answer = await call_entries(
@@ -118,7 +119,7 @@
 
 
 def _flatten_item(item: dict[str, Any]) -> dict[str, Any]:
-    """Return a profile's fields with its version and the services that hold it."""
+    """Return a profile's fields with its version and the services that use it."""
     return {
         **item["profile"],
         "version": item["version"],
@@ -135,7 +136,7 @@
         "--if-version",
         type=int,
         metavar="N",
-        help="change it only if this is still its version",
+        help="only if this is still the current version",
     )
 
 
--- a/pistachiodeal/commands/profile_fields.py
+++ b/pistachiodeal/commands/profile_fields.py
@@ -1,4 +1,4 @@
-"""Options made from the declaration of a profile, one a field."""
+"""Generates one option per field of the profile model."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def add_field_options(parser: argparse.ArgumentParser) -> None:
-    """Add an option for each field but the name."""
+    """Add an option for each field except the name."""
     group = parser.add_argument_group("fields of the profile")
     for name, field in Profile.model_fields.items():
         if name == "name":
@@ -38,9 +38,9 @@
 
 
 def read_fields(args: argparse.Namespace) -> dict[str, Any]:
-    """Return the fields that were named, those of ``--file`` included.
+    """Return the given fields, including those of ``--file``.
 
-    An option goes before the same field of the file.
+    An option overrides the same field of the file.
 
     :raises UsageError: the file is not a JSON object.
     """
@@ -54,9 +54,9 @@
 
 
 def build_profile(name: str, fields: Mapping[str, Any]) -> Profile:
-    """Return the profile of these fields.
+    """Return the profile with these fields.
 
-    :raises UsageError: listing all fields that are wrong.
+    :raises UsageError: lists all invalid fields.
     """
     if fields.get("name", name) != name:
         raise UsageError(f"the file is for profile {fields['name']!r}, not {name!r}")
--- a/pistachiodeal/commands/service.py
+++ b/pistachiodeal/commands/service.py
@@ -21,7 +21,7 @@
     """Add the commands to the parser."""
     group = add_group(parsers, "service", "assign services to profiles")
     assign = add_command(
-        group, common, "assign", "give a service a profile", run_assign
+        group, common, "assign", "assign a profile to a service", run_assign
     )
     assign.add_argument("service")
     assign.add_argument("profile")
@@ -29,7 +29,7 @@
     show = add_command(group, common, "show", "show one service", run_show)
     show.add_argument("service")
     remove = add_command(
-        group, common, "remove", "take a service off its profile", run_remove
+        group, common, "remove", "remove a service from its profile", run_remove
     )
     remove.add_argument("service")
     for parser in (assign, remove):
@@ -37,12 +37,12 @@
             "--if-version",
             type=int,
             metavar="N",
-            help="change it only if this is still its version",
+            help="only if this is still the current version",
         )
 
 
 async def run_assign(context: Context, args: argparse.Namespace) -> None:
-    """Give a service a profile."""
+    """Assign a profile to a service."""
     answer = await call_entries(
         context,
         "PUT",
@@ -77,7 +77,10 @@
 
 
 async def run_remove(context: Context, args: argparse.Namespace) -> None:
-    """Take a service off its profile; the default one holds while it has runners."""
+    """Remove a service from its profile.
+
+    The default profile applies to it as long as it has runners.
+    """
     await call_entries(
         context, "DELETE", _target(args.service), headers=_condition(args)
     )
--- a/pistachiodeal/commands/settings.py
+++ b/pistachiodeal/commands/settings.py
@@ -1,4 +1,4 @@
-"""``pistachiodeal settings``: check a settings file, print the reference."""
+"""``pistachiodeal settings``: checks a settings file, prints the reference."""
 
 from __future__ import annotations
 
@@ -28,23 +28,23 @@
     check.add_argument(
         "--program",
         choices=sorted(MODELS),
-        help="whose settings they are (default: whose fields they have most of)",
+        help="program of the settings (default: the one with most matching fields)",
     )
     text = "print every setting with its default"
     add_command(group, common, "reference", text, run_reference)
 
 
 async def run_check(context: Context, args: argparse.Namespace) -> None:
-    """Check a file.
+    """Check a settings file.
 
-    :raises SettingsError: listing all faults.
+    :raises SettingsError: lists all errors.
     """
     program = args.program or guess_program(args.file)
     settings = load_settings(args.file, MODELS[program])
     if context.as_json:
         print_json({"program": program, "settings": _hide_secrets(settings)})
     else:
-        print(f"{args.file}: good settings of an {program}")
+        print(f"{args.file}: valid settings of an {program}")
 
 
 async def run_reference(context: Context, args: argparse.Namespace) -> None:
@@ -57,7 +57,7 @@
 
 
 def guess_program(path: str) -> str:
-    """Return whose fields a file has most of; an entry's when it can't be read."""
+    """Return the program with most fields in a file; entry if it is unreadable."""
     try:
         document = json.loads(Path(path).read_bytes())
     except (OSError, ValueError):
--- a/pistachiodeal/commands/status.py
+++ b/pistachiodeal/commands/status.py
@@ -1,4 +1,4 @@
-"""``pistachiodeal status``: what each entry sees."""
+"""``pistachiodeal status``: shows the status of an entry."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 def add_commands(parsers: Subparsers, common: argparse.ArgumentParser) -> None:
     """Add the command to the parser."""
-    text = "show what the first entry that answers sees"
+    text = "show the status of the first entry that answers"
     add_command(parsers, common, "status", text, run_status)
 
 
 async def run_status(context: Context, args: argparse.Namespace) -> None:
-    """Print one entry's status."""
+    """Print the status of one entry."""
     answer = await call_entries(context, "GET", "/-/status", repeatable=True)
     if context.as_json:
         print_json(answer.document)
--- a/pistachiodeal/commands/task.py
+++ b/pistachiodeal/commands/task.py
@@ -23,27 +23,31 @@
     group = add_group(parsers, "task", "submit, cancel and show batch tasks")
     submit = add_command(group, common, "submit", "submit a task", run_submit)
     submit.add_argument("--kind", required=True, help="kind of work")
-    submit.add_argument("--team", required=True, help="whose quota it counts against")
-    submit.add_argument("--profile", required=True, help="how it is treated")
+    submit.add_argument("--team", required=True, help="team whose quota is charged")
+    submit.add_argument("--profile", required=True, help="profile of the task")
     submit.add_argument("--cpu-milli", type=int, default=1000, metavar="N")
     submit.add_argument("--memory-mib", type=int, default=256, metavar="N")
     submit.add_argument("--accelerators", type=int, default=0, metavar="N")
-    submit.add_argument("--payload", default="", help="text for the worker")
-    submit.add_argument("--payload-file", metavar="FILE", help="the same from a file")
-    submit.add_argument("--urgent", action="store_true", help="goes before others")
     submit.add_argument(
-        "--key", help="idempotency key: the same key never makes a second task"
+        "--payload", default="", help="text that is passed to the worker"
+    )
+    submit.add_argument("--payload-file", metavar="FILE", help="file with the payload")
+    submit.add_argument(
+        "--urgent", action="store_true", help="run before non-urgent tasks"
+    )
+    submit.add_argument(
+        "--key", help="idempotency key: a repeated key never creates a second task"
     )
     cancel = add_command(group, common, "cancel", "cancel a task", run_cancel)
     cancel.add_argument("task_id")
-    show = add_command(group, common, "show", "show what became of a task", run_show)
+    show = add_command(group, common, "show", "show the state of a task", run_show)
     show.add_argument("task_id")
 
 
 async def run_submit(context: Context, args: argparse.Namespace) -> None:
-    """Submit a task; its id is printed once it is durable."""
-    # With a key of its own the call may be made again on the next entry: an
-    # entry that took it in before its answer was lost gives the same task.
+    """Submit a task; prints its id once it is durable."""
+    # The idempotency key allows a retry on the next entry: if the first entry
+    # accepted the task and its answer was lost, the retry returns the same task.
     key = args.key or secrets.token_hex(16)
     answer = await call_entries(
         context,
@@ -57,7 +61,7 @@
 
 
 async def run_cancel(context: Context, args: argparse.Namespace) -> None:
-    """Cancel a task and print how it stands: it may have finished before."""
+    """Cancel a task and print its state: it may already have finished."""
     answer = await call_entries(
         context, "DELETE", _target(args.task_id), repeatable=True
     )
