--- a/pistachiodeal/addresses.py
+++ b/pistachiodeal/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses as settings and peers write them: ``ip:port``."""
+"""Parsing of ``ip:port`` addresses."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def is_address(value: str) -> bool:
-    """Tell whether a text is ``ip:port`` with numbers that exist."""
+    """Return whether a text is a valid IPv4 ``ip:port``."""
     host, _, port = value.rpartition(":")
     try:
         ipaddress.IPv4Address(host)
@@ -20,7 +20,7 @@
 def split_address(address: str) -> tuple[str, int]:
     """Return host and port of ``ip:port``.
 
-    :raises ValueError: the port is no number.
+    :raises ValueError: the port is not a number.
     """
     host, _, port = address.rpartition(":")
     return host, int(port)
--- a/pistachiodeal/events.py
+++ b/pistachiodeal/events.py
@@ -1,11 +1,11 @@
-"""Structured logs: one JSON line on standard output for each decision.
+"""Structured logs: one JSON line on standard output per event.
 
-Each event is counted, and the times that it names go into histograms, also where its
-line is dropped.
+Each event is counted and its durations are recorded in histograms, even if its line
+is dropped.
 
-A line is written without waiting. Where the reader of the pipe is slow, lines wait in
-a bounded buffer; what does not fit is dropped and counted by event, and the counts are
-written as soon as there is room again.
+Writing never blocks. If the reader of the pipe is slow, lines are kept in a bounded
+buffer. Lines that don't fit are dropped and counted by event, and the counts are
+written as soon as the buffer has space again.
 """
 
 from __future__ import annotations
@@ -20,21 +20,21 @@
 
 from pistachiodeal.stats import Stats
 
-# About four thousand lines: what the leader of 160 workers writes in the second in
+# About four thousand lines, as many as a leader of 160 workers writes in the second in
 # which it places a burst of a thousand tasks.
 BUFFER_BYTES = 1_048_576
-# Lines of one event a second, above which they are only counted: at the worst load
-# a decision a millisecond is still explained, and a loop gone wild is not. Each event
-# has a share of its own, so that a flood of one never costs the decisions of another:
-# in one second of a burst, 736 lines of all events were dropped.
+# Limit on lines of one event per second; further ones are only counted. At peak load
+# it allows one decision per millisecond, and it still cuts off a runaway loop. The
+# limit is per event, so that a flood of one event never drops lines of another: with
+# a common limit, 736 lines of all events were dropped in one second of a burst.
 LINES_PER_S = 1_500
-# Lines of all events a second: half a megabyte, and a tenth of a core.
+# Limit on lines of all events per second: half a megabyte, and a tenth of a core.
 ALL_LINES_PER_S = 6_000
 DURATION_FIELDS = ("took_ms", "waited_ms", "away_ms", "over_ms")
 
 
 class EventLog:
-    """Writes events of one process."""
+    """Writes the events of one process."""
 
     def __init__(self, descriptor: int, process: str) -> None:
         self._stats = Stats()
@@ -52,15 +52,15 @@
 
     @property
     def dropped(self) -> int:
-        """Return how many lines were dropped and not yet reported."""
+        """Return how many lines were dropped since the last report."""
         return self._dropped.total()
 
     def emit(self, event: str, **fields: Any) -> None:
-        """Write one line; never waits and never raises."""
+        """Write one event; never blocks and never raises."""
         now = time.time()
         self._measure(event, fields)
-        # Before the decision on this line: a full buffer would else stay full when
-        # its reader goes on, and the process would be silent from then on.
+        # Flush before the limits are checked: otherwise a full buffer would stay full
+        # after its reader resumes, and the process would never log again.
         self._flush()
         if not self._admit(event, int(now)):
             return
@@ -108,13 +108,13 @@
         except BlockingIOError:
             return
         except OSError:
-            # Nobody reads the logs any more; the process goes on without.
+            # The reader of the logs is gone; the process continues without logs.
             written = len(self._buffer)
         del self._buffer[:written]
 
 
 def create_event_log(process: str) -> EventLog:
-    """Return a log that writes to standard output, which no longer blocks."""
+    """Return a log that writes to standard output; makes it non-blocking."""
     descriptor = sys.stdout.fileno()
     os.set_blocking(descriptor, False)
     return EventLog(descriptor, process)
--- a/pistachiodeal/exceptions.py
+++ b/pistachiodeal/exceptions.py
@@ -1,4 +1,4 @@
-"""Every error that crosses a module border, each with a code, a step and a peer."""
+"""Errors that cross module boundaries, each with a code, a step and a peer."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Outcome(StrEnum):
-    """What is known of a request's or write's effect when it ends without success."""
+    """What is known of the effect of a failed request or write."""
 
     NOT_RUN = "not_run"
     RAN = "ran"
@@ -14,12 +14,13 @@
 
 
 class PistachiodealError(Exception):
-    """Base of all errors of this project.
+    """Base class of all errors of this project.
 
     :cvar code: stable, machine-readable name of the error.
-    :param detail: one short sentence for a person.
-    :param step: what was being done, for example ``route`` or ``table.commit``.
-    :param peer: the other end's name or address, empty when there is none.
+    :param detail: short human-readable description.
+    :param step: the operation that failed, for example ``route`` or
+        ``table.commit``.
+    :param peer: name or address of the remote end, empty when there is none.
     """
 
     code = "internal"
@@ -37,25 +38,25 @@
 
 
 class SettingsError(PistachiodealError):
-    """The settings are wrong; all faults are listed in the detail."""
+    """The settings are invalid; the detail lists all errors."""
 
     code = "settings"
 
 
 class ProtocolError(PistachiodealError):
-    """A peer sent something that is not of this protocol or version."""
+    """A peer sent data that doesn't match this protocol or version."""
 
     code = "protocol"
 
 
 class FrameTooLargeError(ProtocolError):
-    """A peer announced a frame over the limit."""
+    """A peer announced a frame larger than the limit."""
 
     code = "frame_too_large"
 
 
 class AuthenticationError(PistachiodealError):
-    """A peer or operator did not show the secret or token."""
+    """A peer or operator did not present the right secret or token."""
 
     code = "unauthenticated"
 
@@ -67,27 +68,27 @@
 
 
 class LinkRefusedError(LinkClosedError):
-    """Nothing listens at a peer's address: its process is not there."""
+    """Nothing listens at a peer's address: its process is not running."""
 
     code = "link_refused"
 
 
 class LinkSilentError(LinkClosedError):
-    """Nothing came from a peer for longer than the heartbeat allows."""
+    """Nothing was received from a peer within the heartbeat timeout."""
 
     code = "link_silent"
 
 
 class AdviceError(PistachiodealError):
-    """The service that chooses workers gave no answer that can be used."""
+    """The service that chooses workers gave no usable answer."""
 
     code = "advice"
 
 
 class StoreError(PistachiodealError):
-    """Base of the errors of the platform's table and object store.
+    """Base class of errors of the platform's table and object store.
 
-    :ivar retry_after: seconds after which asking again may help.
+    :ivar retry_after: seconds after which a retry may succeed.
     """
 
     code = "store"
@@ -105,7 +106,7 @@
 
 
 class StoreUnavailableError(StoreError):
-    """The store refused or could not be reached: the call took no effect."""
+    """The store refused the call or is unreachable: the call had no effect."""
 
     code = "store_unavailable"
 
@@ -129,7 +130,7 @@
 
 
 class WorkerRefusedError(WorkerError):
-    """The worker answered, and did not do what it was asked: no effect."""
+    """The worker refused the call: it had no effect."""
 
     code = "worker_refused"
 
@@ -145,7 +146,7 @@
 
     :ivar status: HTTP status.
     :ivar outcome: what is known of the request's effect.
-    :ivar retry_after: seconds after which to ask again, None where it will not help.
+    :ivar retry_after: seconds after which to retry, None where that won't help.
     """
 
     code = "request"
--- a/pistachiodeal/histograms.py
+++ b/pistachiodeal/histograms.py
@@ -1,7 +1,7 @@
-"""Latency histograms for each caller and service.
+"""Latency histograms by caller and service.
 
-HDR histograms (Gil Tene, HdrHistogram) with two significant digits: about 22 KB
-each, and those of several processes merge by addition.
+HDR histograms (Gil Tene, HdrHistogram) with two significant digits take about 22 KB
+each. Histograms of several processes can be merged by addition.
 """
 
 from __future__ import annotations
@@ -29,9 +29,9 @@
 class Histograms:
     """A bounded number of histograms.
 
-    :param limit: pairs of caller and service that get a histogram of their own;
-        over it, callers share one a service, and a tenth of the limit is kept
-        for these. Services over that share one as well.
+    :param limit: number of pairs of caller and service with a histogram of their
+        own. Beyond it, all further callers of a service share one histogram; a
+        tenth of the limit is added for these. Beyond that, all share one.
     """
 
     def __init__(self, limit: int) -> None:
@@ -40,19 +40,19 @@
         self._histograms: dict[Key, HdrHistogram] = {}
 
     def record(self, caller: str, service: str, seconds: float) -> None:
-        """Add one latency; over 60 s counts as 60 s."""
+        """Record one latency; values over 60 s are recorded as 60 s."""
         value = min(max(int(seconds * 1_000_000), LOWEST_US), HIGHEST_US)
         self._find(caller, service).record_value(value)
 
     def build_document(self) -> dict[str, Any]:
-        """Return all histograms, ready for JSON and for :meth:`merge`."""
+        """Return all histograms as a JSON document, as read by :meth:`merge`."""
         return {"histograms": list(self._iterate_rows())}
 
     async def collect_document(self) -> dict[str, Any]:
-        """Return the same as :meth:`build_document`, giving way to other tasks.
+        """Return the same as :meth:`build_document`, yielding to other tasks.
 
-        A row takes about a third of a millisecond. A thousand in one go would
-        hold up heartbeats for longer than half of a link's ping time.
+        A row takes about a third of a millisecond. A thousand rows at once would
+        delay heartbeats by more than half of a link's ping interval.
         """
         rows = []
         for row in self._iterate_rows():
@@ -71,16 +71,16 @@
     def merge(self, document: Mapping[str, Any]) -> None:
         """Add the histograms of another process.
 
-        :raises ProtocolError: the document is not one of :meth:`build_document`.
+        :raises ProtocolError: :meth:`build_document` didn't create the document.
         """
         try:
             for row in document["histograms"]:
                 other = HdrHistogram.decode(row["encoded"])
                 self._find(str(row["caller"]), str(row["service"])).add(other)
         except Exception as error:
-            # The library raises many kinds, struct.error and zlib.error too.
+            # The library raises many types, such as struct.error and zlib.error.
             raise ProtocolError(
-                f"not a document of histograms: {type(error).__name__}",
+                f"not a histogram document: {type(error).__name__}",
                 step="histograms.merge",
             ) from error
 
@@ -101,7 +101,7 @@
 
 
 def create_histograms(limit: int = 1000) -> Histograms:
-    """Return histograms for at most about ``limit`` callers and services."""
+    """Return histograms for about ``limit`` pairs of caller and service."""
     return Histograms(limit)
 
 
--- a/pistachiodeal/logs.py
+++ b/pistachiodeal/logs.py
@@ -1,4 +1,4 @@
-"""Logs on standard error, as text or as JSON lines."""
+"""Logging to standard error, as text or JSON lines."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 class JsonLinesHandler(logbook.StreamHandler):
-    """Writes one JSON object a record."""
+    """Writes each record as one JSON object."""
 
     def format(self, record: Any) -> str:
-        """Return the record as a line of JSON."""
+        """Format the record as one line of JSON."""
         document = {
             "time": record.time.isoformat() + "Z",
             "level": record.level_name.lower(),
@@ -35,11 +35,11 @@
 def configure_logs(settings: LogSettings) -> None:
     """Send all records of this process to standard error.
 
-    :param settings: least severe level, and whether lines are text or JSON.
+    :param settings: minimum level and format (text or JSON).
     """
     logbook.set_datetime_format(_get_utc_now)
-    # Records below the level must end here: logbook's default handler would
-    # otherwise write them to standard error in a form of its own.
+    # The null handler drops records below the level: otherwise logbook's default
+    # handler would write them to standard error in its own format.
     logbook.NullHandler().push_application()
     _create_handler(settings).push_application()
 
--- a/pistachiodeal/metrics.py
+++ b/pistachiodeal/metrics.py
@@ -1,4 +1,4 @@
-"""Counters, timers and gauges, sent by statsd where an address is set."""
+"""Counters, timers and gauges, sent to statsd if an address is configured."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 
 
 class Metrics(Protocol):
-    """Takes measurements; never raises and never waits."""
+    """Records measurements; never raises and never blocks."""
 
     def count(self, name: str, n: int = 1) -> None:
         """Add ``n`` to a counter."""
 
     def time(self, name: str, seconds: float) -> None:
-        """Note how long something took."""
+        """Record a duration."""
 
     def gauge(self, name: str, value: float) -> None:
-        """Note a value as it is now."""
+        """Record a current value."""
 
     def counts(self) -> dict[str, int]:
         """Return all counters since the start of the process."""
 
 
 class MemoryMetrics:
-    """Keeps the counters only."""
+    """Keeps counters in memory; ignores timers and gauges."""
 
     def __init__(self, limit: int = NAME_LIMIT) -> None:
         self._limit = limit
@@ -43,10 +43,10 @@
         self._counts[name] = self._counts.get(name, 0) + n
 
     def time(self, name: str, seconds: float) -> None:
-        """Drop a timer."""
+        """Ignore a timer."""
 
     def gauge(self, name: str, value: float) -> None:
-        """Drop a gauge."""
+        """Ignore a gauge."""
 
     def counts(self) -> dict[str, int]:
         """Return all counters since the start of the process."""
@@ -54,7 +54,7 @@
 
 
 class StatsdMetrics(MemoryMetrics):
-    """Sends each measurement by statsd over UDP, besides keeping the counters."""
+    """Sends each measurement to statsd over UDP and keeps the counters in memory."""
 
     def __init__(self, client: statsd.StatsClient) -> None:
         super().__init__()
@@ -66,7 +66,7 @@
         self._client.incr(name, n)
 
     def time(self, name: str, seconds: float) -> None:
-        """Send a timer, in milliseconds as statsd wants it."""
+        """Send a timer, in milliseconds as statsd expects."""
         self._client.timing(name, seconds * 1000)
 
     def gauge(self, name: str, value: float) -> None:
@@ -75,7 +75,7 @@
 
 
 def create_metrics(settings: StatsdSettings) -> Metrics:
-    """Return metrics that go to the address set, or stay in memory without one."""
+    """Return statsd metrics, or in-memory ones if no address is configured."""
     if not settings.address:
         return MemoryMetrics()
     host, port = split_address(settings.address)
--- a/pistachiodeal/peers.py
+++ b/pistachiodeal/peers.py
@@ -1,4 +1,4 @@
-"""What entries and agents share: seeds, timings of links, the metrics page."""
+"""Shared by entries and agents: seed peers, link timings and the metrics page."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 
 log = Logger("peers")
 
-# A peer that is silent for this long is slow by a factor of several hundred, frozen,
-# or gone; a leader that is replaced too early costs a second of placements.
+# A peer that is silent for this long is frozen, gone, or several hundred times slower
+# than usual. Replacing a leader too early costs a second of placements.
 TIMINGS = LinkTimings(ping_s=0.3, silent_s=1.2, handshake_s=0.8)
 
 
@@ -30,7 +30,7 @@
 class PeerContext:
     """What a process needs to open links to its peers.
 
-    :param address: where it accepts links itself, ``ip:port``.
+    :param address: ``ip:port`` at which this process accepts links.
     """
 
     identity: Identity
@@ -58,7 +58,7 @@
 
 
 def list_seed_peers(settings: DeploymentSettings) -> tuple[str, ...]:
-    """Return where the seeds' entries accept links; ports are the same everywhere."""
+    """Return the peer addresses of the seeds; all nodes use the same port."""
     port = settings.peer_ports[0]
     hosts = [seed.rpartition(":")[0] for seed in settings.seed_peers]
     return tuple(f"{host}:{port}" for host in hosts if host)
@@ -70,17 +70,17 @@
 
 
 async def query_leader(peers: PeerContext, address: str) -> LeaderNotice | None:
-    """Hear from an entry who leads; None if it gives no answer."""
+    """Ask an entry for the current leader; None if it doesn't answer."""
     try:
         async with dial_peer(peers, address) as link:
             notice = await link.receive()
     except (PistachiodealError, OSError) as error:
-        log.debug("peers: {} does not say who leads: {}", address, error)
+        log.debug("peers: leader query to {} failed: {}", address, error)
         return None
     return notice if isinstance(notice, LeaderNotice) else None
 
 
 def build_metrics(stats: Stats) -> WebResponse:
-    """Return a process's measurements as text."""
+    """Return the measurements of a process as a text response."""
     headers = (("content-type", "text/plain; charset=utf-8"),)
     return WebResponse(200, headers, stats.format().encode())
--- a/pistachiodeal/process.py
+++ b/pistachiodeal/process.py
@@ -1,4 +1,4 @@
-"""Starts one of the programs that run jobs: settings, logs, signals, event loop."""
+"""Entry point of the job programs: settings, logs, signals and event loop."""
 
 from __future__ import annotations
 
@@ -23,16 +23,16 @@
 
 
 class App(Protocol):
-    """A program's parts."""
+    """A program that :func:`run_process` runs."""
 
     async def run(self, signals: SignalWatch) -> None:
-        """Serve until a signal to stop."""
+        """Serve until a stop signal is received."""
 
 
 def run_process(
     role: str, create: Callable[[DeploymentSettings, EventLog], App]
 ) -> None:
-    """Run a program to its end; does not return.
+    """Run a program until it stops, then exit the process.
 
     :param role: ``entry`` or ``agent``.
     """
--- a/pistachiodeal/reload.py
+++ b/pistachiodeal/reload.py
@@ -1,4 +1,4 @@
-"""What a running process does when its settings file changes."""
+"""Handles SIGHUP: checks whether the settings file has changed."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 async def wait_for_stop(
     signals: SignalWatch, settings: DeploymentSettings, events: EventLog
 ) -> None:
-    """Return at the signal to stop; look at the settings at each SIGHUP.
+    """Wait for a stop signal; check the settings file at each SIGHUP.
 
-    Addresses can't change under a running process and limits are those of its
-    deployment, so a change is reported and takes force with the next start.
+    Addresses can't change in a running process, and limits are fixed by its
+    deployment, so a change is only logged and takes effect at the next start.
     """
     while True:
         number = await signals.wait()
--- a/pistachiodeal/signals.py
+++ b/pistachiodeal/signals.py
@@ -1,4 +1,4 @@
-"""Signals as events that a curio task can wait for."""
+"""Lets a curio task wait for signals."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class SignalWatch:
-    """Hands out the watched signals in the order in which they came."""
+    """Returns the watched signals in the order in which they were received."""
 
     def __init__(self, receiver: socket.socket, watched: tuple[int, ...]) -> None:
         self._socket = Socket(receiver)
@@ -31,7 +31,7 @@
 
 @contextmanager
 def watch_signals(*more: int) -> Iterator[SignalWatch]:
-    """Catch SIGTERM, SIGINT and ``more`` until the end of the block (main thread)."""
+    """Catch SIGTERM, SIGINT and ``more`` within the block (main thread only)."""
     watched = (*WATCHED, *more)
     receiver, sender = socket.socketpair()
     receiver.setblocking(False)
@@ -54,4 +54,4 @@
 
 
 def _ignore_signal(number: int, frame: FrameType | None) -> None:
-    """Keep the default action, which ends the process, from running."""
+    """Replace the default action, which would end the process."""
--- a/pistachiodeal/stats.py
+++ b/pistachiodeal/stats.py
@@ -1,22 +1,23 @@
 """Counters and latency histograms of one process, served as text.
 
-Histograms have fixed bounds, so that those of many processes add up, and cost a few
-integers each; there is one for each class of work.
+Histograms have fixed buckets, so that those of several processes can be added, and
+each takes only a few integers. There is one per class of work.
 """
 
 from __future__ import annotations
 
 from bisect import bisect_left
 
-# Milliseconds, in steps of about two: the aims lie between 150 ms and a few seconds.
+# Milliseconds, in steps of about factor two. Latency objectives lie between 150 ms and
+# a few seconds.
 BOUNDS_MS = (1, 2, 5, 10, 20, 50, 100, 200, 500, 1_000, 2_000, 5_000, 10_000, 30_000)
-# Names beyond this share one: a name may hold a queue, and queues come and go.
+# Further names share one entry: names may contain queue names, and queues come and go.
 MAX_NAMES = 500
 OTHER = "other"
 
 
 class Stats:
-    """Takes measurements; never waits."""
+    """Records measurements; never blocks."""
 
     def __init__(self) -> None:
         self._counters: dict[str, int] = {}
@@ -30,7 +31,7 @@
         self._counters[name] = self._counters.get(name, 0) + n
 
     def time(self, name: str, seconds: float) -> None:
-        """Add a latency to a histogram."""
+        """Record a duration in a histogram."""
         if name not in self._histograms and len(self._histograms) >= MAX_NAMES:
             name = OTHER
         buckets = self._histograms.setdefault(name, [0] * (len(BOUNDS_MS) + 1))
@@ -38,7 +39,7 @@
         self._sums[name] = self._sums.get(name, 0.0) + seconds
 
     def format(self) -> str:
-        """Return everything as text, one measurement a line."""
+        """Return all measurements as text, one per line."""
         lines = [f"{name} {value}" for name, value in sorted(self._counters.items())]
         for name, buckets in sorted(self._histograms.items()):
             total = 0
--- a/pistachiodeal/supervisor.py
+++ b/pistachiodeal/supervisor.py
@@ -1,4 +1,4 @@
-"""A supervisor: starts children, restarts those that fail, stops them in order."""
+"""Starts child tasks, restarts those that fail, and stops them in order."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class ChildFailedError(PistachiodealError):
-    """A child failed too often in a row."""
+    """A child failed too many times in a row."""
 
     code = "child_failed"
 
@@ -30,10 +30,10 @@
 class Supervisor:
     """Runs named children as curio tasks.
 
-    A child that raises is logged and restarted after a growing, jittered pause;
-    one that returns is done. A child that fails too often in a row fails the
-    supervisor, and with it the process. A child that raises an error of a class
-    in ``fatal`` does so at once.
+    A child that raises is logged and restarted after exponential backoff with
+    jitter; a child that returns is finished. A child that fails too many times in
+    a row fails the supervisor, and with it the process. An error of a class in
+    ``fatal`` does so immediately.
     """
 
     def __init__(self, name: str, fatal: tuple[type[Exception], ...] = ()) -> None:
@@ -45,13 +45,14 @@
         self._error: Exception | None = None
 
     def add(self, name: str, child: Child) -> None:
-        """Register a child, to be started by :meth:`run`."""
+        """Register a child for :meth:`run` to start."""
         self._children.append((name, child))
 
     async def run(self) -> None:
-        """Start all children; return when :meth:`stop` was called.
+        """Start all children; return when :meth:`stop` is called.
 
-        :raises PistachiodealError: a child failed too often.
+        :raises PistachiodealError: a child failed too many times in a row.
+        :raises Exception: a child raised an error of a class in ``fatal``.
         """
         try:
             for name, child in self._children:
@@ -63,7 +64,7 @@
             raise self._error
 
     async def stop(self) -> None:
-        """Cancel the children, the last one added first."""
+        """Cancel the children in reverse order of their registration."""
         await self._done.set()
 
     async def _cancel_children(self) -> None:
@@ -85,7 +86,7 @@
                     failures = 0
                 failures += 1
                 log.error("{}: child {} failed: {!r}", self._name, name, error)
-                log.debug("{}: trace of {}", self._name, name, exc_info=True)
+                log.debug("{}: traceback of child {}", self._name, name, exc_info=True)
             if failures >= MAX_CONSECUTIVE_FAILURES:
                 await self._fail(ChildFailedError(f"child {name}", step=self._name))
                 return
@@ -97,9 +98,9 @@
 
 
 def compute_backoff(failures: int) -> float:
-    """Return a jittered pause in seconds that doubles with each failure in a row.
+    """Return a delay in seconds with jitter, which doubles with each failure.
 
-    Without the jitter all processes that lost the same peer would come back in
+    Without the jitter, all processes that lost the same peer would reconnect at
     the same instant.
     """
     longest = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2 ** min(failures, 10))
--- a/pistachiodeal/task_groups.py
+++ b/pistachiodeal/task_groups.py
@@ -1,4 +1,4 @@
-"""Curio tasks that live and end together."""
+"""Helpers that run several curio tasks as a group."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 
 async def gather(*calls: Callable[[], Awaitable[T]]) -> list[T]:
-    """Make calls at once; return their results in order when all have ended.
+    """Run calls concurrently; return their results in order when all have ended.
 
-    :raises Exception: what the first call that failed has raised.
+    :raises Exception: the exception of the first call that failed.
     """
     results: dict[int, T] = {}
     failures: list[Exception] = []
@@ -35,15 +35,15 @@
 
 
 async def run_until_one_ends(*children: Child) -> None:
-    """Run children side by side; when one ends, cancel the others.
+    """Run children concurrently; when one ends, cancel the others.
 
-    :raises Exception: what the first child that failed has raised.
+    :raises Exception: the exception of the first child that failed.
     """
     failures: list[Exception] = []
 
-    # Leaving a task group doesn't raise what a child raised: a fenced journal, or
-    # a worker that another agent has, would look like a child that has done its
-    # work. Curio also writes a trace of each such child to standard error.
+    # A task group doesn't re-raise exceptions of its children: a fenced journal, or
+    # a worker taken over by another agent, would look like a child that finished
+    # normally. Curio also writes a traceback of each such child to standard error.
     async def run_call(child: Child) -> None:
         try:
             await child()
