--- a/tests/unit/fakes.py
+++ b/tests/unit/fakes.py
@@ -1,4 +1,4 @@
-"""Fakes that several tests use."""
+"""Fakes shared by several tests."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Clock:
-    """Time that only a test moves."""
+    """A clock that only the test advances."""
 
     def __init__(self) -> None:
         self.now = 1_000.0
@@ -21,9 +21,9 @@
 
 
 class FakeObjects:
-    """Objects in memory.
+    """An object store in memory.
 
-    :ivar wait: awaited at each call; ``before_call`` comes after it.
+    :ivar wait: awaited at each call, before ``before_call`` is called.
     """
 
     def __init__(self) -> None:
--- a/tests/unit/test_commands.py
+++ b/tests/unit/test_commands.py
@@ -16,12 +16,12 @@
 from pistachiodeal.histograms import create_histograms
 from pistachiodeal.model.policies import Profile
 
-LOST = object()  # read the whole request, then close without an answer
+LOST = object()  # read the request, then close the connection without an answer
 
 
 @dataclass
 class FakeEntry:
-    """Gives scripted answers (status, headers, document) and notes the requests."""
+    """Gives scripted answers (status, headers, document) and records the requests."""
 
     answers: list[Any] = field(default_factory=list)
     requests: list[tuple[str, str, dict[str, str], Any]] = field(default_factory=list)
@@ -87,11 +87,10 @@
 def test_a_revision_whose_answer_was_lost_is_not_sent_again(
     entries: list[FakeEntry], capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """Symptom: an operator is told of a conflict with their own change.
+    """Guards against reporting a conflict with the operator's own change.
 
-    Sequence: the first entry applies the revision and dies before it answers;
-    the command sends it to the second entry with the same If-Match, and loses.
-    Cause: a lost answer was taken for a request that was not carried out.
+    The first entry applies the revision and dies before it answers. If the command
+    then sent it to the second entry with the same If-Match, that would refuse it.
     """
     entries[0].answers = [show_profile(7), LOST]
     status = main(["profile", "revise", "desk", "--urgency", "4"])
@@ -100,7 +99,7 @@
     assert entries[1].requests == []
 
 
-def test_a_revision_keeps_other_fields_and_names_the_version_it_saw(
+def test_a_revision_keeps_other_fields_and_sends_the_version_it_read(
     entries: list[FakeEntry], capsys: pytest.CaptureFixture[str]
 ) -> None:
     lost_race = {"code": "precondition_failed", "detail": "it changed at version 9"}
@@ -119,11 +118,10 @@
 def test_a_submission_whose_answer_was_lost_keeps_its_key(
     entries: list[FakeEntry], capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """Symptom: one command makes two tasks.
+    """Guards against one command that creates two tasks.
 
-    Sequence: the first entry takes the task in and dies before it answers; the
-    command submits it to the second entry.
-    Cause: the second submission had a key of its own.
+    The first entry accepts the task and dies before it answers; the command submits
+    it to the second entry, and must use the same key again.
     """
     entries[0].answers = [LOST]
     entries[1].answers = [(201, {}, {"id": "0001-a", "state": "queued"})]
@@ -134,7 +132,7 @@
     assert "id: 0001-a" in capsys.readouterr().out
 
 
-def test_the_next_entry_is_asked_when_one_is_gone(
+def test_the_next_entry_is_called_when_one_is_draining(
     entries: list[FakeEntry], capsys: pytest.CaptureFixture[str]
 ) -> None:
     gone = (503, {"retry-after": "1"}, {"code": "draining", "outcome": "not_run"})
@@ -158,7 +156,7 @@
     ("http_status", "exit_status"),
     [(401, exit_codes.UNAUTHENTICATED), (404, exit_codes.NOT_FOUND), (500, 1)],
 )
-def test_an_answer_without_success_has_its_exit_status(
+def test_an_unsuccessful_answer_has_its_exit_status(
     entries: list[FakeEntry], http_status: int, exit_status: int
 ) -> None:
     entries[0].answers = [(http_status, {}, {"detail": "no"})]
--- a/tests/unit/test_commands_demo.py
+++ b/tests/unit/test_commands_demo.py
@@ -1,4 +1,4 @@
-"""The demo's checker notices what must not happen."""
+"""The demo's checks detect violations."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     }
 
 
-def test_each_broken_promise_to_a_caller_is_noticed() -> None:
+def test_each_wrong_outcome_is_detected() -> None:
     cases = [
         describe_case("good", "ran"),
         describe_case("lied", "not_run"),
@@ -46,13 +46,13 @@
     ]
 
 
-def test_requests_without_an_answer_are_noticed() -> None:
+def test_requests_without_an_answer_are_detected() -> None:
     cases = [describe_case("a", "not_run", "GET"), describe_case("b", "unknown")]
     assert len(check_availability(cases, unknown_limit=1)) == 1
     assert len(check_availability(cases, unknown_limit=0)) == 2
 
 
-def test_a_task_in_two_places_or_finished_twice_is_noticed() -> None:
+def test_a_task_in_two_places_or_finished_twice_is_detected() -> None:
     task = {"task_id": "t", "state": "finished"}
     good = [describe_run(1, 0.0, 1.0, "expired"), describe_run(2, 1.0, 2.0, "finished")]
     assert check_tasks([task], good) == []
--- a/tests/unit/test_commands_job.py
+++ b/tests/unit/test_commands_job.py
@@ -1,4 +1,4 @@
-"""The operators' commands about jobs, on rows in memory."""
+"""The ``job`` commands, on rows in memory."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @pytest.fixture
 def state(monkeypatch):
-    """Return rows with two jobs: the first at work, the second just accepted."""
+    """Return rows with two jobs: the first is running, the second just accepted."""
     state = RowsState()
     monkeypatch.setattr(command, "create_rows", lambda *_: MemoryRows(state))
     for number in (1, 2):
@@ -49,7 +49,7 @@
     return json.loads(capsys.readouterr().out)
 
 
-def test_a_job_is_shown_by_steps(state, capsys):
+def test_a_job_is_shown_with_its_steps(state, capsys):
     shown = run_json(capsys, "job", "show", FIRST)
     assert shown["queue"] == "q"
     first, second = shown["steps"]
@@ -58,7 +58,7 @@
     assert second["why"] == "after step 0"
 
 
-def test_what_a_job_waits_for_is_told(state, capsys):
+def test_what_a_job_waits_for_is_explained(state, capsys):
     assert "at work" in run_json(capsys, "job", "why", FIRST)["why"]
     assert "wait for a worker" in run_json(capsys, "job", "why", SECOND)["why"]
     put(state, "jobs", build_cancel_key(SECOND), CANCEL_VALUE)
@@ -70,7 +70,7 @@
 def test_jobs_are_listed_and_counted(state, capsys):
     put(state, "jobs", build_cancel_key(SECOND), CANCEL_VALUE)
     assert len(run_json(capsys, "job", "list")) == 2
-    assert [one["job"] for one in run_json(capsys, "job", "list", "--open")] == [FIRST]
+    assert [row["job"] for row in run_json(capsys, "job", "list", "--open")] == [FIRST]
     assert run_json(capsys, "job", "list", "--queue", "other") == []
     assert run_json(capsys, "job", "queues") == {"q": {"queued": 1, "cancelled": 1}}
     assert main(["job", "queues", *STORE]) == exit_codes.OK
@@ -86,7 +86,7 @@
     assert "data_centre" in capsys.readouterr().out
 
 
-def test_an_unknown_job_and_a_store_that_is_away_end_with_their_status(state, capsys):
+def test_unknown_job_and_unavailable_store_have_their_exit_status(state, capsys):
     assert main(["job", "show", "f" * 16, *STORE]) == exit_codes.NOT_FOUND
     state.faults.down = True
     assert main(["job", "show", FIRST, *STORE]) == exit_codes.UNREACHABLE
--- a/tests/unit/test_docs.py
+++ b/tests/unit/test_docs.py
@@ -1,4 +1,4 @@
-"""The docs say what the code does."""
+"""The documentation matches the code."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 ROOT = Path(__file__).parents[2]
 GUIDE = ROOT / "docs" / "user-guide"
 CODE = re.compile(r"[a-z]+(_[a-z]+)*")
-# Functions that take the code as one of their positional arguments.
-CODE_TAKERS = frozenset(
+# Functions with the error code as one of their positional arguments.
+CODE_FUNCTIONS = frozenset(
     (
         "_refuse",
         "_refuse_all",
@@ -58,7 +58,7 @@
 
 
 def find_codes(module: ast.Module) -> Iterator[str]:
-    """Yield the codes of error classes, and those that calls give."""
+    """Yield the codes of error classes and the codes that are passed to calls."""
     constants = dict(find_constants(module.body))
     for node in ast.walk(module):
         values: list[ast.expr] = []
@@ -66,7 +66,7 @@
             yield from (text for _, text in find_constants(node.body, "code"))
         elif isinstance(node, ast.keyword) and node.arg == "code":
             values = [node.value]
-        elif isinstance(node, ast.Call) and get_name(node.func) in CODE_TAKERS:
+        elif isinstance(node, ast.Call) and get_name(node.func) in CODE_FUNCTIONS:
             values = node.args
         texts = (resolve(value, constants) for value in values)
         yield from (text for text in texts if CODE.fullmatch(text))
@@ -80,14 +80,14 @@
 
 
 def resolve(value: ast.expr, constants: dict[str, str]) -> str:
-    """Return the text that an argument is known to be, or an empty one."""
+    """Return the constant text of an argument, or an empty one."""
     if isinstance(value, ast.Name):
         return constants.get(value.id, "")
     return str(value.value) if isinstance(value, ast.Constant) else ""
 
 
 def find_constants(body: list[ast.stmt], only: str = "") -> Iterator[tuple[str, str]]:
-    """Yield the names that a body gives a text."""
+    """Yield the names and values of constants assigned in a body."""
     for node in body:
         if not isinstance(node, ast.Assign) or not isinstance(node.value, ast.Constant):
             continue
--- a/tests/unit/test_entry_dispatch.py
+++ b/tests/unit/test_entry_dispatch.py
@@ -1,4 +1,4 @@
-"""Interactive requests against scripted agents."""
+"""The dispatcher of interactive requests, with scripted agents."""
 
 from contextlib import suppress
 from functools import partial
@@ -32,7 +32,7 @@
 
 
 class FakeLink:
-    """An agent that answers each request by the next of its scripted answers."""
+    """A link to an agent that answers each request with its next scripted answer."""
 
     def __init__(self, node, script=()):
         self.peer = Identity("agent", node, 1, "dc1", f"w-{node}")
@@ -53,7 +53,7 @@
 
     @property
     def requests(self):
-        return [one for one in self.sent if isinstance(one, Request)]
+        return [message for message in self.sent if isinstance(message, Request)]
 
 
 class FakeProfiles:
@@ -165,7 +165,7 @@
         return caught.value
 
 
-def test_whole_answer_comes_back_without_hop_by_hop_headers():
+def test_answer_is_returned_without_hop_by_hop_headers():
     async def main():
         harness = DispatchHarness()
         link = await harness.add("a", reply())
@@ -205,7 +205,7 @@
     curio.run(main)
 
 
-def test_unknown_service_and_service_without_runner():
+def test_unknown_service_and_service_without_runner_are_refused():
     async def main():
         harness = DispatchHarness()
         assert (await harness.fail("GET", "nothing")).code == "unknown_service"
@@ -216,7 +216,7 @@
     curio.run(main)
 
 
-def test_refusal_is_tried_elsewhere_also_for_post():
+def test_refused_request_is_retried_on_another_agent_also_for_post():
     async def main():
         harness = DispatchHarness()
         first = await harness.add("a", refuse())
@@ -232,9 +232,10 @@
 
 @pytest.mark.parametrize("lost", [lose(), fail("unknown")])
 def test_lost_answer_of_post_is_unknown_and_not_repeated(lost):
-    """Symptom: an order is entered twice.
-    Sequence: a runner takes a POST; its answer is lost; the entry tries elsewhere.
-    Cause: a lost answer is taken for a refusal.
+    """Guards against running a POST twice.
+
+    If a lost answer were treated as a refusal, the entry would send the request to
+    another agent although a runner may have executed it.
     """
 
     async def main():
@@ -247,10 +248,11 @@
     curio.run(main)
 
 
-def test_refusal_after_a_lost_answer_is_not_told_as_not_run():
-    """Symptom: "not run" is told of a PUT that ran.
-    Sequence: first agent's link is lost; the repeat elsewhere is refused.
-    Cause: the outcome is taken from the last attempt alone.
+def test_refusal_after_a_lost_answer_is_not_reported_as_not_run():
+    """Guards against reporting "not run" for a PUT that ran.
+
+    The first agent's link is lost and the retry on another agent is refused. The
+    outcome must not be that of the last attempt alone.
     """
 
     async def main():
@@ -269,10 +271,11 @@
     curio.run(main)
 
 
-def test_deadline_after_hand_over_is_unknown_and_withdrawn():
-    """Symptom: "not run" is told of work that was delivered, or a caller waits on.
-    Sequence: an agent takes the request and does not answer before the deadline.
-    Cause: a time-out is read as a refusal.
+def test_deadline_after_sending_is_unknown_and_withdrawn():
+    """Guards against reporting "not run" for a request that an agent received.
+
+    The agent doesn't answer before the deadline. The timeout must not be treated as a
+    refusal, and the caller must not wait any longer.
     """
 
     async def main():
@@ -282,7 +285,7 @@
         assert (error.status, error.code) == (504, "deadline")
         assert error.outcome is Outcome.UNKNOWN
         outbox = await curio.spawn(link.session.run_outbox)
-        while not any(isinstance(one, Withdraw) for one in link.sent):
+        while not any(isinstance(message, Withdraw) for message in link.sent):
             await curio.sleep(0)
         await outbox.cancel()
 
@@ -290,9 +293,10 @@
 
 
 def test_late_answer_does_not_reach_the_next_caller():
-    """Symptom: a caller reads somebody else's answer.
-    Sequence: a request is given up; the next goes out; the first's answer comes.
-    Cause: the id of a request that was given up is used again.
+    """Guards against returning the answer to another caller's request.
+
+    The answer of an abandoned request arrives while the next one is open. If the
+    request id were reused, it would be taken for the answer to the second request.
     """
 
     async def main():
@@ -312,7 +316,7 @@
     curio.run(main)
 
 
-def test_hopeless_request_is_refused_at_once():
+def test_request_that_cannot_meet_its_deadline_is_refused_at_once():
     async def main():
         harness = DispatchHarness()
         link = await harness.add("a", busy=16, latency_us=1_000_000)
@@ -324,7 +328,7 @@
     curio.run(main)
 
 
-def test_caller_limit():
+def test_caller_over_its_limit_is_refused():
     async def main():
         harness = DispatchHarness(caller_in_flight=1)
         link = await harness.add("a")
@@ -348,7 +352,7 @@
         (refuse(), ("release",)),
     ],
 )
-def test_claim_gets_its_end(answer, end):
+def test_claim_is_closed_by_the_outcome(answer, end):
     async def main():
         harness = DispatchHarness(attempts=1)
         await harness.add("a", answer)
@@ -362,9 +366,10 @@
 
 
 def test_claim_of_a_cancelled_request_is_closed():
-    """Symptom: a key answers "in progress" for ever, nothing is in progress.
-    Sequence: the request is with a runner; its connection's task is cancelled.
-    Cause: cancellation is no Exception, so nothing closed the claim.
+    """Guards against a key that is answered "in progress" for ever.
+
+    The connection's task is cancelled while a runner has the request. Cancellation
+    is not an Exception, so an ``except Exception`` would leave the claim open.
     """
 
     async def main():
@@ -379,7 +384,7 @@
     curio.run(main)
 
 
-def test_repeat_of_a_key_gets_the_recorded_answer():
+def test_repeated_key_gets_the_recorded_answer():
     async def main():
         harness = DispatchHarness(
             claims=FakeClaims(replay=WebResponse(201, (), b"earlier"))
--- a/tests/unit/test_entry_links.py
+++ b/tests/unit/test_entry_links.py
@@ -1,4 +1,4 @@
-"""Links of agents and entries over loopback."""
+"""The link server, with agents and entries over loopback."""
 
 from contextlib import asynccontextmanager
 
@@ -35,7 +35,7 @@
 
 
 class FakeBatch:
-    """Notes what it is told; with ``gate`` set, takes nothing until it opens."""
+    """Records its calls; with ``gate`` set, ``receive`` blocks until it opens."""
 
     def __init__(self):
         self.events = []
@@ -72,7 +72,7 @@
 
 
 class LinkHarness:
-    """A link server on a free loopback port."""
+    """A link server on an ephemeral loopback port."""
 
     def __init__(self):
         self.batch = FakeBatch()
@@ -133,7 +133,7 @@
         await curio.sleep(0)
 
 
-def test_agent_is_told_what_it_needs_and_becomes_a_target():
+def test_agent_gets_directory_and_policies_and_becomes_a_target():
     async def main():
         async with run_harness() as harness, harness.dial() as link:
             await receive(link, Directory)
@@ -147,10 +147,11 @@
     curio.run(main)
 
 
-def test_leaving_or_lost_agent_is_no_target():
-    """Symptom: requests go to an agent that said goodbye, or whose link is gone.
-    Sequence: a report makes it a target; a goodbye, or the end of the link, follows.
-    Cause: the target stays in the table until somebody finds it useless.
+def test_draining_or_disconnected_agent_is_not_a_target():
+    """Guards against sending requests to an agent that is gone.
+
+    A report makes the agent a target; then it sends a goodbye, or its link closes.
+    Either must remove it from the table.
     """
 
     async def main():
@@ -171,11 +172,11 @@
     curio.run(main)
 
 
-def test_replaced_link_still_brings_its_answers():
-    """Symptom: a request fails though its runner answered it.
-    Sequence: an agent dials anew while a request is open; the answer then comes
-    on the older link.
-    Cause: the older link is closed, or forgotten, as soon as the newer is there.
+def test_replaced_link_still_delivers_answers():
+    """Guards against failing a request that its runner answered.
+
+    An agent opens a new link while a request is open, and the answer arrives on the
+    older one, which must stay open until then.
     """
 
     async def main():
@@ -200,10 +201,11 @@
     curio.run(main)
 
 
-def test_slow_table_holds_up_no_answers():
-    """Symptom: interactive latency follows the table's.
-    Sequence: an agent says that a task ended; the table is slow; an answer follows.
-    Cause: the task that reads the link waits until the end is journaled.
+def test_slow_table_does_not_delay_answers():
+    """Guards against interactive latency that follows the table's latency.
+
+    An agent reports the end of a task, and an answer follows on the same link. The
+    task that reads the link must not wait until the end of the task is journaled.
     """
 
     async def main():
@@ -220,7 +222,7 @@
     curio.run(main)
 
 
-def test_lost_link_wakes_who_waits_and_late_answers_are_counted():
+def test_lost_link_resolves_open_requests_and_late_answers_are_counted():
     async def main():
         async with run_harness() as harness:
             async with harness.dial() as link:
@@ -235,7 +237,7 @@
     curio.run(main)
 
 
-def test_garbage_on_the_internal_port_harms_nobody():
+def test_garbage_on_the_internal_port_does_not_affect_other_links():
     async def main():
         async with run_harness() as harness, harness.dial() as link:
             sock = await curio.open_connection("127.0.0.1", harness.server.port)
@@ -249,7 +251,7 @@
     curio.run(main)
 
 
-def test_entry_link_reaches_the_owner():
+def test_forwarded_requests_of_another_entry_are_answered():
     async def main():
         async with run_harness() as harness, harness.dial("e2", "entry") as link:
             for number, service in ((1, "@tasks"), (2, "orders")):
@@ -263,10 +265,11 @@
     curio.run(main)
 
 
-def test_evidence_goes_to_the_others_only():
-    """Symptom: one early measurement outweighs all later ones.
-    Sequence: an agent's evidence is handed back to it, counted, and sent again.
-    Cause: the relay doesn't keep who said what.
+def test_evidence_is_not_returned_to_its_sender():
+    """Guards against one early measurement that outweighs all later ones.
+
+    If the relay didn't record the sender of evidence, an agent would get its own
+    evidence back, count it again and send it again.
     """
     relay = create_interference_relay(clock=lambda: 0.0)
     pair = PairEvidence("orders", "noisy", 3000, 2000)
--- a/tests/unit/test_entry_router.py
+++ b/tests/unit/test_entry_router.py
@@ -1,4 +1,4 @@
-"""Where HTTP requests go."""
+"""The router of an entry's HTTP port."""
 
 import curio
 import orjson
@@ -13,7 +13,7 @@
 
 
 class NamedHandler:
-    """Answers with its own name."""
+    """A handler that answers with its own name."""
 
     def __init__(self, name):
         self.name = name
@@ -59,7 +59,7 @@
     assert caught.value.status == 401
 
 
-def test_operators_pages():
+def test_operator_pages():
     token = f"Bearer {TOKEN}"
     assert call("/-/profiles", token=token).body == b"profiles"
     assert call("/-/services/orders", token=token).body == b"profiles"
@@ -71,12 +71,12 @@
         assert caught.value.status == status
 
 
-def test_health_tells_the_balancer_of_a_drain():
+def test_health_check_fails_while_draining():
     assert call("/-/health").status == 200
     assert call("/-/health", draining=True).status == 503
 
 
-def test_target_that_is_no_path():
+def test_target_that_is_not_a_path_is_refused():
     with pytest.raises(RequestError) as caught:
         call("*")
     assert caught.value.code == "bad_target"
--- a/tests/unit/test_entry_stop.py
+++ b/tests/unit/test_entry_stop.py
@@ -1,4 +1,4 @@
-"""A planned stop of an entry, as a process, ends within its grace period."""
+"""A planned stop of an entry process completes within its grace period."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def has_logged(node: Node, folder: Path, event: str) -> bool:
-    """Tell whether a process has written an event."""
+    """Return whether a process has logged an event."""
     return f'"event":"{event}"' in (folder / f"{node.name}.out").read_text()
 
 
@@ -31,7 +31,7 @@
 
 @contextmanager
 def send_part_of_a_request(address: str) -> Iterator[None]:
-    """Hold a connection open on which the rest of a request never comes."""
+    """Hold a connection open on which a request is never completed."""
     host, _, port = address.rpartition(":")
     with socket.create_connection((host, int(port))) as caller:
         caller.sendall(b"POST /soak/00000000000000aa HTTP/1.1\r\nHost: x\r\n")
@@ -48,11 +48,11 @@
     ids=["calm", "silent", "slow"],
 )
 def test_a_leader_that_is_stopped_ends_in_time(tmp_path: Path, faults: StoreFaults):
-    """Symptom: processes are still there at the end of their grace period, are killed,
-    and cut their callers off.
+    """Guards against processes that are killed at the end of their grace period, which
+    aborts their callers' requests.
 
-    Sequence: the leader is stopped while the store is slow or silent; it writes its row
-    first, and drains its callers' connections after that. Cause: one after the other.
+    The leader is stopped while the store is slow or silent. If it first wrote its row
+    and only then drained its callers' connections, the two together would take too long.
     """
 
     async def main() -> float:
--- a/tests/unit/test_histograms.py
+++ b/tests/unit/test_histograms.py
@@ -1,4 +1,4 @@
-"""Histograms: bounded, and merged by addition."""
+"""Histograms are bounded in number and merge by addition."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from pistachiodeal.histograms import create_histograms
 
 
-def test_callers_without_end_share_a_bounded_number_of_histograms() -> None:
-    """Symptom: an entry's memory grows by 22 KB with each new caller name.
+def test_the_number_of_histograms_is_bounded() -> None:
+    """Guards against memory that grows by 22 KB with each new caller name.
 
-    Sequence: callers make up a new name for each request.
-    Cause: every pair of caller and service got a histogram of its own.
+    Callers may use a new name for each request, so not every pair of caller and
+    service can have a histogram of its own.
     """
     histograms = create_histograms(limit=10)
     for number in range(500):
--- a/tests/unit/test_logs.py
+++ b/tests/unit/test_logs.py
@@ -1,4 +1,4 @@
-"""Log lines that a collector can read."""
+"""The formats of log lines."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from pistachiodeal.logs import configure_logs
 configure_logs(LogSettings(form={form!r}, level="notice"))
 log = logbook.Logger("batch")
-log.info("batch: too small a matter")
+log.info("batch: below the level")
 log.notice("batch: partition {{}} taken at epoch {{}}", 3, 7)
 try:
     1 / 0
--- a/tests/unit/test_metrics.py
+++ b/tests/unit/test_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics: kept in memory, sent by UDP where an address is set."""
+"""Metrics in memory and over statsd."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from pistachiodeal.metrics import MemoryMetrics, create_metrics
 
 
-def test_metrics_arrive_by_statsd() -> None:
+def test_metrics_are_sent_to_statsd() -> None:
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as receiver:
         receiver.bind(("127.0.0.1", 0))
         receiver.settimeout(10)
@@ -21,7 +21,7 @@
     assert metrics.counts() == {"requests": 2}
 
 
-def test_names_without_end_are_counted_together() -> None:
+def test_names_over_the_limit_share_one_counter() -> None:
     metrics = MemoryMetrics(limit=2)
     for name in "abcd":
         metrics.count(name)
--- a/tests/unit/test_signals.py
+++ b/tests/unit/test_signals.py
@@ -1,4 +1,4 @@
-"""Signals reach a curio task, and the earlier handlers come back."""
+"""Signals reach a curio task, and the previous handlers are restored."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from pistachiodeal.signals import watch_signals
 
 
-def test_every_signal_is_handed_out_in_order() -> None:
+def test_signals_are_returned_in_order() -> None:
     async def main() -> list[int]:
         with watch_signals() as watch:
             os.kill(os.getpid(), signal.SIGTERM)
