--- a/pistachiodeal/commands/errors.py
+++ b/pistachiodeal/commands/errors.py
@@ -10,7 +10,7 @@
 from pistachiodeal.exceptions import Outcome, PistachiodealError
 from pistachiodeal.web.messages import WebResponse
 
-STATUS_EXITS = {
+EXIT_STATUSES = {
     401: exit_codes.UNAUTHENTICATED,
     403: exit_codes.UNAUTHENTICATED,
     404: exit_codes.NOT_FOUND,
@@ -81,7 +81,7 @@
         detail = f"{detail} (retry in {retry_after} s)"
     return CommandError(
         detail,
-        STATUS_EXITS.get(response.status, exit_codes.FAILURE),
+        EXIT_STATUSES.get(response.status, exit_codes.FAILURE),
         code=str(problem.get("code") or f"http_{response.status}"),
         outcome=outcome,
         step=str(problem.get("step") or ""),
--- a/pistachiodeal/commands/profile.py
+++ b/pistachiodeal/commands/profile.py
@@ -57,7 +57,7 @@
     answer = await call_entries(
         context,
         "PUT",
-        _target(args.name),
+        _build_target(args.name),
         document=profile.model_dump(),
         headers=(("if-none-match", "*"),),
     )
@@ -74,7 +74,7 @@
     changes = read_fields(args)
     if not changes:
         raise UsageError("no field to change was given")
-    target = _target(args.name)
+    target = _build_target(args.name)
     current = await call_entries(context, "GET", target, repeatable=True)
     fields = {**current.document["profile"], **changes}
     profile = build_profile(args.name, fields)
@@ -83,17 +83,17 @@
         "PUT",
         target,
         document=profile.model_dump(),
-        headers=_condition(args, current),
+        headers=_build_condition(args, current),
     )
     _print_change(context, "revised", args.name, answer)
 
 
 async def run_retire(context: Context, args: argparse.Namespace) -> None:
     """Remove a profile that no service uses."""
-    target = _target(args.name)
+    target = _build_target(args.name)
     current = await call_entries(context, "GET", target, repeatable=True)
     answer = await call_entries(
-        context, "DELETE", target, headers=_condition(args, current)
+        context, "DELETE", target, headers=_build_condition(args, current)
     )
     _print_change(context, "retired", args.name, answer)
 
@@ -111,7 +111,9 @@
 
 async def run_show(context: Context, args: argparse.Namespace) -> None:
     """Print one profile with its version."""
-    answer = await call_entries(context, "GET", _target(args.name), repeatable=True)
+    answer = await call_entries(
+        context, "GET", _build_target(args.name), repeatable=True
+    )
     if context.as_json:
         print_json(answer.document)
         return
@@ -127,7 +129,7 @@
     }
 
 
-def _target(name: str) -> str:
+def _build_target(name: str) -> str:
     return f"{PROFILES}/{name}"
 
 
@@ -140,7 +142,7 @@
     )
 
 
-def _condition(
+def _build_condition(
     args: argparse.Namespace, current: Answer
 ) -> tuple[tuple[str, str], ...]:
     if args.if_version is not None:
--- a/pistachiodeal/commands/service.py
+++ b/pistachiodeal/commands/service.py
@@ -46,9 +46,9 @@
     answer = await call_entries(
         context,
         "PUT",
-        _target(args.service),
+        _build_target(args.service),
         document={"profile": args.profile},
-        headers=_condition(args),
+        headers=_build_condition(args),
     )
     if context.as_json:
         print_json(answer.document)
@@ -69,7 +69,9 @@
 
 async def run_show(context: Context, args: argparse.Namespace) -> None:
     """Print one service."""
-    answer = await call_entries(context, "GET", _target(args.service), repeatable=True)
+    answer = await call_entries(
+        context, "GET", _build_target(args.service), repeatable=True
+    )
     if context.as_json:
         print_json(answer.document)
     else:
@@ -82,7 +84,7 @@
     The default profile applies to it as long as it has runners.
     """
     await call_entries(
-        context, "DELETE", _target(args.service), headers=_condition(args)
+        context, "DELETE", _build_target(args.service), headers=_build_condition(args)
     )
     if context.as_json:
         print_json({"service": args.service, "change": "removed"})
@@ -90,13 +92,13 @@
         print(f"service {args.service} removed")
 
 
-def _target(service: str) -> str:
+def _build_target(service: str) -> str:
     if not re.match(NAME_PATTERN, service):
         raise UsageError(f"service {service!r} is not a name")
     return f"{SERVICES}/{service}"
 
 
-def _condition(args: argparse.Namespace) -> tuple[tuple[str, str], ...]:
+def _build_condition(args: argparse.Namespace) -> tuple[tuple[str, str], ...]:
     if args.if_version is None:
         return ()
     return (("if-match", f'"{args.if_version}"'),)
--- a/pistachiodeal/commands/task.py
+++ b/pistachiodeal/commands/task.py
@@ -63,14 +63,16 @@
 async def run_cancel(context: Context, args: argparse.Namespace) -> None:
     """Cancel a task and print its state: it may already have finished."""
     answer = await call_entries(
-        context, "DELETE", _target(args.task_id), repeatable=True
+        context, "DELETE", _build_target(args.task_id), repeatable=True
     )
     _print_task(context, answer.document)
 
 
 async def run_show(context: Context, args: argparse.Namespace) -> None:
     """Print a task."""
-    answer = await call_entries(context, "GET", _target(args.task_id), repeatable=True)
+    answer = await call_entries(
+        context, "GET", _build_target(args.task_id), repeatable=True
+    )
     _print_task(context, answer.document)
 
 
@@ -93,7 +95,7 @@
     }
 
 
-def _target(task_id: str) -> str:
+def _build_target(task_id: str) -> str:
     if not TASK_ID.match(task_id):
         raise UsageError(f"{task_id!r} is not a task id")
     return f"{TASKS}/{task_id}"
--- a/pistachiodeal/entry/app.py
+++ b/pistachiodeal/entry/app.py
@@ -20,7 +20,7 @@
 
 log = Logger("entry")
 
-CLAIM_FLUSH_S = 1.0
+CLAIM_FLUSH_TIMEOUT_S = 1.0
 BATCH_DRAIN_SHARE = 0.3
 
 
@@ -63,7 +63,7 @@
         drained = await self.web.drain(max(0.0, until - time.monotonic()))
         if not drained:
             log.warning("entry: time is up, {} requests cut", self.in_flight)
-        if not await self.claims.flush(CLAIM_FLUSH_S):
+        if not await self.claims.flush(CLAIM_FLUSH_TIMEOUT_S):
             log.warning(
                 "entry: {} claims were not closed in the store", self.claims.pending
             )
--- a/pistachiodeal/entry/attempts.py
+++ b/pistachiodeal/entry/attempts.py
@@ -73,12 +73,12 @@
         else:
             self._record_link_loss(answer)
 
-    def give_up(self) -> RequestError:
+    def build_deadline_error(self) -> RequestError:
         """Return the error for a call whose deadline has passed."""
         node = self._abandon()
         return self._build("no answer in time", DEADLINE, 504, STEP_ROUTE, node)
 
-    def fail(self, detail: str) -> RequestError:
+    def build_internal_error(self, detail: str) -> RequestError:
         """Return the error for a call that failed on a bug in this process."""
         node = self._abandon()
         return self._build(detail, INTERNAL, 500, STEP_ROUTE, node)
--- a/pistachiodeal/entry/cli.py
+++ b/pistachiodeal/entry/cli.py
@@ -86,7 +86,7 @@
     log.notice("entry: {} received", signal.Signals(number).name)
     async with curio.TaskGroup(wait=any) as group:
         await group.spawn(_drain, entry)
-        await group.spawn(_end_at_once, entry, watch)
+        await group.spawn(_exit_at_once, entry, watch)
     return group.result
 
 
@@ -95,7 +95,7 @@
     return exit_codes.OK if drained else exit_codes.FAILURE
 
 
-async def _end_at_once(entry: EntryApp, watch: SignalWatch) -> int:
+async def _exit_at_once(entry: EntryApp, watch: SignalWatch) -> int:
     await watch.wait()
     log.warning("entry: second signal, {} requests cut", entry.in_flight)
     return exit_codes.FAILURE
--- a/pistachiodeal/entry/dispatch.py
+++ b/pistachiodeal/entry/dispatch.py
@@ -164,14 +164,14 @@
         attempts = CallAttempts(call)
         left = call.deadline - self._clock()
         if left <= 0:
-            raise attempts.give_up()
+            raise attempts.build_deadline_error()
         try:
             async with curio.timeout_after(left):
                 return await self._attempt_until_answered(attempts, profile)
         except curio.TaskTimeout:
-            response = await self._give_up(attempts)
+            response = await self._withdraw(attempts)
             if response is None:
-                raise attempts.give_up() from None
+                raise attempts.build_deadline_error() from None
             return response
         except RequestError:
             raise
@@ -179,16 +179,16 @@
             # The web server reports ``not_run`` for any unknown error, also for
             # one raised after a runner had received the request.
             log.exception("entry: dispatch failed")
-            raise attempts.fail(type(error).__name__) from error
+            raise attempts.build_internal_error(type(error).__name__) from error
 
-    async def _give_up(self, attempts: CallAttempts) -> WebResponse | None:
+    async def _withdraw(self, attempts: CallAttempts) -> WebResponse | None:
         """Withdraw the open attempt; return its answer if it has just arrived."""
         session, pending = attempts.session, attempts.pending
         if session is None or pending is None:
             return None
         answer = pending.answer
         if answer is None:
-            await session.post(Withdraw(pending.request_id))
+            await session.enqueue(Withdraw(pending.request_id))
             return None
         attempts.end()
         if isinstance(answer, Response):
--- a/pistachiodeal/entry/forwarding.py
+++ b/pistachiodeal/entry/forwarding.py
@@ -64,4 +64,4 @@
 
     async def _refuse(self, request: Request, code: str) -> None:
         refusal = Refusal(request.request_id, code, "", BUSY_RETRY_MS)
-        await self._session.post(refusal)
+        await self._session.enqueue(refusal)
--- a/pistachiodeal/entry/links.py
+++ b/pistachiodeal/entry/links.py
@@ -46,7 +46,7 @@
 
 LINK_LIMIT = 4096
 ACCEPT_PAUSE_S = 0.1
-GOODBYE_S = 0.2
+GOODBYE_TIMEOUT_S = 0.2
 ANSWERS = (Response, Refusal, Failure)
 TASK_MESSAGES = (StartRefused, TaskEnded)
 
@@ -107,7 +107,7 @@
         goodbye = Goodbye(reason)
         for session in (*self._sessions.list_all(), *self._entries):
             with suppress(LinkClosedError):
-                await curio.ignore_after(GOODBYE_S, session.send, goodbye)
+                await curio.ignore_after(GOODBYE_TIMEOUT_S, session.send, goodbye)
 
     async def _accept(self, listener: Socket) -> None:
         try:
--- a/pistachiodeal/entry/pushing.py
+++ b/pistachiodeal/entry/pushing.py
@@ -17,7 +17,7 @@
 # A link loses no messages while it is up, so resending only guards against bugs.
 # Sent every 3 s, directories of 160 entries cost an agent half a megabyte a second.
 DIRECTORY_S = 60.0
-EVIDENCE_S = 5.0
+EVIDENCE_INTERVAL_S = 5.0
 
 
 class Pusher:
@@ -50,16 +50,16 @@
 
     async def on_open(self, session: Session) -> None:
         """Send the directory and all evidence on an agent's new link."""
-        await session.post(self._read_directory())
+        await session.enqueue(self._read_directory())
         evidence = self._evidence.build_initial(session.node, session.incarnation)
         if evidence is not None:
-            await session.post(evidence)
+            await session.enqueue(evidence)
 
     async def push_services(self, session: Session, services: frozenset[str]) -> None:
         """Send an agent the current policies of services that it hosts."""
         parts = self._profiles.parts(services)
         if parts:
-            await session.post(Policies(parts))
+            await session.enqueue(Policies(parts))
 
     async def run(self) -> None:
         """Push changes periodically until cancelled."""
@@ -92,14 +92,14 @@
         self._directory_at = now
         for session in self._sessions:
             if session.role == AGENT_ROLE:
-                await session.post(directory)
+                await session.enqueue(directory)
 
     async def _push_evidence(self, now: float) -> None:
-        if now - self._evidence_at < EVIDENCE_S:
+        if now - self._evidence_at < EVIDENCE_INTERVAL_S:
             return
         self._evidence_at = now
         for session in self._sessions:
             evidence = self._evidence.build_for(session.node)
             if evidence is not None and session.role == AGENT_ROLE:
-                await session.post(evidence)
+                await session.enqueue(evidence)
         self._evidence.end_round()
--- a/pistachiodeal/entry/router.py
+++ b/pistachiodeal/entry/router.py
@@ -63,7 +63,7 @@
         path = request.path
         if not path.startswith("/"):
             raise RequestError(
-                "the request target is not a path",
+                "the target is no path",
                 code="bad_target",
                 status=400,
                 step=STEP,
@@ -84,14 +84,14 @@
             return await self._profiles.handle(request)
         if path not in (STATUS, HISTOGRAMS):
             raise RequestError(
-                f"no operator page {path[:80]!r}",
+                f"no operators' page {path[:80]!r}",
                 code="not_found",
                 status=404,
                 step=STEP,
             )
         if request.method not in ("GET", "HEAD"):
             raise RequestError(
-                "only GET is allowed", code="method_not_allowed", status=405, step=STEP
+                "only GET", code="method_not_allowed", status=405, step=STEP
             )
         if path == STATUS:
             return build_json(OK, self._read_status())
@@ -111,7 +111,7 @@
         matches = hmac.compare_digest(token.encode(), self._token)
         if scheme.lower() != BEARER or not matches:
             raise RequestError(
-                "an operator's bearer token is required",
+                "a bearer token of an operator is needed",
                 code="unauthenticated",
                 status=401,
                 step=STEP,
--- a/pistachiodeal/entry/sessions.py
+++ b/pistachiodeal/entry/sessions.py
@@ -45,7 +45,7 @@
         self._ids = itertools.count(1)
         self._pending: dict[int, PendingRequest] = {}
         self._outbox: deque[Message] = deque()
-        self._posted = curio.Event()
+        self._enqueued = curio.Event()
 
     @property
     def outstanding(self) -> int:
@@ -64,7 +64,7 @@
         """
         await self._link.send(message)
 
-    async def post(self, message: Message) -> None:
+    async def enqueue(self, message: Message) -> None:
         """Queue a message for :meth:`run_outbox`; never waits for the peer.
 
         Otherwise a peer that stops reading would block the task that serves all
@@ -78,13 +78,13 @@
             await self.close()
             return
         self._outbox.append(message)
-        await self._posted.set()
+        await self._enqueued.set()
 
     async def run_outbox(self) -> None:
         """Send queued messages until the link closes."""
         while True:
-            await self._posted.wait()
-            self._posted.clear()
+            await self._enqueued.wait()
+            self._enqueued.clear()
             while self._outbox:
                 await self._link.send(self._outbox.popleft())
 
--- a/pistachiodeal/entry/targets.py
+++ b/pistachiodeal/entry/targets.py
@@ -40,7 +40,7 @@
         now = self._clock()
         named: set[str] = set()
         for load in report.services:
-            candidate = self._ensure(load.service, node, data_centre)
+            candidate = self._get_or_create(load.service, node, data_centre)
             if candidate is None:
                 continue
             latency_s = load.latency_us * MICROSECOND
@@ -69,7 +69,9 @@
             for service, nodes in self._services.items()
         }
 
-    def _ensure(self, service: str, node: str, data_centre: str) -> Candidate | None:
+    def _get_or_create(
+        self, service: str, node: str, data_centre: str
+    ) -> Candidate | None:
         nodes = self._services.get(service)
         if nodes is None:
             if len(self._services) >= SERVICE_LIMIT:
--- a/pistachiodeal/histograms.py
+++ b/pistachiodeal/histograms.py
@@ -42,7 +42,7 @@
     def record(self, caller: str, service: str, seconds: float) -> None:
         """Record one latency; values over 60 s are recorded as 60 s."""
         value = min(max(int(seconds * 1_000_000), LOWEST_US), HIGHEST_US)
-        self._find(caller, service).record_value(value)
+        self._get_or_create(caller, service).record_value(value)
 
     def build_document(self) -> dict[str, Any]:
         """Return all histograms as a JSON document, as read by :meth:`merge`."""
@@ -76,7 +76,7 @@
         try:
             for row in document["histograms"]:
                 other = HdrHistogram.decode(row["encoded"])
-                self._find(str(row["caller"]), str(row["service"])).add(other)
+                self._get_or_create(str(row["caller"]), str(row["service"])).add(other)
         except Exception as error:
             # The library raises many types, such as struct.error and zlib.error.
             raise ProtocolError(
@@ -88,7 +88,7 @@
         for (caller, service), histogram in sorted(self._histograms.items()):
             yield _describe(caller, service, histogram)
 
-    def _find(self, caller: str, service: str) -> HdrHistogram:
+    def _get_or_create(self, caller: str, service: str) -> HdrHistogram:
         key = (caller, service)
         histogram = self._histograms.get(key)
         if histogram is not None:
--- a/pistachiodeal/signals.py
+++ b/pistachiodeal/signals.py
@@ -30,9 +30,9 @@
 
 
 @contextmanager
-def watch_signals(*more: int) -> Iterator[SignalWatch]:
-    """Catch SIGTERM, SIGINT and ``more`` within the block (main thread only)."""
-    watched = (*WATCHED, *more)
+def watch_signals(*additional: int) -> Iterator[SignalWatch]:
+    """Catch SIGTERM, SIGINT and ``additional`` within the block (main thread only)."""
+    watched = (*WATCHED, *additional)
     receiver, sender = socket.socketpair()
     receiver.setblocking(False)
     sender.setblocking(False)
--- a/tests/unit/test_entry_stop.py
+++ b/tests/unit/test_entry_stop.py
@@ -51,8 +51,8 @@
     """Guards against processes that are killed at the end of their grace period, which
     aborts their callers' requests.
 
-    The leader is stopped while the store is slow or silent. If it first wrote its row
-    and only then drained its callers' connections, the two together would take too long.
+    The leader is stopped while the store is slow or silent. Writing its row first and
+    draining its callers' connections only afterwards would take too long.
     """
 
     async def main() -> float:
