--- a/bench/slopes/agent.py
+++ b/bench/slopes/agent.py
@@ -20,7 +20,7 @@
 from bench.slopes.cluster import LINK
 from bench.slopes.fitting import Slope, fit_line
 from bench.slopes.probes import Window, read_cpu_s, read_memory_kib
-from pistachiodeal.entry.pushing import DIRECTORY_S
+from pistachiodeal.entry.pushing import DIRECTORY_RESEND_S
 from pistachiodeal.model.resources import Resources
 from pistachiodeal.wire.identity import Identity
 from pistachiodeal.wire.link import Link, LinkTimings
@@ -59,7 +59,7 @@
     """
 
     def __init__(
-        self, count: int, tasks: int, directory_s: float = DIRECTORY_S
+        self, count: int, tasks: int, directory_s: float = DIRECTORY_RESEND_S
     ) -> None:
         self._socks = [tcp_server_socket("127.0.0.1", 0) for _ in range(count)]
         self._tasks = tasks
--- a/bench/slopes/installation.py
+++ b/bench/slopes/installation.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from pistachiodeal.entry.pushing import DIRECTORY_S
+from pistachiodeal.entry.pushing import DIRECTORY_RESEND_S
 
 # The size of the aim (docs/dev-guide/aim.md).
 WORKERS = 28_000
@@ -69,7 +69,7 @@
     workers: int = WORKERS
     tasks: float = BATCH / WORKERS
     report_s: float = 0.5
-    directory_s: float = DIRECTORY_S
+    directory_s: float = DIRECTORY_RESEND_S
     group_ms: float = 5.0
     beat_s: float = 2.0
     rounds: float = 10.0
--- a/pistachiodeal/entry/pushing.py
+++ b/pistachiodeal/entry/pushing.py
@@ -16,7 +16,7 @@
 PUSH_INTERVAL_S = 0.1
 # A link loses no messages while it is up, so resending only guards against bugs.
 # Sent every 3 s, directories of 160 entries cost an agent half a megabyte a second.
-DIRECTORY_S = 60.0
+DIRECTORY_RESEND_S = 60.0
 EVIDENCE_INTERVAL_S = 5.0
 
 
@@ -86,7 +86,10 @@
 
     async def _push_directory(self, now: float) -> None:
         directory = self._read_directory()
-        if directory == self._directory and now - self._directory_at < DIRECTORY_S:
+        if (
+            directory == self._directory
+            and now - self._directory_at < DIRECTORY_RESEND_S
+        ):
             return
         self._directory = directory
         self._directory_at = now
