--- a/pistachiodeal/entry/attempts.py
+++ b/pistachiodeal/entry/attempts.py
@@ -58,7 +58,7 @@
         self.pending = None
 
     def record_unsent(self, node: str, detail: str) -> None:
-        """Record that the request was never sent, which is equal to a refusal."""
+        """Record that the request was never sent, which counts as a refusal."""
         self.tried.add(node)
         log.debug("entry: request not sent to {}: {}", node, detail)
         detail = "the link to the agent is closed"
@@ -84,7 +84,7 @@
         return self._build(detail, INTERNAL, 500, STEP_ROUTE, node)
 
     def _abandon(self) -> str:
-        """Stop waiting for the open attempt; return its node, if there is one."""
+        """Mark an open attempt's outcome unknown; return its node, empty if none."""
         if self.session is None:
             return ""
         self._worsen(Outcome.UNKNOWN)
--- a/pistachiodeal/events.py
+++ b/pistachiodeal/events.py
@@ -25,8 +25,8 @@
 BUFFER_BYTES = 1_048_576
 # Limit on lines of one event per second; further ones are only counted. At peak load
 # it allows one decision per millisecond, and it still cuts off a runaway loop. The
-# limit is per event, so that a flood of one event never drops lines of another: with
-# a common limit, 736 lines of all events were dropped in one second of a burst.
+# limit is per event, so that a flood of one event never drops lines of another: 736
+# lines of all events have been dropped in one second of a burst.
 LINES_PER_S = 1_500
 # Limit on lines of all events per second: half a megabyte, and a tenth of a core.
 ALL_LINES_PER_S = 6_000
