--- a/pistachiodeal/commands/histograms.py
+++ b/pistachiodeal/commands/histograms.py
@@ -1,4 +1,4 @@
-"""``pistachiodeal histograms``: latencies of each caller and service."""
+"""``pistachiodeal histograms``: latencies by caller and service."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from pistachiodeal.commands.errors import CommandError, UsageError
 from pistachiodeal.commands.options import Context
 from pistachiodeal.commands.output import format_error, print_json, print_table
-from pistachiodeal.commands.parsers import Subparsers, add_leaf
+from pistachiodeal.commands.parsers import Subparsers, add_command
 from pistachiodeal.exceptions import ProtocolError
 from pistachiodeal.histograms import Histograms, create_histograms
 
@@ -31,35 +31,35 @@
 
 def add_commands(parsers: Subparsers, common: argparse.ArgumentParser) -> None:
     """Add the command to the parser."""
-    text = "show the latencies of all entries named, merged"
-    parser = add_leaf(parsers, common, "histograms", text, run_histograms)
+    text = "show the merged latencies of the given entries"
+    parser = add_command(parsers, common, "histograms", text, run_histograms)
     parser.add_argument(
         "--by",
         choices=("both", "service", "caller"),
         default="both",
-        help="what to keep apart (default: caller and service)",
+        help="what to group by (default: caller and service)",
     )
     parser.add_argument(
         "--file",
         action="append",
         default=[],
         metavar="FILE",
-        help="read what a process wrote at shut-down; may be given again",
+        help="file written by a process at shutdown; can be repeated",
     )
 
 
 async def run_histograms(context: Context, args: argparse.Namespace) -> None:
-    """Print the merged histograms of all entries and files named."""
+    """Print the merged histograms of the given entries and files."""
     documents = [read_document(path, "a document of histograms") for path in args.file]
-    documents += await _ask_entries(context, needed=not documents)
+    documents += await _fetch_documents(context, needed=not documents)
     merged = create_histograms(MERGED_LIMIT)
     for document in documents:
         _merge(merged, document, args.by)
     _print(context, merged)
 
 
-async def _ask_entries(context: Context, *, needed: bool) -> list[dict[str, Any]]:
-    """Return what each entry has; one that is out of reach is named on stderr."""
+async def _fetch_documents(context: Context, *, needed: bool) -> list[dict[str, Any]]:
+    """Return the document of each entry; prints the failed calls on stderr."""
     if needed and not context.entries:
         raise UsageError("no entry and no file: give --entry ip:port or --file FILE")
     documents = []
--- a/pistachiodeal/commands/parsers.py
+++ b/pistachiodeal/commands/parsers.py
@@ -1,4 +1,4 @@
-"""Building blocks of the argument parser."""
+"""Helpers that build the argument parser."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 
 from pistachiodeal.commands.options import Context
 
-Runner: TypeAlias = Callable[[Context, argparse.Namespace], Awaitable[None]]
+CommandHandler: TypeAlias = Callable[[Context, argparse.Namespace], Awaitable[None]]
 Subparsers: TypeAlias = "argparse._SubParsersAction[argparse.ArgumentParser]"
 
 
 def add_group(parsers: Subparsers, name: str, text: str) -> Subparsers:
-    """Add a command that only holds others."""
+    """Add a command that only groups subcommands."""
     parser = parsers.add_parser(name, help=text, description=_sentence(text))
     return parser.add_subparsers(dest=f"{name}_command", required=True, metavar="WHAT")
 
 
-def add_leaf(
+def add_command(
     parsers: Subparsers,
     common: argparse.ArgumentParser,
     name: str,
     text: str,
-    run: Runner,
+    run: CommandHandler,
 ) -> argparse.ArgumentParser:
-    """Add a command that does something.
+    """Add an executable command.
 
     :param run: called with the context and the arguments.
     """
--- a/pistachiodeal/commands/profile.py
+++ b/pistachiodeal/commands/profile.py
@@ -9,7 +9,7 @@
 from pistachiodeal.commands.errors import UsageError
 from pistachiodeal.commands.options import Context
 from pistachiodeal.commands.output import print_fields, print_json, print_table
-from pistachiodeal.commands.parsers import Subparsers, add_group, add_leaf
+from pistachiodeal.commands.parsers import Subparsers, add_command, add_group
 from pistachiodeal.commands.profile_fields import (
     add_field_options,
     build_profile,
@@ -32,30 +32,32 @@
 def add_commands(parsers: Subparsers, common: argparse.ArgumentParser) -> None:
     """Add the commands to the parser."""
     group = add_group(parsers, "profile", "define, revise and retire profiles")
-    define = add_leaf(group, common, "define", "define a new profile", run_define)
+    define = add_command(group, common, "define", "define a new profile", run_define)
     define.add_argument("name")
     define.add_argument("--file", metavar="FILE", help="JSON object of fields")
     add_field_options(define)
-    revise = add_leaf(group, common, "revise", "change fields of a profile", run_revise)
+    revise = add_command(
+        group, common, "revise", "change fields of a profile", run_revise
+    )
     revise.add_argument("name")
     revise.add_argument("--file", metavar="FILE", help="JSON object of fields")
     _add_version(revise)
     add_field_options(revise)
-    retire = add_leaf(group, common, "retire", "remove a profile", run_retire)
+    retire = add_command(group, common, "retire", "remove a profile", run_retire)
     retire.add_argument("name")
     _add_version(retire)
-    add_leaf(group, common, "list", "list the profiles", run_list)
-    show = add_leaf(group, common, "show", "show one profile", run_show)
+    add_command(group, common, "list", "list the profiles", run_list)
+    show = add_command(group, common, "show", "show one profile", run_show)
     show.add_argument("name")
 
 
 async def run_define(context: Context, args: argparse.Namespace) -> None:
-    """Define a profile; loses against one of that name that is there already."""
+    """Define a profile; fails if one of that name already exists."""
     profile = build_profile(args.name, read_fields(args))
     answer = await call_entries(
         context,
         "PUT",
-        _target(args.name),
+        _build_target(args.name),
         document=profile.model_dump(),
         headers=(("if-none-match", "*"),),
     )
@@ -63,15 +65,16 @@
 
 
 async def run_revise(context: Context, args: argparse.Namespace) -> None:
-    """Change the named fields of the profile as it was read a moment ago.
+    """Change the given fields of a profile.
 
-    Somebody else's change in between makes the entry refuse this one, so an
-    operator never overwrites what they have not seen.
+    The profile is read first and written with a condition on its version. If
+    it changes in between, the entry refuses the write, so an operator never
+    overwrites a change that they have not seen.
     """
     changes = read_fields(args)
     if not changes:
-        raise UsageError("no field to change was named")
-    target = _target(args.name)
+        raise UsageError("no field to change was given")
+    target = _build_target(args.name)
     current = await call_entries(context, "GET", target, repeatable=True)
     fields = {**current.document["profile"], **changes}
     profile = build_profile(args.name, fields)
@@ -80,17 +83,17 @@
         "PUT",
         target,
         document=profile.model_dump(),
-        headers=_condition(args, current),
+        headers=_build_condition(args, current),
     )
     _print_change(context, "revised", args.name, answer)
 
 
 async def run_retire(context: Context, args: argparse.Namespace) -> None:
-    """Remove a profile that no service holds."""
-    target = _target(args.name)
+    """Remove a profile that no service uses."""
+    target = _build_target(args.name)
     current = await call_entries(context, "GET", target, repeatable=True)
     answer = await call_entries(
-        context, "DELETE", target, headers=_condition(args, current)
+        context, "DELETE", target, headers=_build_condition(args, current)
     )
     _print_change(context, "retired", args.name, answer)
 
@@ -108,7 +111,9 @@
 
 async def run_show(context: Context, args: argparse.Namespace) -> None:
     """Print one profile with its version."""
-    answer = await call_entries(context, "GET", _target(args.name), repeatable=True)
+    answer = await call_entries(
+        context, "GET", _build_target(args.name), repeatable=True
+    )
     if context.as_json:
         print_json(answer.document)
         return
@@ -116,7 +121,7 @@
 
 
 def _flatten_item(item: dict[str, Any]) -> dict[str, Any]:
-    """Return a profile's fields with its version and the services that hold it."""
+    """Return a profile's fields with its version and the services that use it."""
     return {
         **item["profile"],
         "version": item["version"],
@@ -124,7 +129,7 @@
     }
 
 
-def _target(name: str) -> str:
+def _build_target(name: str) -> str:
     return f"{PROFILES}/{name}"
 
 
@@ -133,11 +138,11 @@
         "--if-version",
         type=int,
         metavar="N",
-        help="change it only if this is still its version",
+        help="only if this is still the current version",
     )
 
 
-def _condition(
+def _build_condition(
     args: argparse.Namespace, current: Answer
 ) -> tuple[tuple[str, str], ...]:
     if args.if_version is not None:
--- a/pistachiodeal/commands/service.py
+++ b/pistachiodeal/commands/service.py
@@ -10,7 +10,7 @@
 from pistachiodeal.commands.errors import UsageError
 from pistachiodeal.commands.options import Context
 from pistachiodeal.commands.output import print_fields, print_json, print_table
-from pistachiodeal.commands.parsers import Subparsers, add_group, add_leaf
+from pistachiodeal.commands.parsers import Subparsers, add_command, add_group
 from pistachiodeal.model.policies import NAME_PATTERN
 
 SERVICES = "/-/services"
@@ -20,14 +20,16 @@
 def add_commands(parsers: Subparsers, common: argparse.ArgumentParser) -> None:
     """Add the commands to the parser."""
     group = add_group(parsers, "service", "assign services to profiles")
-    assign = add_leaf(group, common, "assign", "give a service a profile", run_assign)
+    assign = add_command(
+        group, common, "assign", "assign a profile to a service", run_assign
+    )
     assign.add_argument("service")
     assign.add_argument("profile")
-    add_leaf(group, common, "list", "list the services", run_list)
-    show = add_leaf(group, common, "show", "show one service", run_show)
+    add_command(group, common, "list", "list the services", run_list)
+    show = add_command(group, common, "show", "show one service", run_show)
     show.add_argument("service")
-    remove = add_leaf(
-        group, common, "remove", "take a service off its profile", run_remove
+    remove = add_command(
+        group, common, "remove", "remove a service from its profile", run_remove
     )
     remove.add_argument("service")
     for parser in (assign, remove):
@@ -35,18 +37,18 @@
             "--if-version",
             type=int,
             metavar="N",
-            help="change it only if this is still its version",
+            help="only if this is still the current version",
         )
 
 
 async def run_assign(context: Context, args: argparse.Namespace) -> None:
-    """Give a service a profile."""
+    """Assign a profile to a service."""
     answer = await call_entries(
         context,
         "PUT",
-        _target(args.service),
+        _build_target(args.service),
         document={"profile": args.profile},
-        headers=_condition(args),
+        headers=_build_condition(args),
     )
     if context.as_json:
         print_json(answer.document)
@@ -67,7 +69,9 @@
 
 async def run_show(context: Context, args: argparse.Namespace) -> None:
     """Print one service."""
-    answer = await call_entries(context, "GET", _target(args.service), repeatable=True)
+    answer = await call_entries(
+        context, "GET", _build_target(args.service), repeatable=True
+    )
     if context.as_json:
         print_json(answer.document)
     else:
@@ -75,9 +79,12 @@
 
 
 async def run_remove(context: Context, args: argparse.Namespace) -> None:
-    """Take a service off its profile; the default one holds while it has runners."""
+    """Remove a service from its profile.
+
+    The default profile applies to it as long as it has runners.
+    """
     await call_entries(
-        context, "DELETE", _target(args.service), headers=_condition(args)
+        context, "DELETE", _build_target(args.service), headers=_build_condition(args)
     )
     if context.as_json:
         print_json({"service": args.service, "change": "removed"})
@@ -85,13 +92,13 @@
         print(f"service {args.service} removed")
 
 
-def _target(service: str) -> str:
+def _build_target(service: str) -> str:
     if not re.match(NAME_PATTERN, service):
         raise UsageError(f"service {service!r} is not a name")
     return f"{SERVICES}/{service}"
 
 
-def _condition(args: argparse.Namespace) -> tuple[tuple[str, str], ...]:
+def _build_condition(args: argparse.Namespace) -> tuple[tuple[str, str], ...]:
     if args.if_version is None:
         return ()
     return (("if-match", f'"{args.if_version}"'),)
--- a/pistachiodeal/commands/settings.py
+++ b/pistachiodeal/commands/settings.py
@@ -1,4 +1,4 @@
-"""``pistachiodeal settings``: check a settings file, print the reference."""
+"""``pistachiodeal settings``: checks a settings file, prints the reference."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from pistachiodeal.commands.options import Context
 from pistachiodeal.commands.output import print_json
-from pistachiodeal.commands.parsers import Subparsers, add_group, add_leaf
+from pistachiodeal.commands.parsers import Subparsers, add_command, add_group
 from pistachiodeal.config.agent import AgentSettings
 from pistachiodeal.config.entry import EntrySettings
 from pistachiodeal.config.load import load_settings
@@ -23,28 +23,28 @@
 def add_commands(parsers: Subparsers, common: argparse.ArgumentParser) -> None:
     """Add the commands to the parser."""
     group = add_group(parsers, "settings", "check settings without starting anything")
-    check = add_leaf(group, common, "check", "check a settings file", run_check)
+    check = add_command(group, common, "check", "check a settings file", run_check)
     check.add_argument("file", metavar="FILE")
     check.add_argument(
         "--program",
         choices=sorted(MODELS),
-        help="whose settings they are (default: whose fields they have most of)",
+        help="program of the settings (default: the one with most matching fields)",
     )
     text = "print every setting with its default"
-    add_leaf(group, common, "reference", text, run_reference)
+    add_command(group, common, "reference", text, run_reference)
 
 
 async def run_check(context: Context, args: argparse.Namespace) -> None:
-    """Check a file.
+    """Check a settings file.
 
-    :raises SettingsError: listing all faults.
+    :raises SettingsError: lists all errors.
     """
     program = args.program or guess_program(args.file)
     settings = load_settings(args.file, MODELS[program])
     if context.as_json:
         print_json({"program": program, "settings": _hide_secrets(settings)})
     else:
-        print(f"{args.file}: good settings of an {program}")
+        print(f"{args.file}: valid settings of an {program}")
 
 
 async def run_reference(context: Context, args: argparse.Namespace) -> None:
@@ -57,7 +57,7 @@
 
 
 def guess_program(path: str) -> str:
-    """Return whose fields a file has most of; an entry's when it can't be read."""
+    """Return the program with most fields in a file; entry if it is unreadable."""
     try:
         document = json.loads(Path(path).read_bytes())
     except (OSError, ValueError):
--- a/pistachiodeal/entry/dispatch.py
+++ b/pistachiodeal/entry/dispatch.py
@@ -1,4 +1,4 @@
-"""One interactive request, from its arrival to its final answer."""
+"""Dispatches interactive requests to agents and returns their answers."""
 
 from __future__ import annotations
 
@@ -39,15 +39,15 @@
 
 log = Logger("entry")
 
-SHORTEST_BUDGET_S = 0.001
+MIN_BUDGET_S = 0.001
 SERVER_FAILURE = 500
 
 
 @dataclass(frozen=True, slots=True)
-class DispatchParts:
-    """What a dispatcher works with.
+class DispatcherComponents:
+    """The collaborators of a dispatcher.
 
-    :param claim_timeout: seconds that one claim may take.
+    :param claim_timeout: seconds that claiming a key may take.
     """
 
     settings: RequestSettings
@@ -62,32 +62,34 @@
 
 
 class Dispatcher:
-    """Routes callers' requests to agents and brings the answers back."""
-
-    def __init__(self, parts: DispatchParts, clock: Callable[[], float]) -> None:
-        self._settings = parts.settings
-        self._sessions = parts.sessions
-        self._targets = parts.targets
-        self._services = parts.services
-        self._claims = parts.claims
-        self._chooser = parts.chooser
-        self._metrics = parts.metrics
-        self._histograms = parts.histograms
-        self._claim_timeout = parts.claim_timeout
+    """Routes callers' requests to agents and returns the answers."""
+
+    def __init__(
+        self, components: DispatcherComponents, clock: Callable[[], float]
+    ) -> None:
+        self._settings = components.settings
+        self._sessions = components.sessions
+        self._targets = components.targets
+        self._services = components.services
+        self._claims = components.claims
+        self._chooser = components.chooser
+        self._metrics = components.metrics
+        self._histograms = components.histograms
+        self._claim_timeout = components.claim_timeout
         self._clock = clock
         self._callers: CallerLimits = create_caller_limits(
-            parts.settings.caller_in_flight
+            components.settings.caller_in_flight
         )
 
     @property
     def in_flight(self) -> int:
-        """Return the requests that were taken in and have no answer yet."""
+        """Return how many admitted requests have no answer yet."""
         return self._callers.total
 
     async def handle(self, service: str, request: WebRequest) -> WebResponse:
-        """Return the whole answer of a runner.
+        """Return a runner's complete answer.
 
-        :raises RequestError: there is none; says what is known of the outcome.
+        :raises RequestError: there is none; carries the known outcome.
         """
         started = self._clock()
         call = parse_call(service, request, self._settings, started)
@@ -99,7 +101,7 @@
             self._metrics.count("entry.answered")
             return response
         except RequestError as error:
-            self._note_error(call, error, self._clock() - started)
+            self._record_error(call, error, self._clock() - started)
             raise
         finally:
             self._callers.leave(call.caller, self._clock() - started)
@@ -116,20 +118,20 @@
             step="entry.admit",
         )
 
-    def _note_error(self, call: Call, error: RequestError, seconds: float) -> None:
+    def _record_error(self, call: Call, error: RequestError, seconds: float) -> None:
         self._metrics.count(f"entry.problem.{error.code}")
         self._metrics.count(f"entry.outcome.{error.outcome}")
         if error.outcome is not Outcome.NOT_RUN or error.code == DEADLINE:
-            # Quick refusals would flatter the percentiles of those who waited.
+            # Fast refusals would lower the latency percentiles of requests that ran.
             self._histograms.record(call.caller, call.service, seconds)
 
     async def _answer(self, call: Call, profile: Profile) -> WebResponse:
         if call.key and not call.is_repeatable(profile):
-            return await self._answer_once(call, profile)
-        return await self._answer_in_time(call, profile)
+            return await self._answer_with_claim(call, profile)
+        return await self._answer_before_deadline(call, profile)
 
-    async def _answer_once(self, call: Call, profile: Profile) -> WebResponse:
-        """Claim the key first, so that no entry runs this request a second time."""
+    async def _answer_with_claim(self, call: Call, profile: Profile) -> WebResponse:
+        """Claim the key first, so that no other entry runs this request again."""
         timeout = min(self._claim_timeout, call.deadline - self._clock())
         claim = await self._claims.claim(
             call.service, call.claim_key, call.compute_fingerprint(), timeout
@@ -138,13 +140,13 @@
             self._metrics.count("entry.replayed")
             return claim.response
         try:
-            response = await self._answer_in_time(call, profile)
+            response = await self._answer_before_deadline(call, profile)
         except RequestError as error:
             await self._close_claim(claim, error)
             raise
         except BaseException:
-            # A cancelled connection leaves a request that may run: a claim that
-            # stayed open would answer "in progress" to its repeats for ever.
+            # After a cancelled connection the request may still run. If its claim
+            # stayed open, retries would be answered "in progress" for ever.
             await self._claims.mark_unknown(claim)
             raise
         await self._claims.record(claim, response)
@@ -156,43 +158,45 @@
         else:
             await self._claims.mark_unknown(claim)
 
-    async def _answer_in_time(self, call: Call, profile: Profile) -> WebResponse:
+    async def _answer_before_deadline(
+        self, call: Call, profile: Profile
+    ) -> WebResponse:
         attempts = CallAttempts(call)
         left = call.deadline - self._clock()
         if left <= 0:
-            raise attempts.give_up()
+            raise attempts.build_deadline_error()
         try:
             async with curio.timeout_after(left):
-                return await self._try_until_answered(attempts, profile)
+                return await self._attempt_until_answered(attempts, profile)
         except curio.TaskTimeout:
-            response = await self._give_up(attempts)
+            response = await self._withdraw(attempts)
             if response is None:
-                raise attempts.give_up() from None
+                raise attempts.build_deadline_error() from None
             return response
         except RequestError:
             raise
         except Exception as error:
-            # The web server would tell ``not_run`` of any error it does not
-            # know, also of one that came up after a runner had the request.
+            # The web server reports ``not_run`` for any unknown error, also for
+            # one raised after a runner had received the request.
             log.exception("entry: dispatch failed")
-            raise attempts.fail(type(error).__name__) from error
+            raise attempts.build_internal_error(type(error).__name__) from error
 
-    async def _give_up(self, attempts: CallAttempts) -> WebResponse | None:
-        """Withdraw the open attempt; return its answer if it has just come."""
+    async def _withdraw(self, attempts: CallAttempts) -> WebResponse | None:
+        """Withdraw the open attempt; return its answer if it has just arrived."""
         session, pending = attempts.session, attempts.pending
         if session is None or pending is None:
             return None
         answer = pending.answer
         if answer is None:
-            await session.post(Withdraw(pending.request_id))
+            await session.enqueue(Withdraw(pending.request_id))
             return None
         attempts.end()
         if isinstance(answer, Response):
             return self._build_response(attempts, answer)
-        attempts.note_answer(session.node, answer)
+        attempts.record_answer(session.node, answer)
         return None
 
-    async def _try_until_answered(
+    async def _attempt_until_answered(
         self, attempts: CallAttempts, profile: Profile
     ) -> WebResponse:
         budget = self._services.find_budget(attempts.call.service, profile)
@@ -245,10 +249,10 @@
     async def _attempt(
         self, attempts: CallAttempts, candidate: Candidate
     ) -> Answer | None:
-        """Hand the call to one agent; return its answer, None when it never left."""
+        """Send the call to one agent; return its answer, None if it was not sent."""
         session = self._sessions.get(candidate.node)
         if session is None:
-            attempts.note_unsent(candidate.node, "no link to the agent")
+            attempts.record_unsent(candidate.node, "no link to the agent")
             return None
         pending = session.open_request()
         candidate.outstanding += 1
@@ -259,17 +263,17 @@
                 await session.send(message)
             except LinkClosedError as error:
                 attempts.end()
-                attempts.note_unsent(candidate.node, error.detail)
+                attempts.record_unsent(candidate.node, error.detail)
                 return None
             answer = await pending.wait()
         finally:
             candidate.outstanding -= 1
             session.close_request(pending)
         attempts.end()
-        self._note_answer(attempts, candidate, answer)
+        self._record_answer(attempts, candidate, answer)
         return answer
 
-    def _note_answer(
+    def _record_answer(
         self, attempts: CallAttempts, candidate: Candidate, answer: Answer
     ) -> None:
         now = self._clock()
@@ -283,10 +287,10 @@
             candidate.note_refusal(now, retry_after, random.random())
         else:
             candidate.note_failure(now)
-        attempts.note_answer(candidate.node, answer)
+        attempts.record_answer(candidate.node, answer)
 
     def _build_request(self, call: Call, request_id: int) -> Request:
-        left = max(SHORTEST_BUDGET_S, call.deadline - self._clock())
+        left = max(MIN_BUDGET_S, call.deadline - self._clock())
         return Request(
             request_id=request_id,
             service=call.service,
@@ -305,7 +309,7 @@
 
 
 def create_dispatcher(
-    parts: DispatchParts, clock: Callable[[], float] = time.monotonic
+    components: DispatcherComponents, clock: Callable[[], float] = time.monotonic
 ) -> Dispatcher:
-    """Return a dispatcher with nothing in flight."""
-    return Dispatcher(parts, clock)
+    """Return a dispatcher without open requests."""
+    return Dispatcher(components, clock)
--- a/pistachiodeal/entry/evidence.py
+++ b/pistachiodeal/entry/interference.py
@@ -1,4 +1,4 @@
-"""Passes on between agents what each learnt of services beside kinds of task."""
+"""Shares between agents the measured interference of tasks with services."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 HALF_LIFE_S = 600.0
 PAIR_LIMIT = 512
 RECENT_LIMIT = 4096
-GREETED_LIMIT = 10_000
-SMALLEST_WEIGHT_MILLI = 1
+KNOWN_AGENTS_LIMIT = 10_000
+MIN_WEIGHT_MILLI = 1
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,7 +24,10 @@
 
 @dataclass(slots=True)
 class _Total:
-    """Decaying sum of a pair's evidence, in thousandths, as of a time."""
+    """Exponentially decaying sum of a pair's evidence, in thousandths.
+
+    :ivar at: monotonic time up to which the sums have been decayed.
+    """
 
     at: float
     slowdown: float = 0.0
@@ -42,36 +45,37 @@
         self.weight += pair.weight_milli
 
 
-class EvidenceRelay:
-    """Collects evidence, and hands each agent what the others sent.
+class InterferenceRelay:
+    """Collects evidence from agents and forwards it to all other agents.
 
-    An agent must not get its own evidence back: it would count it twice, and
-    again at each round, until one early measurement outweighed all later ones.
+    An agent must not receive its own evidence: it would count it twice, and
+    again in each round, until one early measurement outweighed all later ones.
     """
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
         self._recent: deque[_Item] = deque(maxlen=RECENT_LIMIT)
         self._totals: dict[tuple[str, str], _Total] = {}
-        self._greeted: dict[str, int] = {}
+        self._incarnations: dict[str, int] = {}
 
     def accept(self, node: str, evidence: Evidence) -> None:
-        """Take an agent's new evidence."""
+        """Add an agent's new evidence."""
         now = self._clock()
         for pair in evidence.pairs[:PAIR_LIMIT]:
             self._recent.append(_Item(node, pair))
             self._add_total(pair, now)
 
-    def greet(self, node: str, incarnation: int) -> Evidence | None:
-        """Return all that is known for an agent that has just started.
+    def build_initial(self, node: str, incarnation: int) -> Evidence | None:
+        """Return all known evidence for an agent that has just started.
 
-        :param incarnation: an agent that merely dialled again gets nothing.
+        :param incarnation: an agent that reconnects with the same incarnation
+            gets None.
         """
-        if self._greeted.get(node) == incarnation:
+        if self._incarnations.get(node) == incarnation:
             return None
-        if len(self._greeted) >= GREETED_LIMIT:
-            self._greeted.clear()
-        self._greeted[node] = incarnation
+        if len(self._incarnations) >= KNOWN_AGENTS_LIMIT:
+            self._incarnations.clear()
+        self._incarnations[node] = incarnation
         now = self._clock()
         for total in self._totals.values():
             total.decay(now)
@@ -94,7 +98,7 @@
         return _build_evidence(PairEvidence(*key, *sum_) for key, sum_ in sums.items())
 
     def end_round(self) -> None:
-        """Forget what was handed on."""
+        """Drop the evidence that was forwarded in this round."""
         self._recent.clear()
 
     def _add_total(self, pair: PairEvidence, now: float) -> None:
@@ -111,12 +115,12 @@
 
 
 def _build_evidence(pairs: Iterable[PairEvidence]) -> Evidence | None:
-    kept = [pair for pair in pairs if pair.weight_milli >= SMALLEST_WEIGHT_MILLI]
+    kept = [pair for pair in pairs if pair.weight_milli >= MIN_WEIGHT_MILLI]
     return Evidence(tuple(kept[:PAIR_LIMIT])) if kept else None
 
 
-def create_evidence_relay(
+def create_interference_relay(
     clock: Callable[[], float] = time.monotonic,
-) -> EvidenceRelay:
-    """Return a relay that has nothing to hand on."""
-    return EvidenceRelay(clock)
+) -> InterferenceRelay:
+    """Return a relay without evidence."""
+    return InterferenceRelay(clock)
--- a/pistachiodeal/entry/links.py
+++ b/pistachiodeal/entry/links.py
@@ -1,4 +1,4 @@
-"""The internal port: accepts links, and serves each by one task that reads it."""
+"""The internal port: accepts links and serves each one in a task of its own."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 from curio.io import Socket
 from logbook import Logger
 
-from pistachiodeal.entry.evidence import EvidenceRelay
-from pistachiodeal.entry.forwarding import Forwarding
+from pistachiodeal.entry.forwarding import ForwardedRequestServer
 from pistachiodeal.entry.inbox import BatchInbox
+from pistachiodeal.entry.interference import InterferenceRelay
 from pistachiodeal.entry.protocols import TaskService
 from pistachiodeal.entry.pushing import Pusher
 from pistachiodeal.entry.sessions import Session, SessionTable
@@ -46,14 +46,14 @@
 
 LINK_LIMIT = 4096
 ACCEPT_PAUSE_S = 0.1
-GOODBYE_S = 0.2
+GOODBYE_TIMEOUT_S = 0.2
 ANSWERS = (Response, Refusal, Failure)
 TASK_MESSAGES = (StartRefused, TaskEnded)
 
 
 @dataclass(frozen=True, slots=True)
-class LinkParts:
-    """What the internal port works with."""
+class LinkServerComponents:
+    """The collaborators of the link server."""
 
     identity: Identity
     secret: str
@@ -61,27 +61,29 @@
     sessions: SessionTable
     targets: TargetTable
     batch: TaskService
-    keeper: ProfileKeeper
+    profiles: ProfileKeeper
     pusher: Pusher
-    evidence: EvidenceRelay
+    evidence: InterferenceRelay
     metrics: Metrics
 
 
 class LinkServer:
-    """Serves the internal port until cancelled."""
+    """Accepts and serves the links of agents and other entries."""
 
-    def __init__(self, listener: stdlib_socket.socket, parts: LinkParts) -> None:
+    def __init__(
+        self, listener: stdlib_socket.socket, components: LinkServerComponents
+    ) -> None:
         self._listener = listener
-        self._identity = parts.identity
-        self._secret = parts.secret
-        self._timings = parts.timings
-        self._sessions = parts.sessions
-        self._targets = parts.targets
-        self._batch = parts.batch
-        self._keeper = parts.keeper
-        self._pusher = parts.pusher
-        self._evidence = parts.evidence
-        self._metrics = parts.metrics
+        self._identity = components.identity
+        self._secret = components.secret
+        self._timings = components.timings
+        self._sessions = components.sessions
+        self._targets = components.targets
+        self._batch = components.batch
+        self._profiles = components.profiles
+        self._pusher = components.pusher
+        self._evidence = components.evidence
+        self._metrics = components.metrics
         self._tasks: set[curio.Task] = set()
         self._entries: set[Session] = set()
 
@@ -91,7 +93,7 @@
         return self._listener.getsockname()[1]
 
     async def run(self) -> None:
-        """Accept links; cancelling this ends them all."""
+        """Accept links until cancelled, which closes them all."""
         listener = Socket(self._listener)
         try:
             while True:
@@ -100,19 +102,19 @@
             while self._tasks:
                 await self._tasks.pop().cancel()
 
-    async def say_goodbye(self, reason: str) -> None:
-        """Tell all peers that nothing new should come here."""
+    async def send_goodbye(self, reason: str) -> None:
+        """Tell all peers to send nothing new to this entry."""
         goodbye = Goodbye(reason)
         for session in (*self._sessions.list_all(), *self._entries):
             with suppress(LinkClosedError):
-                await curio.ignore_after(GOODBYE_S, session.send, goodbye)
+                await curio.ignore_after(GOODBYE_TIMEOUT_S, session.send, goodbye)
 
     async def _accept(self, listener: Socket) -> None:
         try:
             sock, _ = await listener.accept()
         except OSError as error:
-            # Out of descriptors, for example: without the pause this loop would
-            # take a whole processor and starve those who could free some.
+            # For example, no file descriptors are left. Without the pause this loop
+            # would use a whole core and starve the tasks that could free some.
             log.error("entry: accept failed: {!r}", error)
             await curio.sleep(ACCEPT_PAUSE_S)
             return
@@ -133,13 +135,13 @@
             log.info("entry: link ended: {}", error)
         except Exception:
             self._metrics.count("entry.link_error.internal")
-            log.exception("entry: link task failed")
+            log.exception("entry: task serving a link failed")
         finally:
             await sock.close()
             self._tasks.discard(await curio.current_task())
 
     async def _serve_link(self, link: Link) -> None:
-        # The handshake lets no other roles in than these two.
+        # The handshake accepts only these two roles.
         if link.peer.role == AGENT_ROLE:
             await self._serve_agent(link)
         else:
@@ -148,8 +150,8 @@
     async def _serve_entry(self, link: Link) -> None:
         session = Session(link, await curio.current_task(), 0.0)
         self._entries.add(session)
-        forwarding = Forwarding(session, self._batch.handle_forwarded)
-        outbox = await curio.spawn(self._run_part, session.run_outbox, daemon=True)
+        forwarding = ForwardedRequestServer(session, self._batch.handle_forwarded)
+        outbox = await curio.spawn(self._run_helper, session.run_outbox, daemon=True)
         try:
             while True:
                 message = await link.receive()
@@ -163,28 +165,28 @@
     async def _serve_agent(self, link: Link) -> None:
         session = await self._open(link)
         inbox = BatchInbox(session, self._batch)
-        parts = [
-            await curio.spawn(self._run_part, session.run_outbox, daemon=True),
-            await curio.spawn(self._run_part, inbox.run, daemon=True),
+        helpers = [
+            await curio.spawn(self._run_helper, session.run_outbox, daemon=True),
+            await curio.spawn(self._run_helper, inbox.run, daemon=True),
         ]
         detail = "the link was closed"
         try:
-            await self._pusher.greet(session)
+            await self._pusher.on_open(session)
             while True:
                 await self._receive(session, inbox, await link.receive())
         except PistachiodealError as error:
             detail = error.detail
             raise
         finally:
-            for part in parts:
-                await part.cancel()
+            for helper in helpers:
+                await helper.cancel()
             await self._close(session, detail)
 
-    async def _run_part(self, part: Callable[[], Awaitable[None]]) -> None:
-        """Run a helper task of a link; a failure of it closes nothing else."""
+    async def _run_helper(self, helper: Callable[[], Awaitable[None]]) -> None:
+        """Run a helper task of a link and restart it on errors; the link stays open."""
         while True:
             try:
-                await part()
+                await helper()
             except LinkClosedError:
                 return
             except Exception:
@@ -197,9 +199,11 @@
             same_process = earlier.incarnation == session.incarnation
             session.draining = earlier.draining and same_process
             self._batch.session_closed(earlier)
-            log.notice("entry: new link of {} replaces the older one", session.node)
+            log.notice(
+                "entry: new link of agent {} replaces the previous one", session.node
+            )
         else:
-            log.notice("entry: agent {} joined", session.node)
+            log.notice("entry: agent {} connected", session.node)
         self._batch.session_opened(session)
         return session
 
@@ -217,21 +221,21 @@
             if not await session.resolve(message.request_id, message):
                 self._metrics.count("entry.late_answers")
         elif session.retired:
-            # Its successor says the same; a report from an older link may be
-            # older than what the newer one brought.
+            # The newer link carries the same messages; a report on the older link
+            # may be outdated.
             return
         elif isinstance(message, Report):
-            await self._receive_report(session, inbox, message)
+            await self._handle_report(session, inbox, message)
         elif isinstance(message, TASK_MESSAGES):
-            await self._put(inbox, message)
+            await self._enqueue(inbox, message)
         elif isinstance(message, Policies):
-            self._keeper.merge(message.parts)
+            self._profiles.merge(message.parts)
         elif isinstance(message, Evidence):
             self._evidence.accept(session.node, message)
         elif isinstance(message, Goodbye):
-            self._receive_goodbye(session, message)
+            self._handle_goodbye(session, message)
 
-    async def _receive_report(
+    async def _handle_report(
         self, session: Session, inbox: BatchInbox, report: Report
     ) -> None:
         session.report = report
@@ -246,15 +250,15 @@
                 await self._pusher.push_services(session, added)
         else:
             self._withdraw_targets(session)
-        await self._put(inbox, report)
+        await self._enqueue(inbox, report)
 
-    async def _put(
+    async def _enqueue(
         self, inbox: BatchInbox, message: Report | StartRefused | TaskEnded
     ) -> None:
         if not await inbox.put(message):
             self._metrics.count("entry.task_messages_dropped")
 
-    def _receive_goodbye(self, session: Session, goodbye: Goodbye) -> None:
+    def _handle_goodbye(self, session: Session, goodbye: Goodbye) -> None:
         log.notice("entry: agent {} is leaving: {}", session.node, goodbye.reason)
         session.draining = True
         self._withdraw_targets(session)
--- a/pistachiodeal/entry/pushing.py
+++ b/pistachiodeal/entry/pushing.py
@@ -1,4 +1,4 @@
-"""Tells agents of entries, partition owners, policies and shared evidence."""
+"""Pushes the directory, policies and interference evidence to agents."""
 
 from __future__ import annotations
 
@@ -7,35 +7,35 @@
 
 import curio
 
-from pistachiodeal.entry.evidence import EvidenceRelay
+from pistachiodeal.entry.interference import InterferenceRelay
 from pistachiodeal.entry.sessions import Session, SessionTable
 from pistachiodeal.profiles.keeper import ProfileKeeper
 from pistachiodeal.wire.identity import AGENT_ROLE
 from pistachiodeal.wire.messages import Directory, Policies
 
-LOOK_S = 0.1
-# A link loses nothing while it is up, so the repeat only guards against a fault of
-# our own. Each 3 s it was half a megabyte a second for an agent at 160 entries.
-DIRECTORY_S = 60.0
-EVIDENCE_S = 5.0
+PUSH_INTERVAL_S = 0.1
+# A link loses no messages while it is up, so resending only guards against bugs.
+# Sent every 3 s, directories of 160 entries cost an agent half a megabyte a second.
+DIRECTORY_RESEND_S = 60.0
+EVIDENCE_INTERVAL_S = 5.0
 
 
 class Pusher:
-    """Sends every agent what changed; a child of the entry's supervisor.
+    """Sends changes to every agent; runs as a child of the entry's supervisor.
 
-    :param read_directory: returns the entries and owners as known now.
+    :param read_directory: returns the known entries and owners of partitions.
     """
 
     def __init__(
         self,
         sessions: SessionTable,
-        keeper: ProfileKeeper,
-        evidence: EvidenceRelay,
+        profiles: ProfileKeeper,
+        evidence: InterferenceRelay,
         read_directory: Callable[[], Directory],
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self._sessions = sessions
-        self._keeper = keeper
+        self._profiles = profiles
         self._evidence = evidence
         self._read_directory = read_directory
         self._clock = clock
@@ -44,31 +44,31 @@
         self._directory_at = clock()
         self._evidence_at = clock()
 
-    def note_changes(self, services: set[str]) -> None:
-        """Have the policies of these services sent to who hosts them."""
+    def queue_policies(self, services: set[str]) -> None:
+        """Queue the policies of services for the agents that host these."""
         self._changed |= services
 
-    async def greet(self, session: Session) -> None:
-        """Send the directory, and all evidence, to an agent's new link."""
-        await session.post(self._read_directory())
-        evidence = self._evidence.greet(session.node, session.incarnation)
+    async def on_open(self, session: Session) -> None:
+        """Send the directory and all evidence on an agent's new link."""
+        await session.enqueue(self._read_directory())
+        evidence = self._evidence.build_initial(session.node, session.incarnation)
         if evidence is not None:
-            await session.post(evidence)
+            await session.enqueue(evidence)
 
     async def push_services(self, session: Session, services: frozenset[str]) -> None:
-        """Send the policies in force of services that an agent hosts."""
-        parts = self._keeper.parts(services)
+        """Send an agent the current policies of services that it hosts."""
+        parts = self._profiles.parts(services)
         if parts:
-            await session.post(Policies(parts))
+            await session.enqueue(Policies(parts))
 
     async def run(self) -> None:
-        """Look for changes until cancelled."""
+        """Push changes periodically until cancelled."""
         while True:
             await self.push_once()
-            await curio.sleep(LOOK_S)
+            await curio.sleep(PUSH_INTERVAL_S)
 
     async def push_once(self) -> None:
-        """Send what changed since the last look."""
+        """Send all changes since the previous call."""
         now = self._clock()
         await self._push_policies()
         await self._push_directory(now)
@@ -86,20 +86,23 @@
 
     async def _push_directory(self, now: float) -> None:
         directory = self._read_directory()
-        if directory == self._directory and now - self._directory_at < DIRECTORY_S:
+        if (
+            directory == self._directory
+            and now - self._directory_at < DIRECTORY_RESEND_S
+        ):
             return
         self._directory = directory
         self._directory_at = now
         for session in self._sessions:
             if session.role == AGENT_ROLE:
-                await session.post(directory)
+                await session.enqueue(directory)
 
     async def _push_evidence(self, now: float) -> None:
-        if now - self._evidence_at < EVIDENCE_S:
+        if now - self._evidence_at < EVIDENCE_INTERVAL_S:
             return
         self._evidence_at = now
         for session in self._sessions:
             evidence = self._evidence.build_for(session.node)
             if evidence is not None and session.role == AGENT_ROLE:
-                await session.post(evidence)
+                await session.enqueue(evidence)
         self._evidence.end_round()
--- a/pistachiodeal/entry/front.py
+++ b/pistachiodeal/entry/router.py
@@ -1,4 +1,4 @@
-"""Where each HTTP request goes: operators, batch tasks, or a service."""
+"""Routes HTTP requests to the operator API, the batch service or a service."""
 
 from __future__ import annotations
 
@@ -27,11 +27,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FrontParts:
-    """What answers the requests.
+class RouterComponents:
+    """The handlers that requests are routed to.
 
     :param read_status: builds the status document.
-    :param is_draining: tells whether this process is leaving.
+    :param is_draining: returns whether this process is shutting down.
     """
 
     operator_token: str
@@ -43,27 +43,30 @@
     is_draining: Callable[[], bool]
 
 
-class Front:
-    """Routes by the first part of the path."""
+class HttpRouter:
+    """Routes requests by the first segment of the path."""
 
-    def __init__(self, parts: FrontParts) -> None:
-        self._token = parts.operator_token.encode()
-        self._dispatcher = parts.dispatcher
-        self._batch = parts.batch
-        self._profiles = parts.profiles
-        self._histograms = parts.histograms
-        self._read_status = parts.read_status
-        self._is_draining = parts.is_draining
+    def __init__(self, components: RouterComponents) -> None:
+        self._token = components.operator_token.encode()
+        self._dispatcher = components.dispatcher
+        self._batch = components.batch
+        self._profiles = components.profiles
+        self._histograms = components.histograms
+        self._read_status = components.read_status
+        self._is_draining = components.is_draining
 
     async def handle(self, request: WebRequest) -> WebResponse:
         """Answer one request.
 
-        :raises RequestError: turned into a problem document by the web server.
+        :raises RequestError: the web server turns it into a problem document.
         """
         path = request.path
         if not path.startswith("/"):
             raise RequestError(
-                "the target is no path", code="bad_target", status=400, step=STEP
+                "the target is no path",
+                code="bad_target",
+                status=400,
+                step=STEP,
             )
         first = path[1:].partition("/")[0]
         if first == OPERATORS:
@@ -95,7 +98,7 @@
         return build_json(OK, await self._histograms.collect_document())
 
     def _answer_health(self) -> WebResponse:
-        """Answer the balancer, which has no token."""
+        """Answer the load balancer's health check, which needs no token."""
         if self._is_draining():
             return build_json(UNAVAILABLE, {"health": "draining"})
         return build_json(OK, {"health": "ok"})
@@ -103,8 +106,8 @@
     def _check_token(self, request: WebRequest) -> None:
         given = request.header("authorization")
         scheme, token = given[: len(BEARER)], given[len(BEARER) :]
-        # compare_digest takes the same time wherever the first difference is;
-        # with == a token could be guessed byte by byte from the answer times.
+        # compare_digest runs in constant time; with == a token could be guessed
+        # byte by byte from the response times.
         matches = hmac.compare_digest(token.encode(), self._token)
         if scheme.lower() != BEARER or not matches:
             raise RequestError(
@@ -115,6 +118,6 @@
             )
 
 
-def create_front(parts: FrontParts) -> Front:
+def create_router(components: RouterComponents) -> HttpRouter:
     """Return the router of an entry's HTTP port."""
-    return Front(parts)
+    return HttpRouter(components)
--- a/pistachiodeal/leader/leader_probe.py
+++ b/pistachiodeal/leader/leader_probe.py
@@ -6,7 +6,7 @@
 
 from pistachiodeal.leader.directory import hears_leader
 from pistachiodeal.leader.leader_row import LeaderRow
-from pistachiodeal.peers import PeerContext, ask_who_leads
+from pistachiodeal.peers import PeerContext, query_leader
 
 # A leader writes or reads its row at least every 0.65 s. A greater age than this means
 # that the store refuses the leader or answers slowly.
@@ -23,7 +23,7 @@
     others = peers.directory.list_others(peers.address, row.address)
     random.shuffle(others)
     for address in others:
-        notice = await ask_who_leads(peers, address)
+        notice = await query_leader(peers, address)
         if notice is None:
             continue
         fresh = notice.store_age_ms < STORE_AGE_LIMIT_S * 1000
--- a/tests/unit/test_commands.py
+++ b/tests/unit/test_commands.py
@@ -16,15 +16,15 @@
 from pistachiodeal.histograms import create_histograms
 from pistachiodeal.model.policies import Profile
 
-LOST = object()  # read the whole request, then close without an answer
+LOST = object()  # read the request, then close the connection without an answer
 
 
 @dataclass
 class FakeEntry:
-    """Gives scripted answers (status, headers, document) and notes the requests."""
+    """Gives scripted answers (status, headers, document) and records the requests."""
 
     answers: list[Any] = field(default_factory=list)
-    seen: list[tuple[str, str, dict[str, str], Any]] = field(default_factory=list)
+    requests: list[tuple[str, str, dict[str, str], Any]] = field(default_factory=list)
     address: str = ""
 
 
@@ -39,7 +39,7 @@
             body = self.rfile.read(int(self.headers.get("content-length") or 0))
             headers = {name.lower(): value for name, value in self.headers.items()}
             document = json.loads(body) if body else None
-            entry.seen.append((self.command, self.path, headers, document))
+            entry.requests.append((self.command, self.path, headers, document))
             answer = entry.answers.pop(0)
             if answer is LOST:
                 self.close_connection = True
@@ -87,26 +87,25 @@
 def test_a_revision_whose_answer_was_lost_is_not_sent_again(
     entries: list[FakeEntry], capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """Symptom: an operator is told of a conflict with their own change.
+    """Guards against reporting a conflict with the operator's own change.
 
-    Sequence: the first entry applies the revision and dies before it answers;
-    the command sends it to the second entry with the same If-Match, and loses.
-    Cause: a lost answer was taken for a request that was not carried out.
+    The first entry applies the revision and dies before it answers. If the command
+    then sent it to the second entry with the same If-Match, that would refuse it.
     """
     entries[0].answers = [show_profile(7), LOST]
     status = main(["profile", "revise", "desk", "--urgency", "4"])
     assert status == exit_codes.UNREACHABLE
     assert "outcome unknown" in capsys.readouterr().err
-    assert entries[1].seen == []
+    assert entries[1].requests == []
 
 
-def test_a_revision_keeps_other_fields_and_names_the_version_it_saw(
+def test_a_revision_keeps_other_fields_and_sends_the_version_it_read(
     entries: list[FakeEntry], capsys: pytest.CaptureFixture[str]
 ) -> None:
     lost_race = {"code": "precondition_failed", "detail": "it changed at version 9"}
     entries[0].answers = [show_profile(7), (412, {}, lost_race)]
     status = main(["profile", "revise", "desk", "--no-evict-batch", "--json"])
-    method, path, headers, document = entries[0].seen[1]
+    method, path, headers, document = entries[0].requests[1]
     assert (method, path) == ("PUT", "/-/profiles/desk")
     assert headers["if-match"] == '"7"'
     assert headers["authorization"] == "Bearer token-from-environment"
@@ -119,22 +118,21 @@
 def test_a_submission_whose_answer_was_lost_keeps_its_key(
     entries: list[FakeEntry], capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """Symptom: one command makes two tasks.
+    """Guards against one command that creates two tasks.
 
-    Sequence: the first entry takes the task in and dies before it answers; the
-    command submits it to the second entry.
-    Cause: the second submission had a key of its own.
+    The first entry accepts the task and dies before it answers; the command submits
+    it to the second entry, and must use the same key again.
     """
     entries[0].answers = [LOST]
     entries[1].answers = [(201, {}, {"id": "0001-a", "state": "queued"})]
     arguments = ["--kind", "press", "--team", "hall", "--profile", "batch"]
     assert main(["task", "submit", *arguments]) == exit_codes.OK
-    keys = {entry.seen[0][2]["idempotency-key"] for entry in entries}
+    keys = {entry.requests[0][2]["idempotency-key"] for entry in entries}
     assert len(keys) == 1
     assert "id: 0001-a" in capsys.readouterr().out
 
 
-def test_the_next_entry_is_asked_when_one_is_gone(
+def test_the_next_entry_is_called_when_one_is_draining(
     entries: list[FakeEntry], capsys: pytest.CaptureFixture[str]
 ) -> None:
     gone = (503, {"retry-after": "1"}, {"code": "draining", "outcome": "not_run"})
@@ -151,14 +149,14 @@
     status = main(["profile", "define", "Desk", *arguments])
     assert status == exit_codes.BAD_USAGE
     assert len(capsys.readouterr().err.splitlines()) == 5
-    assert entries[0].seen == []
+    assert entries[0].requests == []
 
 
 @pytest.mark.parametrize(
     ("http_status", "exit_status"),
     [(401, exit_codes.UNAUTHENTICATED), (404, exit_codes.NOT_FOUND), (500, 1)],
 )
-def test_an_answer_without_success_has_its_exit_status(
+def test_an_unsuccessful_answer_has_its_exit_status(
     entries: list[FakeEntry], http_status: int, exit_status: int
 ) -> None:
     entries[0].answers = [(http_status, {}, {"detail": "no"})]
--- a/tests/unit/test_entry_front.py
+++ b/tests/unit/test_entry_router.py
@@ -1,10 +1,10 @@
-"""Where HTTP requests go."""
+"""The router of an entry's HTTP port."""
 
 import curio
 import orjson
 import pytest
 
-from pistachiodeal.entry.front import FrontParts, create_front
+from pistachiodeal.entry.router import RouterComponents, create_router
 from pistachiodeal.exceptions import RequestError
 from pistachiodeal.histograms import create_histograms
 from pistachiodeal.web.messages import WebRequest, WebResponse
@@ -12,8 +12,8 @@
 TOKEN = "token-of-the-operators"
 
 
-class Named:
-    """Answers with its own name."""
+class NamedHandler:
+    """A handler that answers with its own name."""
 
     def __init__(self, name):
         self.name = name
@@ -23,19 +23,19 @@
 
 
 def call(target, *, token="", draining=False, method="GET"):
-    front = create_front(
-        FrontParts(
+    router = create_router(
+        RouterComponents(
             operator_token=TOKEN,
-            dispatcher=Named("service"),
-            batch=Named("tasks"),
-            profiles=Named("profiles"),
+            dispatcher=NamedHandler("service"),
+            batch=NamedHandler("tasks"),
+            profiles=NamedHandler("profiles"),
             histograms=create_histograms(),
             read_status=lambda: {"node": "e1"},
             is_draining=lambda: draining,
         )
     )
     headers = (("authorization", token),) if token else ()
-    return curio.run(front.handle, WebRequest(method, target, headers))
+    return curio.run(router.handle, WebRequest(method, target, headers))
 
 
 @pytest.mark.parametrize(
@@ -59,7 +59,7 @@
     assert caught.value.status == 401
 
 
-def test_operators_pages():
+def test_operator_pages():
     token = f"Bearer {TOKEN}"
     assert call("/-/profiles", token=token).body == b"profiles"
     assert call("/-/services/orders", token=token).body == b"profiles"
@@ -71,12 +71,12 @@
         assert caught.value.status == status
 
 
-def test_health_tells_the_balancer_of_a_drain():
+def test_health_check_fails_while_draining():
     assert call("/-/health").status == 200
     assert call("/-/health", draining=True).status == 503
 
 
-def test_target_that_is_no_path():
+def test_target_that_is_not_a_path_is_refused():
     with pytest.raises(RequestError) as caught:
         call("*")
     assert caught.value.code == "bad_target"
