--- a/bench/batch.py
+++ b/bench/batch.py
@@ -130,7 +130,7 @@
             cpu = int(kept * worker.capacity.cpu_milli)
             memory = int(kept * worker.capacity.memory_mib)
             others = worker.base
-            room += others - others.enlarge(Resources(cpu, memory))
+            room += others - others.elementwise_max(Resources(cpu, memory))
         teams = Counter({TEAM: len(worker.tasks)})
         return WorkerRoom(
             worker.name, worker.data_centre, worker.rack, worker.capacity, room, teams
--- a/bench/fakes.py
+++ b/bench/fakes.py
@@ -148,7 +148,7 @@
         for task in self.tasks.values():
             seen = self._memory_of(task, now - USAGE_LAG_S)
             used = Resources(round(task.cores * 1000), seen)
-            total += task.reserved.enlarge(used)
+            total += task.reserved.elementwise_max(used)
         return total
 
     def _memory_of(self, task: FakeTask, now: float) -> int:
--- a/bench/slopes/inner.py
+++ b/bench/slopes/inner.py
@@ -15,7 +15,7 @@
 from pistachiodeal.batch.membership import Membership
 from pistachiodeal.batch.ownership import choose_winner
 from pistachiodeal.batch.rows import EntryRow
-from pistachiodeal.claims.keeper import Claimed, ClaimKeeper, create_claim_keeper
+from pistachiodeal.claims.manager import Claimed, ClaimManager, create_claim_manager
 from pistachiodeal.model.policies import Profile
 from pistachiodeal.model.resources import Resources
 from pistachiodeal.profiles.document import (
@@ -24,7 +24,7 @@
     ServiceItem,
     encode_document,
 )
-from pistachiodeal.profiles.keeper import create_profile_keeper
+from pistachiodeal.profiles.manager import create_profile_manager
 from pistachiodeal.profiles.store import DOCUMENT_KEY, VERSION_KEY
 from pistachiodeal.web.messages import WebResponse
 from pistachiodeal.wire.codec import (
@@ -204,12 +204,14 @@
     document = _build_document(services)
     table.put(DOCUMENT_KEY, encode_document(document))
     table.put(VERSION_KEY, b"1")
-    keeper = create_profile_keeper(table, 1.0)
+    keeper = create_profile_manager(table, 1.0)
     await keeper.refresh()
     storing = taking = 0.0
     for _ in range(ROUNDS):
         with watch_cpu() as spent:
-            document = document.put_service("service-0", "profile-1").sign("0" * 16)
+            document = document.put_service("service-0", "profile-1").with_nonce(
+                "0" * 16
+            )
             value = encode_document(document)
         storing += spent.cpu_s
         table.put(DOCUMENT_KEY, value)
@@ -250,7 +252,7 @@
 
 async def _run_claims(count: int) -> tuple[float, float, float]:
     table = MemoryTable(0.005)
-    keeper = create_claim_keeper(table, node="e1", group_s=0.005, group_rows=100)
+    keeper = create_claim_manager(table, node="e1", group_s=0.005, group_rows=100)
     running = await curio.spawn(keeper.run, daemon=True)
     numbers = iter(range(count))
     with watch_cpu() as spent:
@@ -262,7 +264,7 @@
     return 1000 * spent.cpu_s, table.commits, table.bytes
 
 
-async def _claim_next(keeper: ClaimKeeper, numbers: Iterator[int]) -> None:
+async def _claim_next(keeper: ClaimManager, numbers: Iterator[int]) -> None:
     for number in numbers:
         claim = await keeper.claim("orders", f"caller/{number}", "f" * 32, 5.0)
         assert isinstance(claim, Claimed)
--- a/pistachiodeal/agent/ledger.py
+++ b/pistachiodeal/agent/ledger.py
@@ -54,7 +54,7 @@
         A reservation is only enlarged by this. When it takes a field of
         ``free`` below zero nothing more is accepted until enough has ended.
         """
-        self._set(name, size.enlarge(self._sizes.get(name, NOTHING)))
+        self._set(name, size.elementwise_max(self._sizes.get(name, NOTHING)))
 
     def release(self, name: str) -> None:
         """Give a reservation back, if there is one."""
--- a/pistachiodeal/agent/reporting.py
+++ b/pistachiodeal/agent/reporting.py
@@ -111,7 +111,7 @@
             beat=beat,
             draining=self.draining,
             capacity=self._tasks.ledger.capacity,
-            free=self._tasks.room.enlarge(Resources()),
+            free=self._tasks.room.elementwise_max(Resources()),
             services=tuple(self._list_loads()),
             tasks=self._tasks.refs(partitions),
         )
--- a/pistachiodeal/agent/watching.py
+++ b/pistachiodeal/agent/watching.py
@@ -86,7 +86,7 @@
             if held is None or held.ended or sample.at < held.started_at:
                 continue
             held.recent = sample.used
-            held.used = held.used.enlarge(sample.used)
+            held.used = held.used.elementwise_max(sample.used)
             if self._table.ledger.holds(held.name):
                 self._table.ledger.adopt(held.name, held.used)
 
--- a/pistachiodeal/batch/workers.py
+++ b/pistachiodeal/batch/workers.py
@@ -167,7 +167,7 @@
         """Return the largest capacity seen, field by field."""
         largest = Resources()
         for capacity in self._capacities.values():
-            largest = largest.enlarge(capacity)
+            largest = largest.elementwise_max(capacity)
         return largest
 
     def explain_misfit(self, size: Resources) -> str:
--- a/pistachiodeal/claims/keeper.py
+++ b/pistachiodeal/claims/manager.py
@@ -26,7 +26,7 @@
 DAY_S = 86_400
 
 
-class ClaimKeeper:
+class ClaimManager:
     """One process's claims."""
 
     def __init__(
@@ -196,7 +196,7 @@
         return build_unavailable(detail, retry_after, outcome)
 
 
-def create_claim_keeper(
+def create_claim_manager(
     table: Table,
     *,
     node: str,
@@ -205,8 +205,8 @@
     pause_s: float = PAUSE_S,
     claim_life_s: float = CLAIM_LIFE_S,
     clock: Callable[[], float] = time.monotonic,
-) -> ClaimKeeper:
-    """Return a keeper; :meth:`ClaimKeeper.run` must run beside it.
+) -> ClaimManager:
+    """Return a keeper; :meth:`ClaimManager.run` must run beside it.
 
     :param node: this entry's name, unique among entries.
     :param group_s: seconds to wait for more claims before a commit.
@@ -218,7 +218,7 @@
     committer = create_group_committer(
         table, group_s=group_s, group_rows=group_rows, pause_s=pause_s
     )
-    return ClaimKeeper(
+    return ClaimManager(
         table,
         committer,
         node=node,
--- a/pistachiodeal/entry/app.py
+++ b/pistachiodeal/entry/app.py
@@ -8,7 +8,7 @@
 import curio
 from logbook import Logger
 
-from pistachiodeal.claims.keeper import ClaimKeeper
+from pistachiodeal.claims.manager import ClaimManager
 from pistachiodeal.config.entry import EntrySettings
 from pistachiodeal.entry.dispatch import Dispatcher
 from pistachiodeal.entry.links import LinkServer
@@ -33,7 +33,7 @@
     web: WebServer
     links: LinkServer
     batch: TaskService
-    claims: ClaimKeeper
+    claims: ClaimManager
     dispatcher: Dispatcher
     histograms: Histograms
     draining: bool = False
--- a/pistachiodeal/entry/composition.py
+++ b/pistachiodeal/entry/composition.py
@@ -9,7 +9,7 @@
 from contextlib import asynccontextmanager, suppress
 
 from pistachiodeal.batch.service import BatchService, create_batch_service
-from pistachiodeal.claims.keeper import ClaimKeeper, create_claim_keeper
+from pistachiodeal.claims.manager import ClaimManager, create_claim_manager
 from pistachiodeal.config.entry import EntrySettings
 from pistachiodeal.entry.app import EntryApp
 from pistachiodeal.entry.dispatch import (
@@ -29,7 +29,7 @@
 from pistachiodeal.histograms import create_histograms
 from pistachiodeal.metrics import create_metrics
 from pistachiodeal.profiles.api import create_profile_api
-from pistachiodeal.profiles.keeper import create_profile_keeper
+from pistachiodeal.profiles.manager import create_profile_manager
 from pistachiodeal.routing.choice import create_least_loaded
 from pistachiodeal.store.http_objects import create_object_store
 from pistachiodeal.store.http_table import create_table
@@ -76,7 +76,7 @@
         self._histograms = create_histograms()
         self._sessions = create_session_table()
         self._targets = create_target_table()
-        self._keeper = create_profile_keeper(self._table, settings.profile_poll_s)
+        self._keeper = create_profile_manager(self._table, settings.profile_poll_s)
         self._claims = self._create_claims()
         self._dispatcher = self._create_dispatcher()
         self._web = self._create_web()
@@ -103,9 +103,9 @@
         self._front = self._create_front(app)
         return app
 
-    def _create_claims(self) -> ClaimKeeper:
+    def _create_claims(self) -> ClaimManager:
         store = self._settings.store
-        return create_claim_keeper(
+        return create_claim_manager(
             self._table,
             node=self._settings.node,
             group_s=store.group_s,
@@ -159,7 +159,7 @@
             self._keeper.profile,
             self._metrics,
             histograms=self._histograms,
-            refresh_profiles=self._keeper.refresh_quietly,
+            refresh_profiles=self._keeper.refresh_rate_limited,
         )
 
     def _build_internal_address(self) -> str:
--- a/pistachiodeal/entry/dispatch.py
+++ b/pistachiodeal/entry/dispatch.py
@@ -10,7 +10,7 @@
 import curio
 from logbook import Logger
 
-from pistachiodeal.claims.keeper import Claimed, ClaimKeeper, Replayed
+from pistachiodeal.claims.manager import Claimed, ClaimManager, Replayed
 from pistachiodeal.config.entry import RequestSettings
 from pistachiodeal.entry.attempts import DEADLINE, STEP_ROUTE, CallAttempts
 from pistachiodeal.entry.calls import (
@@ -54,7 +54,7 @@
     sessions: SessionTable
     targets: TargetTable
     services: ServiceTable
-    claims: ClaimKeeper
+    claims: ClaimManager
     chooser: Chooser
     metrics: Metrics
     histograms: Histograms
--- a/pistachiodeal/entry/links.py
+++ b/pistachiodeal/entry/links.py
@@ -25,7 +25,7 @@
     ProtocolError,
 )
 from pistachiodeal.metrics import Metrics
-from pistachiodeal.profiles.keeper import ProfileKeeper
+from pistachiodeal.profiles.manager import ProfileManager
 from pistachiodeal.wire.identity import AGENT_ROLE, Identity
 from pistachiodeal.wire.link import Link, LinkTimings
 from pistachiodeal.wire.messages import (
@@ -61,7 +61,7 @@
     sessions: SessionTable
     targets: TargetTable
     batch: TaskService
-    keeper: ProfileKeeper
+    keeper: ProfileManager
     pusher: Pusher
     evidence: EvidenceRelay
     metrics: Metrics
--- a/pistachiodeal/entry/pushing.py
+++ b/pistachiodeal/entry/pushing.py
@@ -9,7 +9,7 @@
 
 from pistachiodeal.entry.evidence import EvidenceRelay
 from pistachiodeal.entry.sessions import Session, SessionTable
-from pistachiodeal.profiles.keeper import ProfileKeeper
+from pistachiodeal.profiles.manager import ProfileManager
 from pistachiodeal.wire.identity import AGENT_ROLE
 from pistachiodeal.wire.messages import Directory, Policies
 
@@ -29,7 +29,7 @@
     def __init__(
         self,
         sessions: SessionTable,
-        keeper: ProfileKeeper,
+        keeper: ProfileManager,
         evidence: EvidenceRelay,
         read_directory: Callable[[], Directory],
         clock: Callable[[], float] = time.monotonic,
--- a/pistachiodeal/entry/services.py
+++ b/pistachiodeal/entry/services.py
@@ -7,7 +7,7 @@
 from pistachiodeal.entry.targets import TargetTable
 from pistachiodeal.exceptions import Outcome, RequestError
 from pistachiodeal.model.policies import Profile
-from pistachiodeal.profiles.keeper import ProfileKeeper
+from pistachiodeal.profiles.manager import ProfileManager
 from pistachiodeal.routing.budget import RetryBudget, create_retry_budget
 
 UNASSIGNED = Profile(name="unassigned")
@@ -20,7 +20,7 @@
     """Looks up services; one is known when assigned a profile, or announced."""
 
     def __init__(
-        self, keeper: ProfileKeeper, targets: TargetTable, clock: Callable[[], float]
+        self, keeper: ProfileManager, targets: TargetTable, clock: Callable[[], float]
     ) -> None:
         self._keeper = keeper
         self._targets = targets
--- a/pistachiodeal/entry/status.py
+++ b/pistachiodeal/entry/status.py
@@ -11,7 +11,7 @@
 from pistachiodeal.entry.sessions import Session, SessionTable
 from pistachiodeal.entry.targets import TargetTable
 from pistachiodeal.metrics import Metrics
-from pistachiodeal.profiles.keeper import ProfileKeeper
+from pistachiodeal.profiles.manager import ProfileManager
 from pistachiodeal.web.server import WebServer
 from pistachiodeal.wire.identity import Identity
 from pistachiodeal.wire.messages import ServiceLoad
@@ -28,7 +28,7 @@
     started_at: float
     sessions: SessionTable
     targets: TargetTable
-    keeper: ProfileKeeper
+    keeper: ProfileManager
     batch: TaskService
     dispatcher: Dispatcher
     web: WebServer
--- a/pistachiodeal/learning/sizes.py
+++ b/pistachiodeal/learning/sizes.py
@@ -74,7 +74,7 @@
         cpus = sorted(use.cpu_milli for use in learnt.uses)
         cpu = cpus[min(len(cpus) - 1, int(_CPU_QUANTILE * len(cpus)))]
         memory = max(use.memory_mib for use in learnt.uses)
-        return declared.enlarge(Resources(cpu, memory, 0))
+        return declared.elementwise_max(Resources(cpu, memory, 0))
 
     def run_s(self, team: str, kind: str) -> float | None:
         """Return the usual length of a run in seconds, None if never seen."""
--- a/pistachiodeal/model/resources.py
+++ b/pistachiodeal/model/resources.py
@@ -54,7 +54,7 @@
             )
         )
 
-    def enlarge(self, other: Resources) -> Resources:
+    def elementwise_max(self, other: Resources) -> Resources:
         """Return the larger of both amounts, field by field."""
         return Resources(
             max(self.cpu_milli, other.cpu_milli),
--- a/pistachiodeal/profiles/api.py
+++ b/pistachiodeal/profiles/api.py
@@ -24,7 +24,7 @@
     build_not_found,
 )
 from pistachiodeal.profiles.document import ProfileDocument, parse_profile
-from pistachiodeal.profiles.keeper import ProfileKeeper
+from pistachiodeal.profiles.manager import ProfileManager
 from pistachiodeal.profiles.parsing import (
     InvalidBodyError,
     build_tag,
@@ -52,7 +52,7 @@
 class ProfileApi:
     """Answers ``/-/profiles`` and ``/-/services``; the token is checked before."""
 
-    def __init__(self, store: ProfileStore, keeper: ProfileKeeper) -> None:
+    def __init__(self, store: ProfileStore, keeper: ProfileManager) -> None:
         self._store = store
         self._keeper = keeper
 
@@ -223,6 +223,6 @@
     return WebResponse(problem.status, problem.headers, orjson.dumps(document))
 
 
-def create_profile_api(table: Table, keeper: ProfileKeeper) -> ProfileApi:
+def create_profile_api(table: Table, keeper: ProfileManager) -> ProfileApi:
     """Return the operators' HTTP over this table."""
     return ProfileApi(create_profile_store(table), keeper)
--- a/pistachiodeal/profiles/document.py
+++ b/pistachiodeal/profiles/document.py
@@ -73,7 +73,7 @@
         services = {key: item for key, item in self.services.items() if key != service}
         return replace(self, version=self.version + 1, services=services)
 
-    def sign(self, nonce: str) -> ProfileDocument:
+    def with_nonce(self, nonce: str) -> ProfileDocument:
         """Return the same version with its change's nonce noted."""
         return replace(self, recent=(*self.recent, nonce)[-HISTORY:])
 
--- a/pistachiodeal/profiles/keeper.py
+++ b/pistachiodeal/profiles/manager.py
@@ -30,7 +30,7 @@
     """Do nothing with a change."""
 
 
-class ProfileKeeper:
+class ProfileManager:
     """Holds the newest document and the policies in force.
 
     :ivar on_change: called with the services whose policy changed.
@@ -146,7 +146,7 @@
             log.notice("profiles: table answers again")
         self._failing = False
 
-    async def refresh_quietly(self) -> None:
+    async def refresh_rate_limited(self) -> None:
         """Look at the table unless that was done just now; failures are logged.
 
         Many callers who name a profile that does not exist must not cost a read
@@ -189,9 +189,9 @@
         return policies
 
 
-def create_profile_keeper(table: Table, poll_s: float) -> ProfileKeeper:
+def create_profile_manager(table: Table, poll_s: float) -> ProfileManager:
     """Return a keeper that has seen nothing yet.
 
     :param poll_s: mean seconds between two looks at the table.
     """
-    return ProfileKeeper(create_profile_store(table), create_policy_cache(), poll_s)
+    return ProfileManager(create_profile_store(table), create_policy_cache(), poll_s)
--- a/pistachiodeal/profiles/store.py
+++ b/pistachiodeal/profiles/store.py
@@ -126,7 +126,7 @@
             if made:
                 return Accepted(made, document)
             self._settle_lost(attempt, document)
-        target = change.apply(document, attempt.raced).sign(attempt.nonce)
+        target = change.apply(document, attempt.raced).with_nonce(attempt.nonce)
         writes = [
             Write(DOCUMENT_KEY, encode_document(target), stored.row_version),
             Write(VERSION_KEY, str(target.version).encode(), ANY_VERSION),
--- a/tests/unit/test_agent_guarding.py
+++ b/tests/unit/test_agent_guarding.py
@@ -86,7 +86,7 @@
         used = Resources(100, 7000, 0)
         stale = UsageSample(TASK, bench.now - 1, CAPACITY)
         bench.keeper._watcher.note_usage([stale, UsageSample(TASK, bench.now, used)])
-        assert bench.keeper.room == CAPACITY - used.enlarge(SIZE)
+        assert bench.keeper.room == CAPACITY - used.elementwise_max(SIZE)
         await bench.settle(build_start(task_id="0003-b"))
         assert [refused.code for refused in await bench.send()] == ["no_room"]
 
--- a/tests/unit/test_claims.py
+++ b/tests/unit/test_claims.py
@@ -5,7 +5,7 @@
 import curio
 import pytest
 
-from pistachiodeal.claims.keeper import Claimed, Replayed, create_claim_keeper
+from pistachiodeal.claims.manager import Claimed, Replayed, create_claim_manager
 from pistachiodeal.claims.rows import REPLAY_BODY_BYTES
 from pistachiodeal.exceptions import Outcome, RequestError
 from pistachiodeal.web.messages import WebResponse
@@ -16,7 +16,7 @@
 
 @asynccontextmanager
 async def run_keeper(table, node="e1", **options):
-    keeper = create_claim_keeper(
+    keeper = create_claim_manager(
         table, node=node, group_s=0, group_rows=10, pause_s=0, **options
     )
     runner = await curio.spawn(keeper.run)
--- a/tests/unit/test_entry_dispatch.py
+++ b/tests/unit/test_entry_dispatch.py
@@ -6,7 +6,7 @@
 import curio
 import pytest
 
-from pistachiodeal.claims.keeper import Claimed, Replayed
+from pistachiodeal.claims.manager import Claimed, Replayed
 from pistachiodeal.config.entry import RequestSettings
 from pistachiodeal.entry.dispatch import DispatchParts, create_dispatcher
 from pistachiodeal.entry.services import ServiceTable
--- a/tests/unit/test_fuzz_claims.py
+++ b/tests/unit/test_fuzz_claims.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from pistachiodeal.claims.keeper import Claimed, Replayed, create_claim_keeper
+from pistachiodeal.claims.manager import Claimed, Replayed, create_claim_manager
 from pistachiodeal.claims.rows import build_row_key
 from pistachiodeal.exceptions import Outcome, RequestError
 from pistachiodeal.web.messages import WebResponse
@@ -42,7 +42,7 @@
             self.start(node)
 
     def start(self, node):
-        keeper = create_claim_keeper(
+        keeper = create_claim_manager(
             self.table, node=f"e{node}", group_s=0, group_rows=3, pause_s=0
         )
         self.keepers[node] = keeper
--- a/tests/unit/test_fuzz_profiles.py
+++ b/tests/unit/test_fuzz_profiles.py
@@ -16,7 +16,7 @@
     RetireProfile,
 )
 from pistachiodeal.profiles.document import decode_document
-from pistachiodeal.profiles.keeper import create_profile_keeper
+from pistachiodeal.profiles.manager import create_profile_manager
 from pistachiodeal.profiles.store import DOCUMENT_KEY, create_profile_store
 from tests.unit.fake_table import FakeTable, Fault
 
@@ -33,7 +33,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.table = FakeTable()
-        self.keepers = [create_profile_keeper(self.table, 1.0) for _ in range(2)]
+        self.keepers = [create_profile_manager(self.table, 1.0) for _ in range(2)]
         self.agent = create_policy_cache()
         self.told = []  # parts that were sent at some time, which may come late
         self.highest = [{}, {}, {}]
@@ -91,7 +91,7 @@
 
     @rule(which=st.integers(0, 1))
     def restart(self, which):
-        self.keepers[which] = create_profile_keeper(self.table, 1.0)
+        self.keepers[which] = create_profile_manager(self.table, 1.0)
         self.highest[which] = {}
 
     @rule(which=st.integers(0, 1))
--- a/tests/unit/test_profiles.py
+++ b/tests/unit/test_profiles.py
@@ -7,7 +7,7 @@
 from pistachiodeal.model.policies import Profile, ServicePolicy
 from pistachiodeal.profiles.api import create_profile_api
 from pistachiodeal.profiles.cache import create_policy_cache
-from pistachiodeal.profiles.keeper import create_profile_keeper
+from pistachiodeal.profiles.manager import create_profile_manager
 from pistachiodeal.web.messages import WebRequest
 from pistachiodeal.wire.messages import PolicyPart
 from tests.unit.fake_table import FakeTable, Fault
@@ -17,7 +17,7 @@
     """Calls one entry's API."""
 
     def __init__(self, table):
-        self.keeper = create_profile_keeper(table, 1.0)
+        self.keeper = create_profile_manager(table, 1.0)
         self.api = create_profile_api(table, self.keeper)
 
     async def call(self, method, path, body=None, **headers):
@@ -147,7 +147,7 @@
         old = agent.parts(["orders"])
         await one.call("PUT", "profiles/counter", {}, if_match='"1"')
         agent.merge(one.keeper.parts(["orders"]))
-        started = create_profile_keeper(table, 1.0)
+        started = create_profile_manager(table, 1.0)
         changes = []
         started.on_change = changes.append
         assert started.merge(agent.parts(["orders"])) == {"orders"}
@@ -163,7 +163,7 @@
         assert agent.policy("orders") is None
         assert agent.merge(old) == set()
         # an entry that never knew the service says that it is gone, too
-        fresh = create_profile_keeper(table, 1.0)
+        fresh = create_profile_manager(table, 1.0)
         await fresh.refresh()
         assert fresh.parts(["orders"]) == (PolicyPart("orders", 5, ""),)
         assert fresh.merge(old) == set()
