--- a/pistachiodeal/claims/__init__.py
+++ b/pistachiodeal/claims/__init__.py
@@ -1,1 +1,1 @@
-"""Claims: requests that must not be repeated run at most once."""
+"""Idempotency keys: a request with a claimed key runs at most once."""
--- a/pistachiodeal/claims/answers.py
+++ b/pistachiodeal/claims/answers.py
@@ -1,10 +1,10 @@
-"""What a repeat of a claimed key is told."""
+"""Answers and errors for requests that repeat a claimed idempotency key."""
 
 from __future__ import annotations
 
 import logbook
 
-from pistachiodeal.claims.claimants import ClaimantWatch
+from pistachiodeal.claims.liveness import ClaimantLiveness
 from pistachiodeal.claims.rows import ClaimRow, ClaimState, decode_row
 from pistachiodeal.exceptions import Outcome, RequestError
 from pistachiodeal.store.protocols import Row
@@ -18,13 +18,13 @@
 
 
 def check_fingerprint(row: ClaimRow, fingerprint: str) -> None:
-    """Refuse a key that belongs to another request.
+    """Refuse an idempotency key that was used for a different request.
 
-    :raises RequestError: 422.
+    :raises RequestError: 422, the fingerprints differ.
     """
     if row.fingerprint != fingerprint:
         raise RequestError(
-            "idempotency key was used for another request",
+            "idempotency key was already used for a different request",
             code="key_reused",
             status=422,
             outcome=Outcome.NOT_RUN,
@@ -33,13 +33,13 @@
 
 
 def build_replay(row: ClaimRow) -> WebResponse:
-    """Return the recorded answer.
+    """Return the recorded answer, marked as replayed.
 
-    :raises RequestError: 409, it ran and the answer was not kept.
+    :raises RequestError: 409, the request ran but its answer was not kept.
     """
     if row.body is None:
         raise RequestError(
-            f"ran with status {row.status}; its answer was too large to keep",
+            f"request ran with status {row.status}; its answer was too large to keep",
             code="answer_not_kept",
             status=409,
             outcome=Outcome.RAN,
@@ -50,7 +50,7 @@
 
 
 def build_in_progress(node: str) -> RequestError:
-    """Return the error of a repeat while the first request is in flight."""
+    """Return the error for a repeat while the first request is in flight."""
     return RequestError(
         "a request with this key is in flight",
         code="in_progress",
@@ -63,7 +63,7 @@
 
 
 def build_unknown(node: str) -> RequestError:
-    """Return the error of a repeat when nobody knows whether the first one ran."""
+    """Return the error for a repeat when it is unknown whether the first one ran."""
     return RequestError(
         "a request with this key may have run; it is not run again",
         code="outcome_unknown",
@@ -77,7 +77,7 @@
 def build_unavailable(
     detail: str, retry_after: float = RETRY_AFTER_S, outcome: Outcome = Outcome.NOT_RUN
 ) -> RequestError:
-    """Return the error of a request that the table did not let through."""
+    """Return the error for a request whose key could not be claimed in the table."""
     return RequestError(
         detail,
         code="store_unavailable",
@@ -88,13 +88,13 @@
     )
 
 
-def answer_open(row: ClaimRow, fingerprint: str) -> WebResponse:
-    """Return the answer to a repeat of a key that this process holds.
+def resolve_open_claim(row: ClaimRow, fingerprint: str) -> WebResponse:
+    """Return the recorded answer for a key that has an open claim in this process.
 
-    :raises RequestError: there is no recorded answer.
+    :raises RequestError: no answer is recorded, or the key is another request's.
     """
     if row.state is ClaimState.RELEASED:
-        raise build_unavailable("an earlier claim of this key is being released")
+        raise build_unavailable("an earlier claim on this key is being released")
     check_fingerprint(row, fingerprint)
     if row.state is ClaimState.ANSWERED:
         return build_replay(row)
@@ -103,22 +103,22 @@
     raise build_in_progress(row.node)
 
 
-def answer_row(
-    found: Row, fingerprint: str, watch: ClaimantWatch
+def resolve_row(
+    found: Row, fingerprint: str, liveness: ClaimantLiveness
 ) -> WebResponse | None:
-    """Return the recorded answer of a row; None when its key may be claimed anew.
+    """Return the answer recorded in a row, or None if its key may be claimed again.
 
-    :raises RequestError: the key is taken and there is no answer.
+    :raises RequestError: the key is taken and no answer is recorded.
     """
     row = decode_row(found.value)
     if row is None:
-        log.error("claims: row {} is broken", found.key)
+        log.error("claims: row {} cannot be decoded", found.key)
         raise build_unknown("")
     if row.state is ClaimState.RELEASED:
         return None
     check_fingerprint(row, fingerprint)
     if row.state is ClaimState.ANSWERED:
         return build_replay(row)
-    if row.state is ClaimState.CLAIMED and watch.may_be_alive(row):
+    if row.state is ClaimState.CLAIMED and liveness.may_be_alive(row):
         raise build_in_progress(row.node)
     raise build_unknown(row.node)
--- a/pistachiodeal/claims/model.py
+++ b/pistachiodeal/claims/model.py
@@ -1,4 +1,4 @@
-"""What a claim is to the rest of an entry."""
+"""Results and in-memory state of claims on idempotency keys."""
 
 from __future__ import annotations
 
@@ -12,9 +12,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Claimed:
-    """The key is this request's: run it, then say what became of it.
+    """A key that was claimed for this request, which may now run.
 
-    Exactly one of ``record``, ``mark_unknown`` and ``release`` has to follow.
+    The holder has to call exactly one of ``record``, ``mark_unknown`` and
+    ``release`` afterwards.
     """
 
     row_key: str
@@ -24,24 +25,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Replayed:
-    """The key's request ran before; this was its answer."""
+    """The recorded answer of an earlier request with the same key."""
 
     response: WebResponse
 
 
 @dataclass(slots=True)
 class OpenClaim:
-    """A key that this process is claiming, holds, or has yet to write the end of.
+    """A claim that this process is making, holds, or has not finished writing.
 
-    :param row: as this process wants it to be in the table.
-    :param expect: version on which ``ticket`` claims.
-    :param ticket: a claim without a certain answer; None when there is none.
-    :param held: the claim is in.
-    :param taken: the row is known to be of an earlier request.
+    :param row: the row as this process wants it in the table.
+    :param expect: row version that ``transaction`` expects.
+    :param transaction: commit of the claim while its result is unknown, or None.
+    :param confirmed: the claim's commit succeeded.
+    :param key_taken: the row is known to belong to an earlier request.
     """
 
     row: ClaimRow
     expect: int = ABSENT
-    ticket: Ticket | None = None
-    held: bool = False
-    taken: bool = False
+    transaction: Ticket | None = None
+    confirmed: bool = False
+    key_taken: bool = False
--- a/pistachiodeal/claims/outcomes.py
+++ b/pistachiodeal/claims/outcomes.py
@@ -1,4 +1,4 @@
-"""Writes what became of claims, in the background, until it is in the table."""
+"""Writes the outcomes of claims in the background, with retries."""
 
 from __future__ import annotations
 
@@ -15,29 +15,29 @@
 from pistachiodeal.store.group import GroupCommitter
 from pistachiodeal.store.protocols import Row, Table, Write
 
-NO_BASE = -1
+NO_PENDING_CLAIM = -1
 
 log = logbook.Logger("pistachiodeal.claims")
 
 
 @dataclass(slots=True)
-class OutcomeJob:
-    """A final row that has to get into the table.
+class PendingOutcome:
+    """A claim's final row that has to be written to the table.
 
-    :param expect: version the row must have; None: read it first.
-    :param base: version that a claim, which may still land, expects;
-        :data:`NO_BASE` when the claim is known to be in.
+    :param expect: version that the row must have; None to read it first.
+    :param claim_expect: version that the claim's own write expects while that may
+        still take effect; :data:`NO_PENDING_CLAIM` once the claim is committed.
     """
 
     row_key: str
     row: ClaimRow
     expect: int | None
-    base: int
+    claim_expect: int
     value: bytes
 
 
 class OutcomeWriter:
-    """Holds the jobs and writes them in rounds."""
+    """Queues outcomes and writes them in rounds."""
 
     def __init__(
         self,
@@ -52,109 +52,119 @@
         self._round_rows = round_rows
         self._pause_s = pause_s
         self._on_written = on_written
-        self._jobs: dict[str, OutcomeJob] = {}
+        self._outcomes: dict[str, PendingOutcome] = {}
         self._bytes = 0
         self._filled = curio.Event()
         self._idle = curio.Event()
 
     @property
     def pending(self) -> int:
-        """Return how many rows wait to be written."""
-        return len(self._jobs)
+        """Return the number of rows that wait to be written."""
+        return len(self._outcomes)
 
     @property
     def pending_bytes(self) -> int:
-        """Return the size of the rows that wait to be written."""
+        """Return the size of the rows that wait to be written, in bytes."""
         return self._bytes
 
     async def add(
-        self, row_key: str, row: ClaimRow, expect: int | None, base: int = NO_BASE
+        self,
+        row_key: str,
+        row: ClaimRow,
+        expect: int | None,
+        claim_expect: int = NO_PENDING_CLAIM,
     ) -> None:
         """Queue a final row."""
-        job = OutcomeJob(row_key, row, expect, base, encode_row(row))
-        self._jobs[row_key] = job
-        self._bytes += len(job.value)
+        outcome = PendingOutcome(row_key, row, expect, claim_expect, encode_row(row))
+        self._outcomes[row_key] = outcome
+        self._bytes += len(outcome.value)
         self._idle.clear()
         await self._filled.set()
 
     async def wait_idle(self) -> None:
         """Wait until everything is written."""
-        if self._jobs:
+        if self._outcomes:
             await self._idle.wait()
 
     async def run(self) -> None:
-        """Write what is queued, until cancelled."""
+        """Write queued rows until cancelled."""
         while True:
             await self._filled.wait()
-            jobs = list(islice(self._jobs.values(), self._round_rows))
-            error = await self._write_round(jobs)
-            if not self._jobs:
+            outcomes = list(islice(self._outcomes.values(), self._round_rows))
+            error = await self._write_round(outcomes)
+            if not self._outcomes:
                 self._filled.clear()
                 await self._idle.set()
             elif error is not None:
                 await self._pause(error)
 
-    async def _write_round(self, jobs: list[OutcomeJob]) -> StoreError | None:
-        """Try each job once; return an error when the table failed."""
+    async def _write_round(self, outcomes: list[PendingOutcome]) -> StoreError | None:
+        """Try to write each outcome once; return the error if the table failed."""
         try:
-            await self._read_versions([job for job in jobs if job.expect is None])
+            await self._read_versions(
+                [outcome for outcome in outcomes if outcome.expect is None]
+            )
         except StoreError as error:
             return error
-        tickets = []
+        submitted = []
         failure: StoreError | None = None
-        for job in jobs:
-            if job.row_key not in self._jobs or job.expect is None:
+        for outcome in outcomes:
+            if outcome.row_key not in self._outcomes or outcome.expect is None:
                 continue
-            write = Write(job.row_key, job.value, job.expect)
+            write = Write(outcome.row_key, outcome.value, outcome.expect)
             try:
-                tickets.append((job, await self._committer.submit([write])))
+                submitted.append((outcome, await self._committer.submit([write])))
             except StoreUnavailableError as error:
                 failure = error
                 break
-        for job, ticket in tickets:
+        for outcome, transaction in submitted:
             try:
-                result = await ticket.wait()
+                result = await transaction.wait()
             except StoreError as error:
                 failure = error
-                job.expect = None
+                outcome.expect = None
                 continue
             if result.committed:
-                self._finish(job)
+                self._finish(outcome)
             else:
-                job.expect = None
+                outcome.expect = None
         return failure
 
-    async def _read_versions(self, jobs: list[OutcomeJob]) -> None:
-        """Find out on which version each job has to be written, if at all."""
-        if not jobs:
+    async def _read_versions(self, outcomes: list[PendingOutcome]) -> None:
+        """Set the version that each outcome's write expects; drop finished ones."""
+        if not outcomes:
             return
-        rows = await self._table.read([job.row_key for job in jobs])
-        for job in jobs:
-            row = rows.get(job.row_key)
-            if row is not None and row.value == job.value:
-                self._finish(job)
-            elif row is None or is_own(row, job) or row.version == job.base:
-                # With a base the claim itself may not be there yet, and land after
-                # this read: its key would then look taken for good, though nothing
-                # ran. Writing on the version that the claim expects shuts it out.
-                job.expect = row.version if row else 0
+        rows = await self._table.read([outcome.row_key for outcome in outcomes])
+        for outcome in outcomes:
+            row = rows.get(outcome.row_key)
+            if row is not None and row.value == outcome.value:
+                self._finish(outcome)
+            elif (
+                row is None
+                or belongs_to_claim(row, outcome)
+                or row.version == outcome.claim_expect
+            ):
+                # With a pending claim, the claim's own write may take effect after
+                # this read, and its key would stay taken though nothing ran.
+                # Writing on the version that the claim expects makes it fail.
+                outcome.expect = row.version if row else 0
             else:
-                if job.base == NO_BASE:
-                    log.error("claims: row {} is not ours any more", job.row_key)
-                self._finish(job)
+                if outcome.claim_expect == NO_PENDING_CLAIM:
+                    log.error("claims: row {} belongs to another claim", outcome.row_key)
+                self._finish(outcome)
 
-    def _finish(self, job: OutcomeJob) -> None:
-        del self._jobs[job.row_key]
-        self._bytes -= len(job.value)
-        self._on_written(job.row_key)
+    def _finish(self, outcome: PendingOutcome) -> None:
+        del self._outcomes[outcome.row_key]
+        self._bytes -= len(outcome.value)
+        self._on_written(outcome.row_key)
 
     async def _pause(self, error: StoreError) -> None:
-        # Jittered, or all entries would come back to a recovered table at once.
+        # The jitter keeps entries from all retrying a recovered table at once.
         longest = max(self._pause_s, min(error.retry_after, 20 * self._pause_s))
         await curio.sleep(longest * random.uniform(0.5, 1.0))
 
 
-def is_own(row: Row, job: OutcomeJob) -> bool:
-    """Tell whether a row is of the claim that a job ends."""
+def belongs_to_claim(row: Row, outcome: PendingOutcome) -> bool:
+    """Return whether a row holds the claim that an outcome ends."""
     found = decode_row(row.value)
-    return found is not None and found.nonce == job.row.nonce
+    return found is not None and found.nonce == outcome.row.nonce
--- a/pistachiodeal/claims/rows.py
+++ b/pistachiodeal/claims/rows.py
@@ -1,4 +1,4 @@
-"""A claim's row in the table."""
+"""Rows of claims in the table."""
 
 from __future__ import annotations
 
@@ -18,21 +18,22 @@
 class ClaimState(StrEnum):
     """States of a claim."""
 
-    CLAIMED = "claimed"  # its holder may hand the request on, or has done so
-    ANSWERED = "answered"  # it ran, and the answer is in the row
-    UNKNOWN = "unknown"  # it may have run; nobody will ever know more
-    RELEASED = "released"  # it did not run; the key may be claimed anew
+    CLAIMED = "claimed"  # the request may be forwarded, or has been
+    ANSWERED = "answered"  # the request ran, and the row holds its answer
+    UNKNOWN = "unknown"  # the request may have run; this state is final
+    RELEASED = "released"  # the request did not run; the key may be claimed again
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimRow:
-    """What the table holds for one idempotency key.
-
-    :param nonce: random for each claim; proves whose a row is.
-    :param fingerprint: of the request, so that a key is not used for another one.
-    :param node: entry that claimed.
-    :param process: random for each start of that entry's process.
-    :param day: days since the epoch at the claim, for a sweep of old rows only.
+    """The claim on one idempotency key as it is stored.
+
+    :param nonce: random per claim; identifies the claim that wrote the row.
+    :param fingerprint: of the request; a different request with the same key is
+        refused.
+    :param node: entry that made the claim.
+    :param process: random per start of that entry's process.
+    :param day: days since the Unix epoch at the claim; only for deleting old rows.
     :param body: None when the answer was too large to keep.
     """
 
@@ -46,8 +47,8 @@
     headers: Headers = ()
     body: bytes | None = b""
 
-    def answer(self, response: WebResponse, keep_body: bool) -> ClaimRow:
-        """Return the row that records an answer."""
+    def with_answer(self, response: WebResponse, keep_body: bool) -> ClaimRow:
+        """Return the row with an answer recorded; large bodies are left out."""
         fits = keep_body and len(response.body) <= REPLAY_BODY_BYTES
         return replace(
             self,
@@ -57,18 +58,18 @@
             body=response.body if fits else None,
         )
 
-    def become(self, state: ClaimState) -> ClaimRow:
+    def with_state(self, state: ClaimState) -> ClaimRow:
         """Return the row in another state."""
         return replace(self, state=state)
 
 
 def build_row_key(service: str, key: str) -> str:
-    """Return the row's key; two keys of one hash are told apart by fingerprint."""
+    """Return the row's key; the fingerprint catches keys whose hashes collide."""
     return f"claim/{service}/{xxhash.xxh128_hexdigest(key.encode())}"
 
 
 def encode_row(row: ClaimRow) -> bytes:
-    """Return the row's value."""
+    """Return the encoded value of a row."""
     body = None if row.body is None else base64.b64encode(row.body).decode()
     return orjson.dumps(
         {
@@ -86,7 +87,7 @@
 
 
 def decode_row(value: bytes) -> ClaimRow | None:
-    """Return the claim of a row's value; None when it is broken."""
+    """Return the claim in a row's value; None when it cannot be decoded."""
     try:
         data = orjson.loads(value)
         body = data["body"]
--- a/tests/unit/test_claims.py
+++ b/tests/unit/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims of idempotency keys."""
+"""Claims on idempotency keys."""
 
 from contextlib import asynccontextmanager
 
@@ -15,36 +15,36 @@
 
 
 @asynccontextmanager
-async def run_keeper(table, node="e1", **options):
-    keeper = create_claim_manager(
+async def run_manager(table, node="e1", **options):
+    manager = create_claim_manager(
         table, node=node, group_s=0, group_rows=10, pause_s=0, **options
     )
-    runner = await curio.spawn(keeper.run)
+    runner = await curio.spawn(manager.run)
     try:
-        yield keeper
+        yield manager
     finally:
         await runner.cancel()
 
 
-async def claim(keeper, key="k", fingerprint="f", timeout=5.0):
-    return await keeper.claim("orders", key, fingerprint, timeout)
+async def claim(manager, key="k", fingerprint="f", timeout=5.0):
+    return await manager.claim("orders", key, fingerprint, timeout)
 
 
-async def fail_claim(keeper, **options) -> RequestError:
+async def fail_claim(manager, **options) -> RequestError:
     with pytest.raises(RequestError) as caught:
-        await claim(keeper, **options)
+        await claim(manager, **options)
     return caught.value
 
 
-async def finish(keeper, held, response=ANSWER):
-    await keeper.record(held, response)
-    assert await keeper.flush(5.0)
+async def finish(manager, held, response=ANSWER):
+    await manager.record(held, response)
+    assert await manager.flush(5.0)
 
 
 def test_repeat_gets_the_recorded_answer_at_every_entry():
     async def main():
         table = FakeTable()
-        async with run_keeper(table) as one, run_keeper(table, "e2") as two:
+        async with run_manager(table) as one, run_manager(table, "e2") as two:
             held = await claim(one)
             assert isinstance(held, Claimed)
             assert (await fail_claim(one)).code == "in_progress"
@@ -56,12 +56,12 @@
                 1.0,
             )
             await finish(one, held)
-            for keeper in (one, two):
-                again = await claim(keeper)
+            for manager in (one, two):
+                again = await claim(manager)
                 assert isinstance(again, Replayed)
                 assert again.response.status == ANSWER.status
                 assert again.response.body == ANSWER.body
-                assert (await fail_claim(keeper, fingerprint="g")).code == "key_reused"
+                assert (await fail_claim(manager, fingerprint="g")).code == "key_reused"
             assert one.open == two.open == 0
 
     curio.run(main)
@@ -69,17 +69,17 @@
 
 @pytest.mark.parametrize("fault", [Fault.LOST, Fault.DROPPED, Fault.DELAYED])
 def test_one_of_two_entries_wins_a_key(fault):
-    """Symptom: a matrix entry is counted twice.
+    """Guards against running a request twice.
 
-    Sequence: one key arrives through two entries at once; a store answer is lost.
-    Cause: each entry believes that it holds the claim.
+    One key arrives through two entries at once, and the store's answer to one of
+    their commits is lost. Both entries could then believe they hold the claim.
     """
 
     async def main():
         table = FakeTable()
         table.faults.append(fault)
-        async with run_keeper(table) as one, run_keeper(table, "e2") as two:
-            tasks = [await curio.spawn(claim, keeper) for keeper in (one, two)]
+        async with run_manager(table) as one, run_manager(table, "e2") as two:
+            tasks = [await curio.spawn(claim, manager) for manager in (one, two)]
             for task in tasks:
                 await task.wait()
             table.land_delayed()
@@ -88,10 +88,10 @@
     curio.run(main)
 
 
-def test_released_key_may_be_claimed_anew():
+def test_released_key_may_be_claimed_again():
     async def main():
         table = FakeTable()
-        async with run_keeper(table) as one, run_keeper(table, "e2") as two:
+        async with run_manager(table) as one, run_manager(table, "e2") as two:
             await one.release(await claim(one))
             assert await one.flush(5.0)
             held = await claim(two)
@@ -103,19 +103,19 @@
 
 
 @pytest.mark.parametrize("landing", ["before", "after"])
-def test_unconfirmed_claim_is_not_run_and_the_key_comes_free(landing):
-    """Symptom: a retry is told ``unknown`` of a request that never ran.
+def test_unconfirmed_claim_does_not_run_and_the_key_is_released(landing):
+    """Guards against answering ``unknown`` to a retry of a request that never ran.
 
-    Sequence: the store hangs; the caller is told "not run"; the claim is in
-    force, or lands after the clean-up has looked for it.
-    Cause: the claim of a request that was given up stays in the table.
+    The store hangs and the caller gets "not run", but the claim took effect, or
+    takes effect after the clean-up has read the row. The claim of the abandoned
+    request would then stay in the table.
     """
 
     async def main():
         table = FakeTable()
         faults = {"before": [Fault.HANGING], "after": [Fault.DELAYED] * 3}[landing]
         table.faults.extend(faults)
-        async with run_keeper(table) as one, run_keeper(table, "e2") as two:
+        async with run_manager(table) as one, run_manager(table, "e2") as two:
             error = await fail_claim(one, timeout=0.02 if landing == "before" else 5)
             assert (error.code, error.outcome) == ("store_unavailable", Outcome.NOT_RUN)
             assert await one.flush(5.0)
@@ -126,15 +126,15 @@
 
 
 def test_store_down_refuses_at_once_and_unknown_where_the_key_is_taken():
-    """Symptom: the retry of a request that ran is told "not run".
+    """Guards against answering "not run" to the retry of a request that ran.
 
-    Sequence: key claimed and run; retry elsewhere; the store fails in between.
-    Cause: the claim met a row, and the row could not be read.
+    The key is claimed and its request runs. The retry reaches another entry, whose
+    claim conflicts with the row, and then the store fails to read that row.
     """
 
     async def main():
         table = FakeTable()
-        async with run_keeper(table) as one, run_keeper(table, "e2") as two:
+        async with run_manager(table) as one, run_manager(table, "e2") as two:
             await claim(one)
             table.read_faults.append(Fault.REFUSED)
             error = await fail_claim(two)
@@ -149,24 +149,24 @@
 
 
 def test_claim_of_a_dead_entry_stays_unknown():
-    """Symptom: a reply letter goes out twice.
+    """Guards against running a request again when its entry died.
 
-    Sequence: an entry dies after its claim; the caller asks again, for minutes.
-    Cause: nobody knows whether the request ran.
+    An entry dies after its claim, and the caller retries for minutes. Whether the
+    request ran is unknown and stays unknown.
     """
 
     async def main():
         table = FakeTable()
         now = [0.0]
-        async with run_keeper(table) as dead:
+        async with run_manager(table) as dead:
             await claim(dead)
-        async with run_keeper(table, "e2", clock=lambda: now[0]) as two:
+        async with run_manager(table, "e2", clock=lambda: now[0]) as two:
             assert (await fail_claim(two)).code == "in_progress"
             now[0] = 10_000.0
             error = await fail_claim(two)
             assert (error.code, error.outcome) == ("outcome_unknown", Outcome.UNKNOWN)
             assert error.retry_after is None
-        async with run_keeper(table) as restarted:
+        async with run_manager(table) as restarted:
             assert (await fail_claim(restarted)).code == "outcome_unknown"
 
     curio.run(main)
@@ -175,7 +175,7 @@
 def test_outcomes_survive_an_outage_and_large_bodies_are_not_kept():
     async def main():
         table = FakeTable()
-        async with run_keeper(table) as one, run_keeper(table, "e2") as two:
+        async with run_manager(table) as one, run_manager(table, "e2") as two:
             small, large, lost = [await claim(one, key=key) for key in "sld"]
             table.down = True
             await one.record(small, ANSWER)
