--- a/pistachiodeal/profiles/__init__.py
+++ b/pistachiodeal/profiles/__init__.py
@@ -1,1 +1,1 @@
-"""Profiles: the document in the table, its changes, and what is in force here."""
+"""Profiles: the stored document, its changes, and the policies in force."""
--- a/pistachiodeal/profiles/api.py
+++ b/pistachiodeal/profiles/api.py
@@ -1,4 +1,4 @@
-"""Operators' HTTP for profiles and services."""
+"""HTTP API for operators to manage profiles and services."""
 
 from __future__ import annotations
 
@@ -32,7 +32,11 @@
     parse_precondition,
     parse_profile_body,
 )
-from pistachiodeal.profiles.store import Accepted, ProfileStore, create_profile_store
+from pistachiodeal.profiles.store import (
+    AcceptedChange,
+    ProfileStore,
+    create_profile_store,
+)
 from pistachiodeal.store.protocols import Table
 from pistachiodeal.web.messages import (
     WebRequest,
@@ -50,14 +54,14 @@
 
 
 class ProfileApi:
-    """Answers ``/-/profiles`` and ``/-/services``; the token is checked before."""
+    """Serves ``/-/profiles`` and ``/-/services``; callers are already authenticated."""
 
-    def __init__(self, store: ProfileStore, keeper: ProfileManager) -> None:
+    def __init__(self, store: ProfileStore, manager: ProfileManager) -> None:
         self._store = store
-        self._keeper = keeper
+        self._manager = manager
 
     async def handle(self, request: WebRequest) -> WebResponse:
-        """Return the answer; every error of this part becomes a problem document."""
+        """Return the response; errors of the API become problem documents."""
         try:
             return await self._route(request)
         except InvalidBodyError as error:
@@ -94,9 +98,11 @@
             "name": name,
             "version": accepted.version,
             "profile": profile.model_dump(mode="json"),
-            "services": accepted.document.holders(name),
+            "services": accepted.document.services_using(name),
         }
-        return self._answer_put(accepted, document, defined=not precondition.given)
+        return self._answer_put(
+            accepted, document, defined=not precondition.expects_item
+        )
 
     async def _route_services(self, request: WebRequest, name: str) -> WebResponse:
         allowed = ITEM_METHODS if name else LIST_METHODS
@@ -110,7 +116,7 @@
             return build_json(200, {"service": name, "version": accepted.version})
         check_service_name(name)
         profile = parse_assignment(request.body)
-        known = name in self._keeper.document.services
+        known = name in self._manager.document.services
         accepted = await self._change(AssignService(name, profile, precondition))
         document: Document = {
             "service": name,
@@ -120,22 +126,22 @@
         return self._answer_put(accepted, document, defined=not known)
 
     def _answer_put(
-        self, accepted: Accepted, document: Document, defined: bool
+        self, accepted: AcceptedChange, document: Document, defined: bool
     ) -> WebResponse:
         tag = ("etag", build_tag(accepted.version))
         return build_json(201 if defined else 200, document, (tag,))
 
-    async def _change(self, change: Change) -> Accepted:
+    async def _change(self, change: Change) -> AcceptedChange:
         accepted = await self._store.change(change)
-        self._keeper.apply_document(accepted.document)
+        self._manager.apply_document(accepted.document)
         return accepted
 
     async def _show(
         self, name: str, noun: str, list_items: Callable[[ProfileDocument], Document]
     ) -> WebResponse:
-        """Answer a GET of all items, or of one."""
+        """Return the response to a GET of one item, or of all without a name."""
         stale = await self._refresh()
-        document = self._keeper.document
+        document = self._manager.document
         items = list_items(document)
         if not name:
             listing = {
@@ -151,13 +157,13 @@
         return build_json(200, {**item, "stale": stale}, (tag,))
 
     async def _refresh(self) -> bool:
-        """Look at the table; tell whether what is held here may be stale."""
+        """Refresh from the table; return whether the local copy may be stale."""
         try:
-            await self._keeper.refresh()
+            await self._manager.refresh()
         except StoreError as error:
-            if not self._keeper.version:
+            if not self._manager.version:
                 raise RequestError(
-                    "table did not answer and nothing is known here yet",
+                    "table did not answer and no profiles were read before",
                     code="store_unavailable",
                     status=503,
                     outcome=Outcome.NOT_RUN,
@@ -169,23 +175,23 @@
 
 
 def list_profiles(document: ProfileDocument) -> Document:
-    """Return all profiles as they are shown, by name."""
-    holders: dict[str, list[str]] = {}
+    """Return the JSON objects of all profiles by name."""
+    users: dict[str, list[str]] = {}
     for service in sorted(document.services):
-        holders.setdefault(document.services[service].profile, []).append(service)
+        users.setdefault(document.services[service].profile, []).append(service)
     return {
         name: {
             "name": name,
             "version": item.version,
             "profile": parse_profile(item.settings).model_dump(mode="json"),
-            "services": holders.get(name, []),
+            "services": users.get(name, []),
         }
         for name, item in sorted(document.profiles.items())
     }
 
 
 def list_services(document: ProfileDocument) -> Document:
-    """Return all services as they are shown, by name."""
+    """Return the JSON objects of all services by name."""
     return {
         name: {"service": name, "version": item.version, "profile": item.profile}
         for name, item in sorted(document.services.items())
@@ -193,7 +199,7 @@
 
 
 def build_not_allowed(request: WebRequest, allowed: tuple[str, ...]) -> WebResponse:
-    """Return the answer to a method that is not one of ``allowed``."""
+    """Return the response to a method that is not in ``allowed``."""
     listed = ", ".join(allowed)
     error = RequestError(
         f"{request.method} is not one of {listed}",
@@ -207,7 +213,7 @@
 
 
 def check_service_name(name: str) -> None:
-    """Refuse a name that no request could reach.
+    """Refuse a service name that is reserved or malformed.
 
     :raises InvalidBodyError: 422.
     """
@@ -216,13 +222,13 @@
 
 
 def build_validation_problem(error: InvalidBodyError) -> WebResponse:
-    """Return a problem document that lists every fault."""
+    """Return a problem document that lists every validation error."""
     problem = build_problem(error)
     document = orjson.loads(problem.body)
     document["errors"] = error.errors
     return WebResponse(problem.status, problem.headers, orjson.dumps(document))
 
 
-def create_profile_api(table: Table, keeper: ProfileManager) -> ProfileApi:
-    """Return the operators' HTTP over this table."""
-    return ProfileApi(create_profile_store(table), keeper)
+def create_profile_api(table: Table, manager: ProfileManager) -> ProfileApi:
+    """Return the API over the profiles in a table."""
+    return ProfileApi(create_profile_store(table), manager)
--- a/pistachiodeal/profiles/changes.py
+++ b/pistachiodeal/profiles/changes.py
@@ -1,9 +1,9 @@
-"""Operators' changes to the profile document, and when each of them loses.
+"""Operators' changes to the profile document and their conflict rules.
 
-Only changes that touch each other are coordinated (after Kevin De Porre et al.,
-"ECROs: Building Global Scale Systems from Sequential Code"): a change is tested
-against the item that it names, and retire also against the services that hold
-the profile; changes of other items are applied in any order.
+Only conflicting changes are coordinated (after Kevin De Porre et al., "ECROs:
+Building Global Scale Systems from Sequential Code"): a change is checked against
+the item that it names, and retiring a profile also against the services that use
+it. Changes to different items are applied in any order.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Precondition:
-    """What the operator says of the item before the change.
+    """State that the operator requires of the item before the change.
 
     :param absent: ``If-None-Match: *``.
     :param present: ``If-Match: *``.
-    :param versions: versions of ``If-Match``; None where there was none.
+    :param versions: versions in ``If-Match``; None without such a header.
     """
 
     absent: bool = False
@@ -34,21 +34,21 @@
     versions: tuple[int, ...] | None = None
 
     @property
-    def given(self) -> bool:
-        """Tell whether the item was said to exist in some state."""
+    def expects_item(self) -> bool:
+        """Return whether the item has to exist."""
         return self.present or self.versions is not None
 
     def check(self, version: int, document: ProfileDocument) -> None:
-        """Test against the version of the item, 0 when there is none.
+        """Check the precondition against an item's version, 0 if it does not exist.
 
-        A version of the document that is newer than the item's own will do, too:
-        whoever saw the document at that version saw the item as it is.
+        A document version newer than the item's own is accepted, too: an operator
+        who saw the document at that version saw the item in its current state.
 
-        :raises RequestError: 412, the item is not what the operator saw.
+        :raises RequestError: 412, the item changed since the operator saw it.
         """
         if self.absent and version:
             raise build_mismatch(version)
-        if not self.given:
+        if not self.expects_item:
             return
         if not version:
             raise build_mismatch(version)
@@ -62,19 +62,19 @@
 
 
 class Change(Protocol):
-    """One change, applied again to the newest document after a lost race."""
+    """A change, which is applied again to the newest document after a lost race."""
 
     def apply(self, document: ProfileDocument, raced: bool) -> ProfileDocument:
-        """Return the next version.
+        """Return the next version of the document.
 
-        :param raced: an earlier try of this change lost against another one.
-        :raises RequestError: this change has lost, or was never possible.
+        :param raced: an earlier attempt lost a race against another change.
+        :raises RequestError: the change conflicts with the document or is invalid.
         """
 
 
 @dataclass(frozen=True, slots=True)
 class PutProfile:
-    """Define a profile, or revise it."""
+    """Create or update a profile."""
 
     profile: Profile
     precondition: Precondition = ANY_STATE
@@ -84,9 +84,10 @@
         item = document.profiles.get(self.profile.name)
         version = item.version if item else 0
         self.precondition.check(version, document)
-        if version and not self.precondition.given:
-            # Without a precondition the first try found no such profile, or it
-            # would have ended here: the other operator defined it in between.
+        if version and not self.precondition.expects_item:
+            # Without a precondition, the first attempt found no such profile, or it
+            # would have failed here. After a lost race, another operator defined the
+            # profile in the meantime.
             raise build_mismatch(version) if raced else build_missing(version)
         if not version and len(document.profiles) >= MAX_PROFILES:
             raise build_conflict("too_many_profiles", f"limit is {MAX_PROFILES}")
@@ -95,7 +96,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RetireProfile:
-    """Retire a profile that no service holds."""
+    """Remove a profile that no service uses."""
 
     name: str
     precondition: Precondition = ANY_STATE
@@ -105,20 +106,20 @@
         item = document.profiles.get(self.name)
         if item is None:
             raise build_not_found("unknown_profile", f"no profile {self.name}")
-        if not self.precondition.given:
+        if not self.precondition.expects_item:
             raise build_missing(item.version)
         self.precondition.check(item.version, document)
-        holders = document.holders(self.name)
-        if holders:
-            named = ", ".join(holders[:10])
-            more = ", and others" if len(holders) > 10 else ""
-            raise build_conflict("profile_in_use", f"held by {named}{more}")
+        users = document.services_using(self.name)
+        if users:
+            named = ", ".join(users[:10])
+            more = ", and others" if len(users) > 10 else ""
+            raise build_conflict("profile_in_use", f"used by {named}{more}")
         return document.drop_profile(self.name)
 
 
 @dataclass(frozen=True, slots=True)
 class AssignService:
-    """Let a service pick a profile."""
+    """Assign a profile to a service."""
 
     service: str
     profile: str
@@ -137,7 +138,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RemoveService:
-    """Take a service off its profile."""
+    """Remove a service and its profile assignment."""
 
     service: str
     precondition: Precondition = ANY_STATE
@@ -152,10 +153,10 @@
 
 
 def build_mismatch(version: int) -> RequestError:
-    """Return the error of the loser of a race."""
+    """Return the error for an item that is not in the required state."""
     state = f"changed at version {version}" if version else "does not exist"
     return RequestError(
-        f"not in the state that was named: it {state}",
+        f"item does not match the precondition: it {state}",
         code="precondition_failed",
         status=412,
         outcome=Outcome.NOT_RUN,
@@ -164,9 +165,9 @@
 
 
 def build_missing(version: int) -> RequestError:
-    """Return the error of a change that must name what it changes."""
+    """Return the error for a change that lacks a required ``If-Match``."""
     return RequestError(
-        f"exists at version {version}: send If-Match with the ETag that you saw",
+        f"item exists at version {version}: send If-Match with its last seen ETag",
         code="precondition_required",
         status=428,
         outcome=Outcome.NOT_RUN,
@@ -175,14 +176,14 @@
 
 
 def build_conflict(code: str, detail: str) -> RequestError:
-    """Return an error with status 409."""
+    """Return an error with status 409 (conflict)."""
     return RequestError(
         detail, code=code, status=409, outcome=Outcome.NOT_RUN, step=STEP
     )
 
 
 def build_not_found(code: str, detail: str) -> RequestError:
-    """Return an error with status 404."""
+    """Return an error with status 404 (not found)."""
     return RequestError(
         detail, code=code, status=404, outcome=Outcome.NOT_RUN, step=STEP
     )
--- a/pistachiodeal/profiles/document.py
+++ b/pistachiodeal/profiles/document.py
@@ -1,4 +1,4 @@
-"""The one document that holds all profiles and the services that picked them."""
+"""The document with all profiles and the services that use them."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from pistachiodeal.exceptions import ProtocolError
 from pistachiodeal.model.policies import Profile, ServicePolicy
 
-HISTORY = 128
+MAX_RECENT_CHANGES = 128
 
 
 @dataclass(frozen=True, slots=True)
 class ProfileItem:
-    """A profile as it is stored.
+    """A stored profile.
 
     :param version: document version at which it last changed.
-    :param settings: its fields; those that a newer program wrote are kept.
+    :param settings: its fields, including unknown ones that a newer program wrote.
     """
 
     version: int
@@ -29,7 +29,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceItem:
-    """The profile that a service picked, and the document version of that."""
+    """The profile assigned to a service.
+
+    :param version: document version of the assignment.
+    """
 
     version: int
     profile: str
@@ -37,12 +40,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ProfileDocument:
-    """All profiles and services at one version; never changed in place.
+    """All profiles and services at one version; immutable.
 
-    :param version: counts up by one with every change; 0 before the first.
-    :param recent: nonces of the latest changes, the last one that of ``version``;
-        by these an operator's change whose answer was lost is found again, also
-        when others have changed the document since.
+    :param version: increases by one with every change; 0 before the first.
+    :param recent: nonces of the latest changes; the last one made ``version``. They
+        identify a change whose commit result was lost, even after other changes.
     """
 
     version: int = 0
@@ -51,56 +53,56 @@
     recent: tuple[str, ...] = ()
 
     def put_profile(self, profile: Profile) -> ProfileDocument:
-        """Return the next version, with this profile defined or revised."""
+        """Return the next version with this profile created or updated."""
         version = self.version + 1
         item = ProfileItem(version, profile.model_dump(mode="json"))
         profiles = {**self.profiles, profile.name: item}
         return replace(self, version=version, profiles=profiles)
 
     def drop_profile(self, name: str) -> ProfileDocument:
-        """Return the next version, without this profile."""
+        """Return the next version without this profile."""
         profiles = {key: item for key, item in self.profiles.items() if key != name}
         return replace(self, version=self.version + 1, profiles=profiles)
 
     def put_service(self, service: str, profile: str) -> ProfileDocument:
-        """Return the next version, with this service on this profile."""
+        """Return the next version with this profile assigned to a service."""
         version = self.version + 1
         services = {**self.services, service: ServiceItem(version, profile)}
         return replace(self, version=version, services=services)
 
     def drop_service(self, service: str) -> ProfileDocument:
-        """Return the next version, without this service."""
+        """Return the next version without this service."""
         services = {key: item for key, item in self.services.items() if key != service}
         return replace(self, version=self.version + 1, services=services)
 
     def with_nonce(self, nonce: str) -> ProfileDocument:
-        """Return the same version with its change's nonce noted."""
-        return replace(self, recent=(*self.recent, nonce)[-HISTORY:])
+        """Return the same version with the nonce of its change recorded."""
+        return replace(self, recent=(*self.recent, nonce)[-MAX_RECENT_CHANGES:])
 
     def find_change(self, nonce: str) -> int:
-        """Return the version that this nonce's change made, 0 if it is not here."""
+        """Return the version made by the change with this nonce, 0 if not found."""
         if nonce not in self.recent:
             return 0
         behind = len(self.recent) - 1 - self.recent.index(nonce)
         return self.version - behind
 
-    def remembers(self, version: int) -> bool:
-        """Tell whether the nonce of the change that made ``version`` is kept."""
+    def has_nonce_for(self, version: int) -> bool:
+        """Return whether the nonce of the change that made ``version`` is kept."""
         return version > self.version - len(self.recent)
 
-    def holders(self, profile: str) -> list[str]:
-        """Return the services that hold a profile, sorted."""
+    def services_using(self, profile: str) -> list[str]:
+        """Return the sorted names of the services that use a profile."""
         held = (key for key, item in self.services.items() if item.profile == profile)
         return sorted(held)
 
     def policy_version(self, service: str) -> int:
-        """Return the version at which what this service gets last changed."""
+        """Return the version at which this service's policy last changed."""
         item = self.services[service]
         profile = self.profiles.get(item.profile)
         return max(item.version, profile.version if profile else 0)
 
     def build_policy(self, service: str) -> ServicePolicy:
-        """Return what is in force for a service of this document."""
+        """Return the policy of a service in this document."""
         item = self.services[service]
         profile = self.profiles.get(item.profile)
         parsed = parse_profile(profile.settings) if profile else None
@@ -108,12 +110,12 @@
 
 
 def parse_profile(settings: Mapping[str, Any]) -> Profile:
-    """Return a profile from stored fields, without those unknown to this program.
+    """Return a profile from stored fields; unknown fields are dropped.
 
-    While the programs are being replaced one by one, an older one meets fields
-    of a newer one; it would refuse the whole document and stay on an old version.
+    During a rolling update, an older program reads fields that a newer one wrote.
+    If it refused them, it would reject the whole document and keep an old version.
 
-    :raises ProtocolError: a known field has an impossible value.
+    :raises ProtocolError: a known field has an invalid value.
     """
     known = {key: settings[key] for key in Profile.model_fields if key in settings}
     try:
@@ -123,7 +125,7 @@
 
 
 def encode_document(document: ProfileDocument) -> bytes:
-    """Return the row's value."""
+    """Return the encoded row value of a document."""
     return orjson.dumps(
         {
             "version": document.version,
@@ -141,9 +143,9 @@
 
 
 def decode_document(value: bytes) -> ProfileDocument:
-    """Return the document of a row's value.
+    """Return the document in a row's value.
 
-    :raises ProtocolError: the row is not a document.
+    :raises ProtocolError: the value is not a valid document.
     """
     try:
         data = orjson.loads(value)
@@ -160,4 +162,4 @@
             recent=tuple(data["recent"]),
         )
     except (ValueError, KeyError, TypeError, AttributeError) as error:
-        raise ProtocolError("profile document is broken", step="profiles") from error
+        raise ProtocolError("profile document is invalid", step="profiles") from error
--- a/pistachiodeal/profiles/manager.py
+++ b/pistachiodeal/profiles/manager.py
@@ -1,4 +1,4 @@
-"""An entry's view of the profiles: polled, and learnt from peers in an outage."""
+"""An entry's view of the profiles, polled from the table or received from peers."""
 
 from __future__ import annotations
 
@@ -21,17 +21,17 @@
 from pistachiodeal.wire.messages import PolicyPart
 
 JITTER = 0.25
-LEAST_PAUSE_S = 0.1
+MIN_REFRESH_INTERVAL_S = 0.1
 
 log = logbook.Logger("pistachiodeal.profiles")
 
 
 def ignore_change(services: set[str]) -> None:
-    """Do nothing with a change."""
+    """Do nothing (the default callback)."""
 
 
 class ProfileManager:
-    """Holds the newest document and the policies in force.
+    """Keeps the newest document and the policies in force.
 
     :ivar on_change: called with the services whose policy changed.
     """
@@ -43,7 +43,7 @@
         self._document = ProfileDocument()
         self._parsed: dict[str, tuple[int, Profile]] = {}
         self._failing = False
-        self._asked_at = -math.inf
+        self._refreshed_at = -math.inf
         self.on_change: Callable[[set[str]], None] = ignore_change
 
     @property
@@ -58,19 +58,19 @@
 
     @property
     def failing(self) -> bool:
-        """Tell whether the last look at the table failed."""
+        """Return whether the last refresh from the table failed."""
         return self._failing
 
     def policy(self, service: str) -> ServicePolicy | None:
-        """Return what is in force for a service; None when unknown or removed."""
+        """Return the policy in force; None if the service is unknown or removed."""
         return self._cache.policy(service)
 
     def profile(self, name: str) -> Profile | None:
-        """Return a profile by name, also one only learnt from peers."""
+        """Return a profile by name; before the first read, one known from peers."""
         item = self._document.profiles.get(name)
         if item is None:
-            # A document that was seen is the truth on names, so a profile that
-            # was retired must not come back from a policy that a peer still holds.
+            # Once a document was read, only its names count: a retired profile must
+            # not come back through a policy that a peer still has.
             return None if self.version else self._cache.find_profile(name)
         known = self._parsed.get(name)
         if known is not None and known[0] == item.version:
@@ -84,9 +84,9 @@
         return self._cache.services()
 
     def parts(self, services: Iterable[str]) -> tuple[PolicyPart, ...]:
-        """Return what to tell an agent about these services.
+        """Return the parts to send to an agent for these services.
 
-        A service that the newest document does not have is told as removed at
+        A service that is not in the newest document is reported as removed at
         that document's version.
         """
         return tuple(
@@ -94,22 +94,22 @@
         )
 
     def describe(self) -> dict[str, dict[str, Any]]:
-        """Return what is in force, for a status document."""
+        """Return the policies in force for a status document."""
         return self._cache.describe()
 
     def merge(self, parts: Iterable[PolicyPart]) -> set[str]:
-        """Take over what is newer from a peer; return the services that changed."""
-        # Up to its version the document says all there is: a part at or below it
-        # is old news, or of a service that was removed while the peer was cut off.
+        """Apply newer policies from a peer; return the services that changed."""
+        # The document is complete up to its version: a part at or below it is
+        # outdated, or of a service removed while the peer was partitioned.
         newer = [part for part in parts if part.version > self.version]
         changed = self._cache.merge(newer)
         if changed:
-            log.notice("profiles: {} policies learnt from a peer", len(changed))
+            log.notice("profiles: {} policies received from a peer", len(changed))
             self.on_change(changed)
         return changed
 
     def apply_document(self, document: ProfileDocument) -> set[str]:
-        """Put a document in force if it is newer; return the services that changed."""
+        """Apply a document if it is newer; return the services that changed."""
         if document.version <= self.version:
             return set()
         changed = self._cache.apply(self._list_newer(document))
@@ -129,10 +129,10 @@
         return changed
 
     async def refresh(self) -> None:
-        """Look at the table once.
+        """Read the version from the table, and the document if it is newer.
 
         :raises StoreError: the table did not answer.
-        :raises ProtocolError: the document is broken.
+        :raises ProtocolError: the document is invalid.
         """
         try:
             if await self._store.read_version() > self.version:
@@ -147,22 +147,22 @@
         self._failing = False
 
     async def refresh_rate_limited(self) -> None:
-        """Look at the table unless that was done just now; failures are logged.
+        """Refresh unless that was done just before; failures are only logged.
 
-        Many callers who name a profile that does not exist must not cost a read
-        each.
+        Without the limit, each request that names an unknown profile would cost a
+        read of the table.
         """
         now = time.monotonic()
-        if now - self._asked_at < LEAST_PAUSE_S:
+        if now - self._refreshed_at < MIN_REFRESH_INTERVAL_S:
             return
-        self._asked_at = now
+        self._refreshed_at = now
         with contextlib.suppress(PistachiodealError):
             await self.refresh()
 
     async def run(self) -> None:
-        """Look at the table again and again, until cancelled."""
+        """Poll the table until cancelled."""
         while True:
-            # refresh logs a failure; what is in force stays in force
+            # refresh() logs failures, and the policies in force stay.
             with contextlib.suppress(PistachiodealError):
                 await self.refresh()
             await curio.sleep(self._poll_s * random.uniform(1 - JITTER, 1 + JITTER))
@@ -174,7 +174,7 @@
         return PolicyPart(service, self.version, "") if self.version else None
 
     def _list_newer(self, document: ProfileDocument) -> list[ServicePolicy]:
-        """Return what a document changes against what is in force."""
+        """Return the policies that differ between a document and the cache."""
         policies = []
         for service in document.services:
             if document.policy_version(service) <= self._cache.version(service):
@@ -190,8 +190,8 @@
 
 
 def create_profile_manager(table: Table, poll_s: float) -> ProfileManager:
-    """Return a keeper that has seen nothing yet.
+    """Return a manager that has not read the table yet.
 
-    :param poll_s: mean seconds between two looks at the table.
+    :param poll_s: mean seconds between two polls of the table.
     """
     return ProfileManager(create_profile_store(table), create_policy_cache(), poll_s)
--- a/pistachiodeal/profiles/parsing.py
+++ b/pistachiodeal/profiles/parsing.py
@@ -1,4 +1,4 @@
-"""Operators' bodies and preconditions, checked at the border."""
+"""Parsing and validation of operators' request bodies and preconditions."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 
 
 class InvalidBodyError(RequestError):
-    """A body with faults; all of them are listed.
+    """A request body is invalid; lists all validation errors.
 
-    :ivar errors: one mapping with ``path`` and ``message`` for each fault.
+    :ivar errors: a mapping with ``path`` and ``message`` for each error.
     """
 
     code = "invalid"
@@ -43,30 +43,30 @@
 
 
 def parse_profile_body(name: str, body: bytes) -> Profile:
-    """Return the profile of a body; a name in it must be that of the path.
+    """Return the profile in a body; a name in it must match the path.
 
-    :raises InvalidBodyError: with all faults.
+    :raises InvalidBodyError: lists all validation errors.
     """
     settings = parse_object(body)
     named = settings.setdefault("name", name)
     if named != name:
-        fault = {"path": "name", "message": f"is not {name}, as in the path"}
+        fault = {"path": "name", "message": f"does not match {name} in the path"}
         raise InvalidBodyError([fault, *list_faults(Profile, settings)])
     return validate(Profile, settings)
 
 
 def parse_assignment(body: bytes) -> str:
-    """Return the profile's name of a service's body.
+    """Return the profile name in the body of a service.
 
-    :raises InvalidBodyError: with all faults.
+    :raises InvalidBodyError: lists all validation errors.
     """
     return validate(Assignment, parse_object(body)).profile
 
 
 def parse_object(body: bytes) -> dict[str, Any]:
-    """Return a body's JSON object.
+    """Return the JSON object in a body.
 
-    :raises InvalidBodyError: it is none.
+    :raises InvalidBodyError: the body is not a JSON object.
     """
     try:
         data = orjson.loads(body)
@@ -79,9 +79,9 @@
 
 
 def validate(model: type[Model], settings: dict[str, Any]) -> Model:
-    """Return the validated model, without turning one type into another.
+    """Return the validated model; types are not converted.
 
-    :raises InvalidBodyError: with all faults.
+    :raises InvalidBodyError: lists all validation errors.
     """
     try:
         return model.model_validate(settings, strict=True)
@@ -90,7 +90,7 @@
 
 
 def list_faults(model: type[Model], settings: dict[str, Any]) -> list[dict[str, str]]:
-    """Return the faults of a model's fields, none when it is valid."""
+    """Return the validation errors of a model's fields, if any."""
     try:
         model.model_validate(settings, strict=True)
     except ValidationError as error:
@@ -99,7 +99,7 @@
 
 
 def build_faults(error: ValidationError) -> list[dict[str, str]]:
-    """Return a path and a message for each fault."""
+    """Return a path and a message for each validation error."""
     return [
         {"path": ".".join(str(part) for part in fault["loc"]), "message": fault["msg"]}
         for fault in error.errors(include_url=False, include_input=False)
@@ -107,9 +107,9 @@
 
 
 def parse_precondition(request: WebRequest) -> Precondition:
-    """Return what ``If-Match`` and ``If-None-Match`` ask for (RFC 9110, 13.1).
+    """Return the precondition in ``If-Match`` and ``If-None-Match`` (RFC 9110, 13.1).
 
-    :raises RequestError: 400, not understood.
+    :raises RequestError: 400, a header is malformed or both are given.
     """
     none_match = request.header("if-none-match").strip()
     if none_match and none_match != "*":
@@ -125,9 +125,9 @@
 
 
 def parse_tags(text: str) -> tuple[int, ...]:
-    """Return the versions of a list of entity tags; tags that are not ours drop out.
+    """Return the versions in a list of entity tags; foreign tags are ignored.
 
-    :raises RequestError: 400, not a list of entity tags.
+    :raises RequestError: 400, the text is not a list of entity tags.
     """
     versions = []
     for one in text.split(","):
@@ -135,7 +135,7 @@
         if found is None:
             raise build_bad_header("If-Match is not a list of entity tags")
         weak, tag = found.groups()
-        # If-Match compares strongly, so a weak tag matches nothing.
+        # If-Match uses the strong comparison, so a weak tag never matches.
         if not weak and re.fullmatch(r"[0-9]{1,18}", tag):
             versions.append(int(tag))
     return tuple(versions)
@@ -147,7 +147,7 @@
 
 
 def build_bad_header(detail: str) -> RequestError:
-    """Return the error for a header that is not understood."""
+    """Return the error for a malformed precondition header."""
     return RequestError(
         detail,
         code="bad_precondition",
--- a/pistachiodeal/profiles/store.py
+++ b/pistachiodeal/profiles/store.py
@@ -1,4 +1,4 @@
-"""The profile document in the table: read, and changed by compare-and-swap."""
+"""Reads the profile document and changes it by compare-and-swap."""
 
 from __future__ import annotations
 
@@ -35,19 +35,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Stored:
-    """The document and the table's version of its row."""
+class StoredDocument:
+    """The document and the version of its row in the table."""
 
     document: ProfileDocument
     row_version: int
 
 
 @dataclass(frozen=True, slots=True)
-class Accepted:
+class AcceptedChange:
     """A change that took effect.
 
-    :param version: document version that it made.
-    :param document: newest document known, at that version or above.
+    :param version: document version that the change made.
+    :param document: newest known document, at that version or a later one.
     """
 
     version: int
@@ -55,21 +55,22 @@
 
 
 @dataclass(slots=True)
-class Attempt:
-    """Where one change stands.
+class ChangeAttempt:
+    """Progress of one change over its attempts.
 
-    :param unsettled: document version on which a commit was sent whose answer
-        was lost; None when there is none.
+    :param raced: an earlier attempt lost a race against another change.
+    :param uncertain_base: document version on which a commit with an unknown result
+        is based; None when there is no such commit.
     """
 
     nonce: str
     deadline: float
     raced: bool = False
-    unsettled: int | None = None
+    uncertain_base: int | None = None
 
 
 class ProfileStore:
-    """Reads and changes the document."""
+    """Reads and changes the profile document in the table."""
 
     def __init__(
         self, table: Table, change_s: float, pause_s: float, clock: Callable[[], float]
@@ -79,19 +80,19 @@
         self._pause_s = pause_s
         self._clock = clock
 
-    async def read(self) -> Stored:
-        """Return the newest document; version 0 when there is none yet.
+    async def read(self) -> StoredDocument:
+        """Return the newest document, at version 0 if none is stored.
 
         :raises StoreError: the table did not answer.
         """
         rows = await self._table.read([DOCUMENT_KEY])
         row = rows.get(DOCUMENT_KEY)
         if row is None:
-            return Stored(ProfileDocument(), ABSENT)
-        return Stored(decode_document(row.value), row.version)
+            return StoredDocument(ProfileDocument(), ABSENT)
+        return StoredDocument(decode_document(row.value), row.version)
 
     async def read_version(self) -> int:
-        """Return the document's version from the small row that is polled.
+        """Return the document's version from the small row that entries poll.
 
         :raises StoreError: the table did not answer.
         """
@@ -99,33 +100,35 @@
         row = rows.get(VERSION_KEY)
         return int(row.value) if row else 0
 
-    async def change(self, change: Change) -> Accepted:
-        """Apply a change to the newest document until it is in or has lost.
+    async def change(self, change: Change) -> AcceptedChange:
+        """Apply a change to the newest document until it is committed or refused.
 
-        :raises RequestError: it lost (404, 409, 412, 428; not run), or the table
-            failed (503; ``unknown`` where a commit may have taken effect).
+        :raises RequestError: the change is refused (404, 409, 412, 428; not run), or
+            the table failed (503; ``unknown`` if a commit may have taken effect).
         """
-        attempt = Attempt(secrets.token_hex(8), self._clock() + self._change_s)
+        attempt = ChangeAttempt(secrets.token_hex(8), self._clock() + self._change_s)
         while True:
             try:
                 accepted = await self._try_once(change, attempt)
             except StoreError as error:
-                self._check_time(attempt, error)
+                self._check_give_up(attempt, error)
             else:
                 if accepted is not None:
                     return accepted
-                self._check_time(attempt, None)
+                self._check_give_up(attempt, None)
             await curio.sleep(self._pause_s * random.random())
 
-    async def _try_once(self, change: Change, attempt: Attempt) -> Accepted | None:
-        """Read, settle, apply, commit; None means: once more."""
+    async def _try_once(
+        self, change: Change, attempt: ChangeAttempt
+    ) -> AcceptedChange | None:
+        """Read the document, apply the change and commit; None means try again."""
         stored = await self.read()
         document = stored.document
-        if attempt.unsettled is not None:
+        if attempt.uncertain_base is not None:
             made = document.find_change(attempt.nonce)
             if made:
-                return Accepted(made, document)
-            self._settle_lost(attempt, document)
+                return AcceptedChange(made, document)
+            self._resolve_uncertain_commit(attempt, document)
         target = change.apply(document, attempt.raced).with_nonce(attempt.nonce)
         writes = [
             Write(DOCUMENT_KEY, encode_document(target), stored.row_version),
@@ -136,34 +139,43 @@
         except StoreUnavailableError:
             raise
         except StoreError:
-            # The answer was lost and the commit may be in force, or still land.
-            # Read as a plain failure, a change in force would be reported as
-            # refused; tried again under a new nonce, it would lose against
-            # itself. So the same commit, on the same row version, is repeated:
-            # only one of the two can take effect, and the nonce tells which.
-            attempt.unsettled = document.version
+            # The commit may have taken effect, or may still do so. If this counted
+            # as a failure, a change in force would be reported as refused; a retry
+            # with a new nonce would conflict with its own first commit. So the same
+            # commit is repeated on the same row version: only one of the two can
+            # take effect, and the nonce identifies it.
+            attempt.uncertain_base = document.version
             raise
         if result.committed:
-            return Accepted(target.version, target)
-        attempt.raced = attempt.raced or attempt.unsettled is None
+            return AcceptedChange(target.version, target)
+        attempt.raced = attempt.raced or attempt.uncertain_base is None
         return None
 
-    def _settle_lost(self, attempt: Attempt, document: ProfileDocument) -> None:
-        """Note that a lost commit can never land, if that is so."""
-        assert attempt.unsettled is not None
-        made_by_other = attempt.unsettled + 1
+    def _resolve_uncertain_commit(
+        self, attempt: ChangeAttempt, document: ProfileDocument
+    ) -> None:
+        """Clear the uncertain commit if another change has taken its version.
+
+        :raises RequestError: 503, the nonce of that version is no longer kept, so
+            the commit's result stays unknown.
+        """
+        assert attempt.uncertain_base is not None
+        made_by_other = attempt.uncertain_base + 1
         if document.version < made_by_other:
             return
-        if not document.remembers(made_by_other):
+        if not document.has_nonce_for(made_by_other):
             raise build_store_error(Outcome.UNKNOWN, RETRY_AFTER_S)
-        attempt.unsettled = None
+        attempt.uncertain_base = None
         attempt.raced = True
 
-    def _check_time(self, attempt: Attempt, error: StoreError | None) -> None:
-        """End the change when there is no use in, or no time for, another try."""
+    def _check_give_up(self, attempt: ChangeAttempt, error: StoreError | None) -> None:
+        """Raise if another attempt is pointless or the deadline has passed.
+
+        :raises RequestError: 503.
+        """
         late = self._clock() >= attempt.deadline
         retry_after = error.retry_after if error else RETRY_AFTER_S
-        if attempt.unsettled is not None:
+        if attempt.uncertain_base is not None:
             if late:
                 raise build_store_error(Outcome.UNKNOWN, retry_after) from error
             return
@@ -172,7 +184,7 @@
 
 
 def build_store_error(outcome: Outcome, retry_after: float) -> RequestError:
-    """Return the answer to a change that the table did not let end."""
+    """Return the error for a change that failed because of the table."""
     known = "was not made" if outcome is Outcome.NOT_RUN else "may have been made"
     return RequestError(
         f"table did not answer in time; the change {known}",
@@ -191,9 +203,9 @@
     pause_s: float = PAUSE_S,
     clock: Callable[[], float] = time.monotonic,
 ) -> ProfileStore:
-    """Return a store.
+    """Return a store over a table.
 
-    :param change_s: seconds after which a change is given up.
-    :param pause_s: longest pause between two tries, seconds.
+    :param change_s: seconds after which a change is abandoned.
+    :param pause_s: maximum pause between two attempts, seconds.
     """
     return ProfileStore(table, change_s, pause_s, clock)
--- a/tests/unit/test_profiles.py
+++ b/tests/unit/test_profiles.py
@@ -1,4 +1,4 @@
-"""Operators' changes of profiles, and what is in force where."""
+"""Operators' changes to profiles, and the policies in force on each process."""
 
 import curio
 import orjson
@@ -17,8 +17,8 @@
     """Calls one entry's API."""
 
     def __init__(self, table):
-        self.keeper = create_profile_manager(table, 1.0)
-        self.api = create_profile_api(table, self.keeper)
+        self.manager = create_profile_manager(table, 1.0)
+        self.api = create_profile_api(table, self.manager)
 
     async def call(self, method, path, body=None, **headers):
         named = tuple((key.replace("_", "-"), text) for key, text in headers.items())
@@ -29,7 +29,7 @@
 
 
 async def define(one: Operator) -> None:
-    """Define counter (version 1) and archive (2); orders holds counter (3)."""
+    """Create counter (version 1) and archive (2); assign counter to orders (3)."""
     assert (await one.call("PUT", "profiles/counter", {"promised_ms": 100}))[0] == 201
     assert (await one.call("PUT", "profiles/archive", {}))[0] == 201
     assert (await one.call("PUT", "services/orders", {"profile": "counter"}))[0] == 201
@@ -50,26 +50,26 @@
         for status in (200, 412):
             answer = await two.call("PUT", "profiles/counter", revised, if_match=tag)
             assert answer[0] == status
-        assert two.keeper.policy("orders").profile.promised_ms == 50
-        assert two.keeper.policy("orders").version == 4
-        assert one.keeper.policy("orders").version == 3
-        await one.keeper.refresh()
-        assert one.keeper.policy("orders") == two.keeper.policy("orders")
+        assert two.manager.policy("orders").profile.promised_ms == 50
+        assert two.manager.policy("orders").version == 4
+        assert one.manager.policy("orders").version == 3
+        await one.manager.refresh()
+        assert one.manager.policy("orders") == two.manager.policy("orders")
         again = await one.call("PUT", "profiles/archive", {}, if_none_match="*")
         assert again[0] == 412
         assert (await one.call("PUT", "services/x", {"profile": "no"}))[0] == 404
         assert (await one.call("DELETE", "services/x"))[0] == 404
         assert (await one.call("POST", "profiles", {}))[0] == 405
         assert (await one.call("DELETE", "services/orders"))[0] == 200
-        assert one.keeper.policy("orders") is None
-        # the document's own version stands for every item that it showed
+        assert one.manager.policy("orders") is None
+        # The document's version is accepted for every item in that document.
         assert (await one.call("DELETE", "profiles/counter", if_match='"5"'))[0] == 200
         assert [p["name"] for p in (await one.call("GET", "profiles"))[1]["profiles"]]
 
     curio.run(main)
 
 
-def test_all_faults_of_a_body_are_told_together():
+def test_all_faults_of_a_body_are_reported_together():
     async def main():
         body = {"name": "b", "promised_ms": "200", "share": 0, "colour": 1}
         status, problem, _ = await Operator(FakeTable()).call("PUT", "profiles/a", body)
@@ -85,11 +85,11 @@
 
 
 @pytest.mark.parametrize("fault", [Fault.LOST, Fault.DROPPED, Fault.DELAYED])
-def test_change_in_force_is_never_told_as_failed(fault):
-    """Symptom: an operator is told 412 for the change that is in force.
+def test_change_in_force_is_never_reported_as_failed(fault):
+    """Guards against answering 412 for a change that is in force.
 
-    Sequence: the commit's answer is lost; another operator changes another item.
-    Cause: the retry meets the operator's own change (trap 4).
+    The commit's answer is lost, and another operator changes another item. The
+    retry then conflicts with the operator's own change.
     """
 
     async def main():
@@ -112,7 +112,7 @@
     curio.run(main)
 
 
-def test_outage_is_told_truly():
+def test_outage_is_reported_with_the_right_outcome():
     async def main():
         table = FakeTable()
         one = Operator(table)
@@ -131,11 +131,11 @@
 
 
 def test_entry_started_in_an_outage_learns_from_agents():
-    """Symptom: a restarted entry serves an older profile than one in force.
+    """Guards against a restarted entry that serves an outdated profile.
 
-    Sequence: change accepted; store down; an entry starts; agents attach, one of
-    them with an old version, one that was cut off while a service was removed.
-    Cause: the entry takes what it hears last (trap 9).
+    A change is accepted, the store goes down and an entry starts. Agents attach,
+    one with an old version, one partitioned while a service was removed. The entry
+    must not simply apply what it receives last.
     """
 
     async def main():
@@ -143,10 +143,10 @@
         one = Operator(table)
         await define(one)
         agent = create_policy_cache()
-        agent.merge(one.keeper.parts(["orders"]))
+        agent.merge(one.manager.parts(["orders"]))
         old = agent.parts(["orders"])
         await one.call("PUT", "profiles/counter", {}, if_match='"1"')
-        agent.merge(one.keeper.parts(["orders"]))
+        agent.merge(one.manager.parts(["orders"]))
         started = create_profile_manager(table, 1.0)
         changes = []
         started.on_change = changes.append
@@ -162,7 +162,7 @@
         assert agent.merge(started.parts(["orders"])) == {"orders"}
         assert agent.policy("orders") is None
         assert agent.merge(old) == set()
-        # an entry that never knew the service says that it is gone, too
+        # An entry that never knew the service reports it as removed, too.
         fresh = create_profile_manager(table, 1.0)
         await fresh.refresh()
         assert fresh.parts(["orders"]) == (PolicyPart("orders", 5, ""),)
--- a/tests/unit/test_profiles_race.py
+++ b/tests/unit/test_profiles_race.py
@@ -1,6 +1,6 @@
-"""How many of two operators' concurrent changes lose, by what is compared.
+"""Counts how many concurrent changes are refused, by what their version is compared to.
 
-``pytest tests/unit/test_profiles_race.py -s`` prints the figures that stand in
+``pytest tests/unit/test_profiles_race.py -s`` prints the figures that are quoted in
 docs/design/ecros.md. The changes are drawn from a fixed seed; nothing is timed.
 """
 
@@ -29,7 +29,7 @@
 
 @dataclass
 class WholeDocument:
-    """The baseline: a change loses when anything changed since it was seen."""
+    """The baseline: a change is refused if anything in the document has changed."""
 
     change: Change
     seen: int
@@ -47,12 +47,12 @@
 
 
 def draw_change(rng: random.Random, document: ProfileDocument, items: int) -> Change:
-    """Draw a change that would be accepted if the operator were alone."""
+    """Draw a change that would be accepted without concurrent changes."""
     name = f"p{rng.randrange(items)}"
     service = f"s{rng.randrange(items)}"
     item = document.profiles.get(name)
     seen = Precondition(versions=(item.version,)) if item else Precondition(absent=True)
-    if item and not document.holders(name) and rng.random() < 0.5:
+    if item and not document.services_using(name) and rng.random() < 0.5:
         return RetireProfile(name, seen)
     if item and rng.random() < 0.5:
         held = document.services.get(service)
@@ -98,6 +98,6 @@
         print(
             f"{items:4} items, {name:14}: {lost:4} of {tally.changes} lost", tally.lost
         )
-    # Against the whole document one of the two always loses.
+    # Compared with the whole document, one of the two changes always loses.
     assert sum(whole.lost.values()) == ROUNDS
     assert sum(each.lost.values()) * items < 2 * 2 * ROUNDS
