--- a/pistachiodeal/claims/outcomes.py
+++ b/pistachiodeal/claims/outcomes.py
@@ -150,7 +150,7 @@
                 outcome.expect = row.version if row else 0
             else:
                 if outcome.claim_expect == NO_PENDING_CLAIM:
-                    log.error("claims: row {} belongs to another claim", outcome.row_key)
+                    log.error("claims: row {} is of another claim", outcome.row_key)
                 self._finish(outcome)
 
     def _finish(self, outcome: PendingOutcome) -> None:
