--- a/pistachiodeal/config/__init__.py
+++ b/pistachiodeal/config/__init__.py
@@ -1,1 +1,1 @@
-"""Settings: declared once as typed fields, checked at load."""
+"""Settings, declared as typed fields and validated at load."""
--- a/pistachiodeal/config/checks.py
+++ b/pistachiodeal/config/checks.py
@@ -1,4 +1,4 @@
-"""Checks of settings that no single field can make."""
+"""Checks of settings that involve several fields or need code."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
     """A condition on some fields.
 
     :param paths: the fields; a fault is reported under the first one.
-    :param holds: gets the values in the same order.
-    :param fault: what is wrong when it does not hold.
+    :param holds: gets the values of the fields in this order.
+    :param fault: message when the condition does not hold.
     """
 
     paths: tuple[str, ...]
@@ -56,7 +56,7 @@
 
 
 NOT_AN_ADDRESS = "is not ip:port"
-NOT_A_HOST = "is not an IP number"
+NOT_A_HOST = "is not an IPv4 address"
 
 SHARED_CHECKS = (
     Check(
@@ -77,7 +77,7 @@
     Check(
         ("batch.owner_lease_s", "batch.beat_s"),
         lambda lease, beat: lease > 3 * beat,
-        "must be over three times batch.beat_s, or one lost beat moves partitions",
+        "must be over three times batch.beat_s, or one lost heartbeat moves partitions",
     ),
     Check(
         ("batch.owner_lease_s", "store.timeout_s"),
@@ -94,7 +94,7 @@
     Check(
         ("quotas",),
         lambda quotas: all(cores >= 0 for cores in quotas.values()),
-        "has a team with less than no cores",
+        "has a team with a negative number of cores",
     ),
     Check(("http.host",), _is_host, NOT_A_HOST),
     Check(("internal.host",), _is_host, NOT_A_HOST),
@@ -128,24 +128,24 @@
 }
 
 
-def find_clashes(
+def find_conflicts(
     model: type[BaseModel], document: Any, faulty: frozenset[str]
 ) -> list[str]:
-    """Return the faults between fields, each as ``path: fault``.
+    """Return the failed checks of a model, each as ``path: fault``.
 
     :param document: the settings as read, which need not be valid.
-    :param faulty: paths of fields that are wrong by themselves; checks on them
-        or on what holds them are left out.
+    :param faulty: paths of fields that are invalid by themselves; checks on them
+        or on sections that contain them are skipped.
     """
-    clashes = []
+    conflicts = []
     for check in CHECKS.get(model, ()):
         if any(_is_faulty(path, faulty) for path in check.paths):
             continue
         values = [read_value(model, document, path) for path in check.paths]
         if MISSING in values or check.holds(*values):
             continue
-        clashes.append(f"{check.paths[0]}: {check.fault}")
-    return clashes
+        conflicts.append(f"{check.paths[0]}: {check.fault}")
+    return conflicts
 
 
 def _is_faulty(path: str, faulty: frozenset[str]) -> bool:
@@ -156,7 +156,10 @@
 
 
 def read_value(model: type[BaseModel], document: Any, path: str) -> Any:
-    """Return the value of a field from the document, or else its default."""
+    """Return a field's value from the document, or its default.
+
+    :data:`MISSING` is returned when there is neither.
+    """
     name, _, rest = path.partition(".")
     if not isinstance(document, dict):
         return MISSING
--- a/pistachiodeal/config/deployment.py
+++ b/pistachiodeal/config/deployment.py
@@ -1,7 +1,8 @@
 """Settings of the two programs that run jobs on the users' platform.
 
-They are checked by hand: importing the models of the other programs' settings takes
-processor time at each start and memory in each process, on every VM.
+They are validated by hand, without pydantic: importing the models of the other
+programs' settings costs CPU time at each start and memory in each process, on
+every VM.
 """
 
 from __future__ import annotations
@@ -17,12 +18,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ListenSettings:
-    """Where the process listens.
+    """Addresses on which the process listens.
 
     :param callers: ``ip:port`` for callers, empty on an agent.
-    :param readiness: ``ip:port`` for the balancer's health check.
+    :param readiness: ``ip:port`` for the load balancer's health check.
     :param runners: ``ip:port`` for heartbeats of runners.
-    :param metrics_port: serves counters and histograms as text; 0 for none.
+    :param metrics_port: serves counters and histograms as text; 0 disables it.
     """
 
     callers: str = ""
@@ -36,54 +37,55 @@
     """The platform's store.
 
     :param address: ``ip:port``.
-    :param row_bytes: largest row that it takes.
+    :param row_bytes: largest row that it accepts, bytes.
     """
 
     address: str
     row_bytes: int = 65_536
 
 
-def _between(default: Any, least: float, most: float) -> Any:
-    """Return a field whose value has to lie within a range."""
+def _ranged_field(default: Any, least: float, most: float) -> Any:
+    """Return a data class field whose value has to be within a range."""
     return field(default=default, metadata={"least": least, "most": most})
 
 
 @dataclass(frozen=True, slots=True)
 class LimitSettings:
-    """Times that the deployment promises or demands.
-
-    :param longest_lease_ms: the runner cuts longer leases to this.
-    :param closing_ms: nothing starts in a data centre later than this after the
-        operator has closed it.
-    :param grace_s: seconds between the signal to stop and the kill.
-    :param stop_ms: a stopped task ends within this.
-    :param restore_ms: a task goes on from its saved progress after this.
+    """Time limits that the deployment guarantees or requires.
+
+    :param longest_lease_ms: the runner shortens longer leases to this, ms.
+    :param closing_ms: no task starts in a data centre later than this after the
+        operator closed it, ms.
+    :param grace_s: time between the stop signal and the kill, s.
+    :param stop_ms: a stopped task ends within this, ms.
+    :param restore_ms: time until a task resumes from its saved progress, ms.
     :param remote_factor: tasks far from their data take this many times as long.
-    :param kept_s: a final state can be asked for this long.
-    :param interference_ms: a serving task may be over its aim for this long.
+    :param kept_s: how long a final state can be queried, s.
+    :param interference_ms: how long a serving task may exceed its latency
+        objective, ms.
     """
 
-    longest_lease_ms: int = _between(10_000, 1_000, 3_600_000)
-    closing_ms: int = _between(5_000, 2_000, 3_600_000)
-    grace_s: float = _between(6.0, 1.0, 3_600.0)
-    stop_ms: int = _between(1_000, 0, 60_000)
-    restore_ms: int = _between(250, 0, 60_000)
-    remote_factor: float = _between(1.5, 1.0, 1_000.0)
-    kept_s: float = _between(120.0, 0.0, 604_800.0)
-    interference_ms: int = _between(4_000, 500, 600_000)
+    longest_lease_ms: int = _ranged_field(10_000, 1_000, 3_600_000)
+    closing_ms: int = _ranged_field(5_000, 2_000, 3_600_000)
+    grace_s: float = _ranged_field(6.0, 1.0, 3_600.0)
+    stop_ms: int = _ranged_field(1_000, 0, 60_000)
+    restore_ms: int = _ranged_field(250, 0, 60_000)
+    remote_factor: float = _ranged_field(1.5, 1.0, 1_000.0)
+    kept_s: float = _ranged_field(120.0, 0.0, 604_800.0)
+    interference_ms: int = _ranged_field(4_000, 500, 600_000)
 
     @property
     def move_s(self) -> float:
-        """Return for how long a task is not at work when it is stopped and moved."""
+        """Return how long a task pauses when it is stopped and moved, in seconds."""
         return (self.stop_ms + self.restore_ms) / 1000
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessorSettings:
-    """What the VM's processor gives one process.
+    """CPU capacity of one process.
 
-    :param share: of a core.
-    :param speed: how many times as fast as a usual core that core is.
+    :param share: share of a core that the process gets.
+    :param speed: speed of that core relative to a standard core.
     """
 
     share: float = 1.0
@@ -91,7 +93,7 @@
 
     @property
     def cores(self) -> float:
-        """Return how many usual cores that is."""
+        """Return the capacity in standard cores."""
         return self.share * self.speed
 
 
@@ -101,15 +103,15 @@
 
     :param node: the VM's name.
     :param host: the VM's IP address.
-    :param data_centre: where it is.
-    :param peer_ports: first and last port for links between our processes.
-    :param seed_peers: addresses on VMs that may run an entry; only their hosts count.
-    :param peer_secret: proves to each other that two processes belong together.
-    :param runner: ``ip:port`` of the runner beside an agent.
+    :param data_centre: the VM's data centre.
+    :param peer_ports: first and last port for links between entries and agents.
+    :param seed_peers: addresses on VMs that may run an entry; ports are ignored.
+    :param peer_secret: shared secret with which entries and agents authenticate.
+    :param runner: ``ip:port`` of the runner on an agent's VM.
     :param advice: ``ip:port`` of the service that chooses workers, or empty.
-    :param memory_mib: the process may not use more, MiB.
-    :param processor: what the VM's processor gives this process.
-    :param link_mbps: bandwidth of the VM's link, Mbit/s.
+    :param memory_mib: memory limit of the process, MiB.
+    :param processor: CPU capacity of the process.
+    :param link_mbps: bandwidth of the VM's network link, Mbit/s.
     """
 
     node: str
@@ -129,14 +131,14 @@
 
     @property
     def peer_address(self) -> str:
-        """Return where an entry accepts links."""
+        """Return the address on which an entry accepts links."""
         return f"{self.host}:{self.peer_ports[0]}"
 
 
 def load_deployment(path: str) -> DeploymentSettings:
     """Return the settings in a JSON file.
 
-    :raises SettingsError: lists all faults, one a line.
+    :raises SettingsError: lists all faults, one per line.
     """
     try:
         document = orjson.loads(Path(path).read_bytes())
@@ -145,7 +147,7 @@
     faults: list[str] = []
     settings = _build(DeploymentSettings, document, "", faults)
     if not faults and not settings.peer_ports:
-        faults.append("peer_ports: names no port")
+        faults.append("peer_ports: is an empty list")
     if faults:
         raise SettingsError("\n".join(faults), step="settings.load", peer=path)
     return settings
@@ -161,7 +163,7 @@
         name = f"{path}.{item.name}" if path else item.name
         value = document.get(item.name)
         if value is None:
-            _demand(item, name, faults)
+            _check_required(item, name, faults)
             continue
         values[item.name] = _convert(hints[item.name], value, name, faults)
         _check_range(item, values[item.name], name, faults)
@@ -176,7 +178,7 @@
         faults.append(f"{name}: is {value}, not from {least} to {most}")
 
 
-def _demand(item: Any, name: str, faults: list[str]) -> None:
+def _check_required(item: Any, name: str, faults: list[str]) -> None:
     if item.default is MISSING and item.default_factory is MISSING:
         faults.append(f"{name}: is missing")
 
--- a/pistachiodeal/config/deployment_reference.py
+++ b/pistachiodeal/config/deployment_reference.py
@@ -1,4 +1,4 @@
-"""The settings of the users' platform's programs, for the settings reference."""
+"""Section of the settings reference on the programs of the users' platform."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 ## Jobs on the users' platform
 
 `python3 -m pistachiodeal.jobentry` and `python3 -m pistachiodeal.jobagent` read these.
-The platform renders them from `deploy/*.tmpl`; `--check` checks a file.
+The platform renders them from `deploy/*.tmpl`; `--check` validates a file.
 
 | field | type | default | meaning |
 | --- | --- | --- | --- |
@@ -30,7 +30,7 @@
 
 
 def describe_deployment() -> Iterator[str]:
-    """Yield the section's lines, in Markdown."""
+    """Yield the lines of the section in Markdown."""
     yield HEADING
     yield from _describe(DeploymentSettings, "")
 
--- a/pistachiodeal/config/load.py
+++ b/pistachiodeal/config/load.py
@@ -1,4 +1,4 @@
-"""Loading of settings files: every fault is found and reported at once."""
+"""Loads settings files and reports all faults at once."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from pydantic import BaseModel, ValidationError
 
-from pistachiodeal.config.checks import find_clashes
+from pistachiodeal.config.checks import find_conflicts
 from pistachiodeal.exceptions import SettingsError
 
 T = TypeVar("T", bound=BaseModel)
@@ -18,7 +18,7 @@
 def load_settings(path: str, model: type[T]) -> T:
     """Return the settings in a JSON file.
 
-    :raises SettingsError: the detail lists all faults, one a line, each with
+    :raises SettingsError: the detail lists all faults, one per line, each with
         the path of its field.
     """
     text = _read_text(path)
@@ -26,7 +26,7 @@
     settings, field_faults = _validate(model, document)
     faults += [f"{where}: {what}" for where, what in field_faults]
     faulty = frozenset(where for where, _ in field_faults)
-    faults += find_clashes(model, document, faulty)
+    faults += find_conflicts(model, document, faulty)
     if faults or settings is None:
         _fail(faults, path)
     return settings
@@ -42,15 +42,15 @@
 
 
 def _parse(text: str, path: str) -> tuple[Any, list[str]]:
-    """Return the document, and the keys that stand twice in one object."""
+    """Return the document, and a fault for each key that an object repeats."""
     duplicates: list[str] = []
 
     def build_object(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
-        # json keeps the last of two equal keys without a word; the operator
-        # would see the first one and wonder why it has no effect.
+        # json silently keeps the last of two equal keys; an operator who sees the
+        # first one could not tell why it has no effect.
         names = [name for name, _ in pairs]
         twice = sorted({name for name in names if names.count(name) > 1})
-        duplicates.extend(f"{name}: stands twice in one object" for name in twice)
+        duplicates.extend(f"{name}: is repeated in one object" for name in twice)
         return dict(pairs)
 
     try:
@@ -70,7 +70,8 @@
 
 def _validate(model: type[T], document: Any) -> tuple[T | None, list[tuple[str, str]]]:
     try:
-        # Strict, and through JSON: "5" is not a number, while 5 is a float.
+        # Strict validation of JSON input refuses "5" for a number but accepts the
+        # integer 5 for a float.
         return model.model_validate_json(json.dumps(document), strict=True), []
     except ValidationError as error:
         return None, [
@@ -80,7 +81,7 @@
 
 
 def format_path(parts: tuple[int | str, ...]) -> str:
-    """Return a field's path as text, for example ``batch.beat_s``."""
+    """Return the path of a field as text, for example ``batch.beat_s``."""
     return ".".join(str(part) for part in parts) or TOP
 
 
--- a/pistachiodeal/config/reference.py
+++ b/pistachiodeal/config/reference.py
@@ -1,4 +1,4 @@
-"""The settings reference, made from the declarations."""
+"""Generates the settings reference from the declarations."""
 
 from __future__ import annotations
 
@@ -23,20 +23,20 @@
 
 <!-- Made by `make docs` from the declarations in pistachiodeal/config. -->
 
-Each program reads one JSON file, named by `--settings`. It is checked at the
-start: unknown keys, wrong types, impossible values and clashing fields are all
-reported at once with the path of each, and the exit status is 2.
-`pistachiodeal settings check FILE` does the same without starting.
+Each program reads one JSON file, named by `--settings`, and validates it at start:
+all unknown keys, wrong types, invalid values and conflicting fields are reported
+at once, each with its path, and the exit status is 2.
+`pistachiodeal settings check FILE` does the same without starting the program.
 
 Times are in seconds (`_s`) or milliseconds (`_ms`), sizes in bytes. Addresses
-are an IP number and a port. A field without a default has to be given.
+are an IPv4 address and a port. A field without a default is required.
 """
 PROFILE_HEADER = """# Fields of a profile
 
 <!-- Made by `make docs` from the declaration in pistachiodeal/model/policies.py. -->
 
 `pistachiodeal profile define` has an option for each field; `--file FILE` reads
-them from a JSON object instead. How to choose them: [Profiles](profiles.md).
+them from a JSON object instead. [Profiles](profiles.md) describes how to choose them.
 """
 TABLE_HEAD = """| field | type | default | limits | meaning |
 | --- | --- | --- | --- | --- |
@@ -58,7 +58,7 @@
 
 
 def build_reference() -> str:
-    """Return the page of all settings, in Markdown."""
+    """Return the page on all settings in Markdown."""
     parts = [HEADER]
     for program, model in PROGRAMS:
         parts.append(f"\n## {program}\n")
@@ -70,7 +70,7 @@
 
 
 def build_profile_reference() -> str:
-    """Return the page of all fields of a profile, in Markdown."""
+    """Return the page on all fields of a profile in Markdown."""
     fields = Profile.model_fields.items()
     rows = "".join(_describe_field(name, field) for name, field in fields)
     return f"{PROFILE_HEADER}\n{TABLE_HEAD}{rows}"
@@ -84,7 +84,7 @@
 
 
 def _describe_section(model: type[BaseModel], path: str) -> Iterator[str]:
-    """Yield the table of a section's own fields, then those of its sections."""
+    """Yield the table of a section's own fields, then those of its subsections."""
     if path:
         yield f"\n### {path}\n"
     yield f"\n{inspect.getdoc(model)}\n\n"
@@ -144,7 +144,7 @@
 
 
 def write_pages(directory: Path) -> None:
-    """Write both pages into the user guide."""
+    """Write both pages to a directory."""
     (directory / SETTINGS_PAGE).write_text(build_reference(), encoding="utf-8")
     (directory / PROFILE_PAGE).write_text(build_profile_reference(), encoding="utf-8")
 
--- a/pistachiodeal/model/__init__.py
+++ b/pistachiodeal/model/__init__.py
@@ -1,1 +1,1 @@
-"""Data classes shared by all parts: resources, tasks and policies."""
+"""Data classes shared by all packages: resources, tasks and policies."""
--- a/pistachiodeal/model/resources.py
+++ b/pistachiodeal/model/resources.py
@@ -1,4 +1,4 @@
-"""Amounts of processors, memory and accelerators."""
+"""Amounts of CPU, memory and accelerators."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 class Resources:
     """An amount of a worker's resources.
 
-    :param cpu_milli: processors, in thousandths of a core.
+    :param cpu_milli: CPU, in thousandths of a core.
     :param memory_mib: memory, in MiB.
-    :param accelerators: whole accelerators.
+    :param accelerators: number of accelerators.
     """
 
     cpu_milli: int = 0
@@ -33,7 +33,7 @@
         )
 
     def fits(self, room: Resources) -> bool:
-        """Tell whether this amount fits into ``room``."""
+        """Return whether this amount fits into ``room``."""
         return (
             self.cpu_milli <= room.cpu_milli
             and self.memory_mib <= room.memory_mib
@@ -41,7 +41,10 @@
         )
 
     def fits_beside(self, used: Resources, whole: Resources) -> bool:
-        """Tell whether there is room for what of this amount isn't zero."""
+        """Return whether this amount and ``used`` together fit into ``whole``.
+
+        Resources of which this amount is zero are not compared.
+        """
         return (
             (not self.cpu_milli or self.cpu_milli + used.cpu_milli <= whole.cpu_milli)
             and (
@@ -55,7 +58,7 @@
         )
 
     def elementwise_max(self, other: Resources) -> Resources:
-        """Return the larger of both amounts, field by field."""
+        """Return the maximum of both amounts for each resource."""
         return Resources(
             max(self.cpu_milli, other.cpu_milli),
             max(self.memory_mib, other.memory_mib),
--- a/pistachiodeal/model/tasks.py
+++ b/pistachiodeal/model/tasks.py
@@ -1,4 +1,4 @@
-"""Batch tasks: what is asked for, and what became of it."""
+"""Batch tasks: their specification and state."""
 
 from __future__ import annotations
 
@@ -19,21 +19,21 @@
 
     @property
     def final(self) -> bool:
-        """Tell whether a task in this state never changes again."""
+        """Return whether a task in this state never changes again."""
         return self in (TaskState.FINISHED, TaskState.FAILED, TaskState.CANCELLED)
 
 
 @dataclass(frozen=True, slots=True)
 class TaskSpec:
-    """What a caller asked for.
+    """A task as its caller submitted it.
 
-    :param task_id: ``{partition:04d}-{key}``; unique, made at admission.
-    :param kind: kind of work, by which interference and sizes are learnt.
-    :param team: whose quota it counts against.
-    :param profile: name of the profile that says how it is treated.
+    :param task_id: ``{partition:04d}-{key}``; unique, assigned at admission.
+    :param kind: kind of work, for which interference and sizes are learnt.
+    :param team: team whose quota the task counts against.
+    :param profile: name of the profile that defines how the task is treated.
     :param declared: declared size.
-    :param payload: opaque to this project, handed to the worker.
-    :param urgent: goes before all tasks that are not.
+    :param payload: opaque data that is passed to the worker.
+    :param urgent: the task goes before all tasks that are not urgent.
     """
 
     task_id: str
@@ -47,14 +47,14 @@
 
 @dataclass(slots=True)
 class TaskRecord:
-    """A task as its partition's owner knows it.
+    """The state of a task at the owner of its partition.
 
     :param attempt: number of the current or next run, from 1.
     :param worker: worker of the current attempt, empty while queued.
     :param checkpoint: object key to resume from, empty for a fresh start.
-    :param crashes: workers that ended under it soon after its start.
-    :param checkpoint_misses: starts refused because that object was not there.
-    :param cancel_asked: a cancel is journaled and waits for the worker's answer.
+    :param crashes: number of workers that died soon after this task's start.
+    :param checkpoint_misses: starts refused because the checkpoint was missing.
+    :param cancel_asked: a cancellation is journaled and waits for the worker.
     """
 
     spec: TaskSpec
--- a/tests/unit/test_config.py
+++ b/tests/unit/test_config.py
@@ -1,4 +1,4 @@
-"""Settings: all faults at once, each with its path."""
+"""Validation of settings: all faults are reported at once, each with its path."""
 
 from __future__ import annotations
 
@@ -34,12 +34,11 @@
 
 
 def test_every_fault_is_reported_at_once(tmp_path: Path) -> None:
-    """Symptom: an operator mends a file field by field, one start for each fault.
+    """Guards against reporting one fault per start of the program.
 
-    Sequence: a file with an unknown key, a wrong type, a value out of range,
-    an impossible address and two pairs of clashing fields, one in a section that
-    has another fault.
-    Cause: checks between fields ran only once every field was good by itself.
+    The file has an unknown key, a wrong type, a value out of range, an invalid
+    address and two pairs of conflicting fields, one in a section with another
+    fault. Checks between fields must run even if some fields are invalid.
     """
     document = {
         **ENTRY,
@@ -65,20 +64,20 @@
     ("text", "fault"),
     [
         ('{"node": "a",\n "log": }', "line 2, column 9"),
-        (json.dumps(ENTRY)[:-1] + ', "node": "b"}', "node: stands twice"),
+        (json.dumps(ENTRY)[:-1] + ', "node": "b"}', "node: is repeated in one object"),
         (json.dumps(ENTRY)[:-1] + ', "drain_s": NaN}', "NaN is not JSON"),
         ("[]", "(top): "),
         ("[" * 100_000, "recursion"),
     ],
 )
-def test_a_text_that_is_no_settings_is_refused(
+def test_a_file_without_valid_settings_is_refused(
     tmp_path: Path, text: str, fault: str
 ) -> None:
     faults = find_faults(tmp_path, text)
     assert any(fault in line for line in faults), faults
 
 
-def test_clashing_agent_settings_are_reported(tmp_path: Path) -> None:
+def test_conflicting_agent_settings_are_reported(tmp_path: Path) -> None:
     path = tmp_path / "agent.json"
     document = json.loads((EXAMPLES / "lisovna" / "agent.json").read_text())
     document["guard"] = {"low": 0.95}
