--- a/pistachiodeal/agent/ledger.py
+++ b/pistachiodeal/agent/ledger.py
@@ -54,7 +54,7 @@
         An existing reservation is only enlarged. If a field of ``free`` becomes
         negative, nothing more is accepted until enough reservations are released.
         """
-        self._set(name, size.enlarge(self._sizes.get(name, NOTHING)))
+        self._set(name, size.elementwise_max(self._sizes.get(name, NOTHING)))
 
     def release(self, name: str) -> None:
         """Release a reservation if it exists."""
--- a/pistachiodeal/agent/watching.py
+++ b/pistachiodeal/agent/watching.py
@@ -87,7 +87,7 @@
             if record is None or record.ended or sample.at < record.started_at:
                 continue
             record.recent = sample.used
-            record.used = record.used.enlarge(sample.used)
+            record.used = record.used.elementwise_max(sample.used)
             if self._table.ledger.holds(record.name):
                 self._table.ledger.reserve_unchecked(record.name, record.used)
 
--- a/pistachiodeal/batch/workers.py
+++ b/pistachiodeal/batch/workers.py
@@ -174,7 +174,7 @@
         """Return the maximum of each resource over all known workers."""
         largest = Resources()
         for capacity in self._capacities.values():
-            largest = largest.enlarge(capacity)
+            largest = largest.elementwise_max(capacity)
         return largest
 
     def explain_misfit(self, size: Resources) -> str:
--- a/pistachiodeal/entry/services.py
+++ b/pistachiodeal/entry/services.py
@@ -7,7 +7,7 @@
 from pistachiodeal.entry.targets import TargetTable
 from pistachiodeal.exceptions import Outcome, RequestError
 from pistachiodeal.model.policies import Profile
-from pistachiodeal.profiles.keeper import ProfileKeeper
+from pistachiodeal.profiles.manager import ProfileManager
 from pistachiodeal.routing.budget import RetryBudget, create_retry_budget
 
 UNASSIGNED = Profile(name="unassigned")
@@ -20,7 +20,7 @@
     """Looks up services that have a profile or an announced runner."""
 
     def __init__(
-        self, profiles: ProfileKeeper, targets: TargetTable, clock: Callable[[], float]
+        self, profiles: ProfileManager, targets: TargetTable, clock: Callable[[], float]
     ) -> None:
         self._profiles = profiles
         self._targets = targets
--- a/tests/unit/test_agent_guard_loop.py
+++ b/tests/unit/test_agent_guard_loop.py
@@ -85,7 +85,7 @@
         used = Resources(100, 7000, 0)
         stale = UsageSample(TASK, bench.now - 1, CAPACITY)
         bench.manager._watcher.apply_usage([stale, UsageSample(TASK, bench.now, used)])
-        assert bench.manager.room == CAPACITY - used.enlarge(SIZE)
+        assert bench.manager.room == CAPACITY - used.elementwise_max(SIZE)
         await bench.settle(build_start(task_id="0003-b"))
         assert [refused.code for refused in await bench.send()] == ["no_room"]
 
