--- a/pistachiodeal/agent/announce.py
+++ b/pistachiodeal/agent/announce.py
@@ -15,7 +15,7 @@
 from pistachiodeal.model.policies import NAME_PATTERN
 from pistachiodeal.model.resources import Resources
 from pistachiodeal.web.messages import WebLimits, WebRequest, WebResponse, build_json
-from pistachiodeal.web.validation import describe_faults
+from pistachiodeal.web.validation import describe_validation_errors
 
 LIMITS = WebLimits(head_bytes=8_192, body_bytes=16_384, connections=512)
 RUNNERS_PATH = "/runners/"
@@ -104,7 +104,7 @@
     try:
         return RunnerName(name=name).name
     except ValidationError as error:
-        raise _build_bad_announcement(describe_faults(error)) from error
+        raise _build_bad_announcement(describe_validation_errors(error)) from error
 
 
 def _read_announcement(body: bytes) -> Announcement:
@@ -117,7 +117,7 @@
     try:
         return Announcement.model_validate(document)
     except ValidationError as error:
-        raise _build_bad_announcement(describe_faults(error)) from error
+        raise _build_bad_announcement(describe_validation_errors(error)) from error
 
 
 def _build_bad_announcement(detail: str) -> RequestError:
--- a/pistachiodeal/batch/api.py
+++ b/pistachiodeal/batch/api.py
@@ -22,7 +22,7 @@
 from pistachiodeal.model.resources import Resources
 from pistachiodeal.model.tasks import TaskRecord, TaskSpec
 from pistachiodeal.web.messages import WebRequest, WebResponse, build_json, get_header
-from pistachiodeal.web.validation import describe_faults
+from pistachiodeal.web.validation import describe_validation_errors
 
 TASKS_PATH = "/tasks"
 KEY_HEADER = "idempotency-key"
@@ -154,7 +154,7 @@
             f"the body is no JSON: {error}", code="bad_body", status=400
         ) from None
     except ValidationError as error:
-        faults = describe_faults(error)
+        faults = describe_validation_errors(error)
         raise RequestError(faults, code="bad_task", status=422) from None
 
 
--- a/pistachiodeal/platform/runner.py
+++ b/pistachiodeal/platform/runner.py
@@ -22,8 +22,8 @@
 from pistachiodeal.model.resources import Resources
 from pistachiodeal.web.client import (
     CallError,
-    Introduction,
     OtherPeerError,
+    PeerCheck,
     WebClient,
     create_client,
 )
@@ -150,7 +150,7 @@
                 headers=headers,
                 body=orjson.dumps(document),
                 timeout=timeout,
-                introduction=_build_introduction(worker, headers, document),
+                peer_check=_build_introduction(worker, headers, document),
             )
         except OtherPeerError:
             return CallResult.OTHER_INCARNATION, {}
@@ -168,7 +168,7 @@
 
 def _build_introduction(
     worker: str, headers: Headers, document: dict[str, Any]
-) -> Introduction | None:
+) -> PeerCheck | None:
     """Return the first call on each connection, where the headers don't say enough.
 
     They name all starts of a runner alike; a connection leads to one of them. Sent to
@@ -177,7 +177,7 @@
     if get_runner(worker) == worker:
         return None
     question = {"fencing_token": document["fencing_token"], "last_seen": 0}
-    return Introduction(
+    return PeerCheck(
         worker,
         "POST",
         HOLD_PATH,
--- a/pistachiodeal/web/client.py
+++ b/pistachiodeal/web/client.py
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Introduction:
+class PeerCheck:
     """The first request on each connection, which asks who is at the other end.
 
     :param expected: name of the peer that a call is meant for.
@@ -171,12 +171,12 @@
         headers: Headers = (),
         body: bytes = b"",
         timeout: float = 5.0,
-        introduction: Introduction | None = None,
+        peer_check: PeerCheck | None = None,
     ) -> WebResponse:
         """Return the whole answer.
 
         :param timeout: seconds for everything, waiting for a connection included.
-        :param introduction: sends the request only to the peer that it is meant for.
+        :param peer_check: sends the request only to the peer that it is meant for.
         :raises CallError: there was no whole answer in time.
         :raises OtherPeerError: another peer is at the address.
         """
@@ -185,7 +185,7 @@
         try:
             async with curio.timeout_after(timeout):
                 async with self._free:
-                    return await self._call(exchange, request, body, introduction)
+                    return await self._call(exchange, request, body, peer_check)
         except curio.TaskTimeout:
             raise self._fail(exchange, f"no answer within {timeout:.3g} s") from None
         except (OSError, EOFError, ValueError, h11.ProtocolError) as error:
@@ -201,13 +201,13 @@
         exchange: _Exchange,
         request: h11.Request,
         body: bytes,
-        introduction: Introduction | None,
+        peer_check: PeerCheck | None,
     ) -> WebResponse:
-        line = await self._take(introduction.expected if introduction else "")
+        line = await self._take(peer_check.expected if peer_check else "")
         reusable = False
         try:
-            if introduction is not None and not line.peer:
-                refusal = await self._introduce(line, introduction)
+            if peer_check is not None and not line.peer:
+                refusal = await self._introduce(line, peer_check)
                 if refusal is not None:
                     return refusal
             response = await exchange.run(line.sock, line.conn, request, body)
@@ -220,24 +220,24 @@
                 await line.sock.close()
 
     async def _introduce(
-        self, line: _Line, introduction: Introduction
+        self, line: _Line, peer_check: PeerCheck
     ) -> WebResponse | None:
         """Learn who is at the other end; return the answer where it refuses to say.
 
         :raises OtherPeerError: it is not the intended peer.
         """
         request = self._build_request(
-            introduction.method,
-            introduction.target,
-            introduction.headers,
-            introduction.body,
+            peer_check.method,
+            peer_check.target,
+            peer_check.headers,
+            peer_check.body,
         )
         exchange = _Exchange(self._max_body)
-        answer = await exchange.run(line.sock, line.conn, request, introduction.body)
-        peer = introduction.read_name(answer)
+        answer = await exchange.run(line.sock, line.conn, request, peer_check.body)
+        peer = peer_check.read_name(answer)
         if not peer:
             return answer
-        if peer != introduction.expected:
+        if peer != peer_check.expected:
             raise OtherPeerError(
                 peer, Outcome.NOT_RUN, step="http.introduce", peer=self._address
             )
--- a/pistachiodeal/web/validation.py
+++ b/pistachiodeal/web/validation.py
@@ -7,7 +7,7 @@
 WHOLE_BODY = "body"
 
 
-def describe_faults(error: ValidationError) -> str:
+def describe_validation_errors(error: ValidationError) -> str:
     """Return the path and the message of each fault, in one line."""
     return "; ".join(
         f"{'.'.join(map(str, fault['loc'])) or WHOLE_BODY}: {fault['msg']}"
