--- a/pistachiodeal/wire/__init__.py
+++ b/pistachiodeal/wire/__init__.py
@@ -1,1 +1,1 @@
-"""The protocol between the project's own processes: messages, codec, links."""
+"""The protocol between entries and agents: messages, codec, handshake and links."""
--- a/pistachiodeal/wire/codec.py
+++ b/pistachiodeal/wire/codec.py
@@ -1,7 +1,7 @@
-"""Turns messages into pycapnp frames and back.
+"""Encodes messages as Cap'n Proto frames and decodes them.
 
-The converters are worked out once from the fields of the data classes; the
-schema stands beside this module.
+A converter is built once for each data class, from its fields and their types. The
+schema is ``schema.capnp`` in this package.
 """
 
 from __future__ import annotations
@@ -18,12 +18,13 @@
 from pistachiodeal.wire.messages import Headers, Message, Request, Response
 
 LENGTH_BYTES = 4
-# Set in a frame's length: the message is packed (its zero bytes are left out).
+# Flag in a frame's length field: the message uses Cap'n Proto's packed encoding,
+# which leaves out zero bytes.
 PACKED_BIT = 1 << 31
 MAX_FRAME_BYTES = 16 * 1024 * 1024
 WORD_BYTES = 8
-# A packed frame can be a thousand times smaller than its message; the library
-# allocates no more than this for it.
+# Limits the memory that the library allocates for a packed frame: an unpacked message
+# can be a thousand times larger than its frame.
 MAX_UNPACKED_WORDS = 4 * 1024 * 1024 // WORD_BYTES
 TRAVERSAL_WORDS = 4 * MAX_FRAME_BYTES // WORD_BYTES
 HEADER_PAIR = tuple[str, str]
@@ -35,7 +36,7 @@
 
 
 class _Converter:
-    """Copies one data class to and from its struct."""
+    """Copies instances of one data class to and from its Cap'n Proto struct."""
 
     def __init__(self, cls: type) -> None:
         hints = get_type_hints(cls)
@@ -121,8 +122,9 @@
     return cls.__name__[0].lower() + cls.__name__[1:]
 
 
-# The handshake is plain, so that a stranger cannot make us unpack anything.
-PLAIN_MESSAGES = (
+# Messages in the unpacked encoding. The handshake is among them so that an
+# unauthenticated peer cannot make this process unpack anything.
+UNPACKED_MESSAGES = (
     Challenge,
     Hello,
     Welcome,
@@ -134,12 +136,13 @@
 
 
 def encode_message(message: Message) -> bytes:
-    """Return a frame: its length in four bytes, then the message.
+    """Return the message as a frame: a four-byte length, then the message.
 
-    What has a caller's body is plain; everything else is packed, which halves it.
+    Messages of the handshake and those that carry a caller's body are not packed. All
+    others are packed, which halves their size.
 
-    :raises ProtocolError: a value does not fit its field.
-    :raises FrameTooLargeError: the frame is over :data:`MAX_FRAME_BYTES`.
+    :raises ProtocolError: a value does not fit the schema's field.
+    :raises FrameTooLargeError: the message exceeds :data:`MAX_FRAME_BYTES`.
     """
     cls = type(message)
     frame = _SCHEMA.Frame.new_message()
@@ -150,7 +153,7 @@
         raise ProtocolError(
             f"{name} cannot be encoded: {type(error).__name__}", step="wire.encode"
         ) from None
-    packed = cls not in PLAIN_MESSAGES
+    packed = cls not in UNPACKED_MESSAGES
     data = frame.to_bytes_packed() if packed else frame.to_bytes()
     if len(data) > MAX_FRAME_BYTES:
         raise FrameTooLargeError(f"{len(data)} bytes", step="wire.encode")
@@ -159,15 +162,15 @@
 
 
 def parse_length(prefix: bytes | bytearray) -> tuple[int, bool]:
-    """Return a frame's length in bytes, and whether its message is packed."""
+    """Return the length of a frame's message in bytes, and whether it is packed."""
     value = int.from_bytes(prefix, "big")
     return value & ~PACKED_BIT, bool(value & PACKED_BIT)
 
 
 def decode_message(data: bytes, packed: bool = False) -> Message:
-    """Return the message of a frame without its length.
+    """Decode a frame, given without its length field.
 
-    :raises ProtocolError: the bytes are no message of this protocol.
+    :raises ProtocolError: the bytes are not a valid message of this protocol.
     """
     try:
         if packed:
@@ -181,7 +184,7 @@
         ) as frame:
             return _read_frame(frame)
     except (capnp.KjException, KeyError, ValueError, UnicodeError):
-        # The library's text holds addresses of its own stack: not for peers.
+        # The library's error text contains stack addresses, which must not reach peers.
         raise ProtocolError("malformed frame", step="wire.decode") from None
 
 
--- a/pistachiodeal/wire/handshake.py
+++ b/pistachiodeal/wire/handshake.py
@@ -1,8 +1,9 @@
-"""The first messages of a link: both sides prove that they hold the secret.
+"""Mutual authentication at the start of a link, with a shared secret.
 
-The accepting side sends a nonce; the dialling side answers with its identity and
-an HMAC over that nonce and the identity; the accepting side proves itself over
-the dialler's nonce. A recorded handshake is of no use on another connection.
+The accepting side sends a nonce. The dialling side answers with its identity, a nonce
+of its own, and an HMAC over the received nonce and the identity. The accepting side
+answers with an HMAC over the dialling side's nonce and its own node name. The nonces
+are random for each connection, so a recorded handshake cannot be replayed on another.
 """
 
 from __future__ import annotations
@@ -27,25 +28,27 @@
 STEP = "link.handshake"
 
 
-class Speaker(Protocol):
-    """What the handshake needs of a link."""
+class MessageStream(Protocol):
+    """The operations of a link that the handshake uses."""
 
     async def send_now(self, message: Message) -> None:
-        """Send one message at once."""
+        """Write one message to the socket without queueing it."""
 
     async def receive(self) -> Message:
         """Return the next message."""
 
 
-async def introduce(speaker: Speaker, identity: Identity, secret: str) -> Identity:
-    """Do the dialling side's part; return the accepting side's identity.
+async def run_dialling_side(
+    stream: MessageStream, identity: Identity, secret: str
+) -> Identity:
+    """Run the dialling side of the handshake; return the accepting side's identity.
 
-    :raises AuthenticationError: the other side does not hold the secret.
-    :raises ProtocolError: it speaks another protocol or version.
+    :raises AuthenticationError: the peer does not hold the secret.
+    :raises ProtocolError: the peer uses another protocol or protocol version.
     """
-    challenge = await speaker.receive()
+    challenge = await stream.receive()
     if not isinstance(challenge, Challenge):
-        raise ProtocolError("no challenge", step=STEP)
+        raise ProtocolError("expected a Challenge message", step=STEP)
     _check_version(challenge.version)
     nonce = secrets.token_bytes(NONCE_BYTES)
     hello = Hello(
@@ -59,37 +62,39 @@
         nonce,
         b"",
     )
-    proof = _compute_proof(secret, challenge.nonce, _describe(hello))
-    await speaker.send_now(replace(hello, proof=proof))
-    welcome = await speaker.receive()
+    proof = _compute_proof(secret, challenge.nonce, _build_signed_text(hello))
+    await stream.send_now(replace(hello, proof=proof))
+    welcome = await stream.receive()
     if not isinstance(welcome, Welcome):
-        raise ProtocolError("no welcome", step=STEP)
+        raise ProtocolError("expected a Welcome message", step=STEP)
     expected = _compute_proof(secret, nonce, welcome.node)
     if not hmac.compare_digest(expected, welcome.proof):
         raise AuthenticationError("the peer does not hold the secret", step=STEP)
     return Identity(ENTRY_ROLE, welcome.node, welcome.incarnation, welcome.data_centre)
 
 
-async def admit(speaker: Speaker, identity: Identity, secret: str) -> Identity:
-    """Do the accepting side's part; return the dialling side's identity.
+async def run_accepting_side(
+    stream: MessageStream, identity: Identity, secret: str
+) -> Identity:
+    """Run the accepting side of the handshake; return the dialling side's identity.
 
-    :raises AuthenticationError: the other side does not hold the secret.
-    :raises ProtocolError: it speaks another protocol or version.
+    :raises AuthenticationError: the peer does not hold the secret.
+    :raises ProtocolError: the peer uses another protocol or protocol version.
     """
     nonce = secrets.token_bytes(NONCE_BYTES)
-    await speaker.send_now(Challenge(PROTOCOL_VERSION, nonce))
-    hello = await speaker.receive()
+    await stream.send_now(Challenge(PROTOCOL_VERSION, nonce))
+    hello = await stream.receive()
     if not isinstance(hello, Hello):
-        raise ProtocolError("no hello", step=STEP)
+        raise ProtocolError("expected a Hello message", step=STEP)
     _check_version(hello.version)
-    expected = _compute_proof(secret, nonce, _describe(hello))
+    expected = _compute_proof(secret, nonce, _build_signed_text(hello))
     if not hmac.compare_digest(expected, hello.proof):
         raise AuthenticationError("the peer does not hold the secret", step=STEP)
     if hello.role not in ROLES:
-        raise ProtocolError("unknown role", step=STEP)
+        raise ProtocolError("the peer's role is unknown", step=STEP)
     proof = _compute_proof(secret, hello.nonce, identity.node)
     welcome = Welcome(identity.node, identity.incarnation, identity.data_centre, proof)
-    await speaker.send_now(welcome)
+    await stream.send_now(welcome)
     return Identity(
         hello.role,
         hello.node,
@@ -102,11 +107,11 @@
 
 def _check_version(version: int) -> None:
     if version != PROTOCOL_VERSION:
-        detail = f"the peer speaks version {version}, not {PROTOCOL_VERSION}"
+        detail = f"the peer uses protocol version {version}, not {PROTOCOL_VERSION}"
         raise ProtocolError(detail, step=STEP)
 
 
-def _describe(hello: Hello) -> str:
+def _build_signed_text(hello: Hello) -> str:
     parts = (hello.role, hello.node, str(hello.incarnation), hello.worker)
     return "\0".join((*parts, hello.data_centre, hello.rack))
 
--- a/pistachiodeal/wire/identity.py
+++ b/pistachiodeal/wire/identity.py
@@ -1,4 +1,4 @@
-"""Who a process is to its peers."""
+"""The identity under which a process authenticates to its peers."""
 
 from __future__ import annotations
 
@@ -10,7 +10,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Identity:
-    """Who a process is to its peers; ``incarnation`` is random for each start."""
+    """The identity under which a process authenticates to its peers.
+
+    :param role: ``agent`` or ``entry``.
+    :param node: name of the process, stable over restarts.
+    :param incarnation: random number drawn at each start of the process.
+    """
 
     role: str
     node: str
--- a/pistachiodeal/wire/link.py
+++ b/pistachiodeal/wire/link.py
@@ -1,4 +1,4 @@
-"""A link: one authenticated connection between two of our processes."""
+"""A link: one authenticated connection between two processes of the system."""
 
 from __future__ import annotations
 
@@ -32,21 +32,21 @@
 
 READ_BYTES = 65_536
 OUTBOX_BYTES = 32 * 1024 * 1024
-FLUSH_S = 0.5
-# Before a peer has shown the secret, it may not make us hold more than this.
+FLUSH_TIMEOUT_S = 0.5
+# Limits what an unauthenticated peer can make this process buffer.
 HANDSHAKE_FRAME_BYTES = 4_096
-TICKS_PER_PING = 2
+CHECKS_PER_PING = 2
 STEP_RECEIVE = "link.receive"
 PING_FRAME = encode_message(Ping())
 
 
 @dataclass(frozen=True, slots=True)
 class LinkTimings:
-    """When links ping and when they count as lost, in seconds.
+    """Intervals and time-outs of a link, in seconds.
 
-    :param ping_s: a side that sent nothing for this long sends a ping.
-    :param silent_s: a side that heard nothing for this long closes the link.
-    :param handshake_s: for connecting and the handshake.
+    :param ping_s: a side that has sent nothing for this long sends a ping.
+    :param silent_s: a side that has received nothing for this long closes the link.
+    :param handshake_s: time-out for connecting and the handshake together.
     """
 
     ping_s: float = 0.5
@@ -55,9 +55,9 @@
 
 
 class Link:
-    """Sends and receives messages; pings and silence are its own business.
+    """Sends and receives messages, keeps the connection alive and detects its loss.
 
-    Any task may send; one task receives.
+    Any task may send; only one task may receive.
     """
 
     def __init__(self, sock: Socket, address: str, timings: LinkTimings) -> None:
@@ -69,54 +69,55 @@
         self._inbox = bytearray()
         self._outbox: deque[bytes] = deque()
         self._outbox_bytes = 0
-        self._wake = curio.Event()
-        self._room = curio.Event()
+        self._writer_wakeup = curio.Event()
+        self._sender_wakeup = curio.Event()
         self._closing = False
         self._reading = False
         self._error: LinkClosedError | None = None
-        self._heard_at = time.monotonic()
+        self._received_at = time.monotonic()
         self._sent_at = time.monotonic()
         self._tasks: list[curio.Task] = []
 
     @property
     def peer(self) -> Identity:
-        """Return who the other side has proved to be."""
+        """Return the authenticated identity of the peer."""
         return self._peer
 
     @property
     def address(self) -> str:
-        """Return the other side's address ``ip:port``."""
+        """Return the peer's address ``ip:port``."""
         return self._address
 
     @property
     def closed(self) -> bool:
-        """Tell whether the link is of no more use."""
+        """Return whether the link is closed, closing or broken."""
         return self._closing or self._error is not None
 
     async def send(self, message: Message) -> None:
-        """Queue a message; waits while the outbox is full.
+        """Queue a message; wait while the outbox is full.
 
-        :raises LinkClosedError: the message was not, and will not be, sent.
+        :raises LinkClosedError: the message was not sent, and will not be.
         """
         frame = encode_message(message)
         while self._outbox_bytes > OUTBOX_BYTES and not self.closed:
-            self._room.clear()
-            await self._room.wait()
+            self._sender_wakeup.clear()
+            await self._sender_wakeup.wait()
         if self.closed:
             raise self._error or LinkClosedError(step="link.send", peer=self._address)
         self._outbox.append(frame)
         self._outbox_bytes += len(frame)
-        if not self._wake.is_set():
-            await self._wake.set()
+        if not self._writer_wakeup.is_set():
+            await self._writer_wakeup.set()
 
     async def receive(self) -> Message:
         """Return the next message that is not a ping.
 
-        :raises LinkClosedError: closed; ``LinkSilentError`` after silence.
-        :raises ProtocolError: the peer sent what is not of this protocol.
+        :raises LinkClosedError: the link is closed; ``LinkSilentError`` if nothing was
+            received for ``silent_s``.
+        :raises ProtocolError: the peer sent an invalid message.
         """
         while True:
-            frame = self._take_frame()
+            frame = self._pop_frame()
             if frame is None:
                 await self._read()
                 continue
@@ -125,40 +126,41 @@
                 return message
 
     async def close(self) -> None:
-        """Send what is queued if that is possible at once, then close."""
+        """Send the queued messages within :data:`FLUSH_TIMEOUT_S`, then close."""
         if self._closing:
             return
         self._closing = True
-        await self._wake.set()
-        await self._room.set()
+        await self._writer_wakeup.set()
+        await self._sender_wakeup.set()
         if self._tasks and self._error is None:
-            await curio.ignore_after(FLUSH_S, self._tasks[0].wait)
+            await curio.ignore_after(FLUSH_TIMEOUT_S, self._tasks[0].wait)
         while self._tasks:
             await self._tasks.pop().cancel()
-        # Closing a descriptor takes it out of the selector without a word: a task
-        # that reads from it would wait for ever. The shutdown wakes it first. Curio
-        # keeps the descriptor of a task that it has woken until that task waits again;
-        # a new connection that got the same number by then would end the process
-        # (FileNotFoundError in the selector). So the reader has to have run.
-        await self._break()
+        # Closing a descriptor removes it from the selector without waking the task that
+        # reads from it, which would then wait for ever; shutting the socket down wakes
+        # it first. Curio keeps the descriptor of a task that it has woken registered
+        # until that task waits again. If a new connection got the same descriptor
+        # number by then, the selector would raise FileNotFoundError and end the
+        # process, so wait until the reader has run.
+        await self._shut_down()
         await curio.sleep(0)
         while self._reading:
             await curio.sleep(0)
         await self._sock.close()
 
-    async def open(self, peer: Identity) -> None:
-        """Take the peer's identity and start writing; ends the handshake."""
+    async def finish_handshake(self, peer: Identity) -> None:
+        """Set the authenticated peer, allow full-size frames and start the tasks."""
         self._peer = peer
         self._max_frame = MAX_FRAME_BYTES
         self._tasks.append(await curio.spawn(self._write, daemon=True))
-        self._tasks.append(await curio.spawn(self._tick, daemon=True))
+        self._tasks.append(await curio.spawn(self._monitor, daemon=True))
 
     async def send_now(self, message: Message) -> None:
-        """Send one message of the handshake, before the writer runs."""
+        """Write a handshake message to the socket; the writer has not started yet."""
         await self._sock.sendall(encode_message(message))
 
-    def _take_frame(self) -> tuple[bytes, bool] | None:
-        """Return the next whole frame, and whether it is packed."""
+    def _pop_frame(self) -> tuple[bytes, bool] | None:
+        """Remove and return the next whole frame, and whether it is packed."""
         inbox = self._inbox
         if len(inbox) < LENGTH_BYTES:
             return None
@@ -169,7 +171,9 @@
             )
         if size > self._max_frame:
             raise FrameTooLargeError(
-                f"{size} bytes announced", step=STEP_RECEIVE, peer=self._address
+                f"the frame's length field says {size} bytes",
+                step=STEP_RECEIVE,
+                peer=self._address,
             )
         end = LENGTH_BYTES + size
         if len(inbox) < end:
@@ -188,7 +192,7 @@
             self._reading = False
         if not data:
             raise self._fail(LinkClosedError("closed by the peer"))
-        self._heard_at = time.monotonic()
+        self._received_at = time.monotonic()
         self._inbox += data
 
     def _fail(self, error: LinkClosedError) -> LinkClosedError:
@@ -199,49 +203,50 @@
         return self._error
 
     async def _write(self) -> None:
-        # One task writes: a sendall that is cut by a sender's time-out has sent
-        # a part of a frame, and the stream would be out of step for ever.
+        # Only this task writes to the socket. If senders wrote themselves, one that is
+        # cancelled by a time-out could leave a partial frame in the stream, and the
+        # peer could decode nothing after it.
         try:
             while self._outbox or not self._closing:
-                await self._wake.wait()
-                self._wake.clear()
+                await self._writer_wakeup.wait()
+                self._writer_wakeup.clear()
                 while self._outbox:
-                    await self._sock.sendall(self._take_outbox())
+                    await self._sock.sendall(self._pop_outbox())
                     self._sent_at = time.monotonic()
         except OSError as error:
             self._fail(LinkClosedError(repr(error), step="link.send"))
-            await self._break()
+            await self._shut_down()
 
-    def _take_outbox(self) -> bytes:
+    def _pop_outbox(self) -> bytes:
         data = b"".join(self._outbox)
         self._outbox.clear()
         self._outbox_bytes = 0
         return data
 
-    async def _tick(self) -> None:
-        pause = self._timings.ping_s / TICKS_PER_PING
+    async def _monitor(self) -> None:
+        pause = self._timings.ping_s / CHECKS_PER_PING
         while True:
             before = time.monotonic()
             await curio.sleep(pause)
             now = time.monotonic()
-            await self._room.set()
+            await self._sender_wakeup.set()
             if now - before > pause + self._timings.ping_s:
-                # This process itself was stopped for a while: what the peer sent
-                # meanwhile waits unread, so silence proves nothing yet.
-                self._heard_at = now
+                # This process itself was suspended: messages that the peer sent
+                # meanwhile may still be unread, so the peer does not count as silent.
+                self._received_at = now
             if self._has_unread():
-                # The receiving task is at work on an earlier message; the peer
+                # The receiving task is still processing an earlier message; the peer
                 # is not silent.
-                self._heard_at = now
-            if now - self._heard_at > self._timings.silent_s:
-                silence = now - self._heard_at
+                self._received_at = now
+            if now - self._received_at > self._timings.silent_s:
+                silence = now - self._received_at
                 self._fail(LinkSilentError(f"nothing heard for {silence:.1f} s"))
-                await self._break()
+                await self._shut_down()
                 return
             if now - self._sent_at >= self._timings.ping_s and not self._outbox:
                 self._outbox.append(PING_FRAME)
                 self._outbox_bytes += len(PING_FRAME)
-                await self._wake.set()
+                await self._writer_wakeup.set()
 
     def _has_unread(self) -> bool:
         with self._sock.blocking() as raw:
@@ -251,8 +256,8 @@
             except OSError:
                 return False
 
-    async def _break(self) -> None:
-        """Wake the receiving task, and every sender that waits for room."""
-        await self._room.set()
+    async def _shut_down(self) -> None:
+        """Shut the socket down to wake the receiver; wake all waiting senders."""
+        await self._sender_wakeup.set()
         with suppress(OSError):
             await self._sock.shutdown(stdlib_socket.SHUT_RDWR)
--- a/pistachiodeal/wire/opening.py
+++ b/pistachiodeal/wire/opening.py
@@ -1,4 +1,4 @@
-"""Opens links: dials or accepts a connection, and does the handshake."""
+"""Opens links: dials or accepts a connection and runs the handshake."""
 
 from __future__ import annotations
 
@@ -28,20 +28,21 @@
 async def dial_link(
     address: str, identity: Identity, secret: str, timings: LinkTimings
 ) -> AsyncIterator[Link]:
-    """Connect to ``ip:port`` and prove who we are; closes the link at the end.
+    """Connect to ``ip:port`` and authenticate; the link is closed on exit.
 
-    :raises LinkClosedError: not reachable, or closed in the handshake.
+    :raises LinkClosedError: the peer is unreachable, or the connection was closed
+        during the handshake.
     :raises AuthenticationError: the peer does not hold the secret.
     """
     raw = stdlib_socket.socket(stdlib_socket.AF_INET, stdlib_socket.SOCK_STREAM)
     sock = Socket(raw)
     link = Link(sock, address, timings)
 
-    async def introduce() -> Identity:
+    async def dial() -> Identity:
         await sock.connect(split_address(address))
-        return await handshake.introduce(link, identity, secret)
+        return await handshake.run_dialling_side(link, identity, secret)
 
-    async with _open(link, sock, timings, introduce):
+    async with _open(link, sock, timings, dial):
         yield link
 
 
@@ -49,32 +50,34 @@
 async def accept_link(
     sock: Socket, identity: Identity, secret: str, timings: LinkTimings
 ) -> AsyncIterator[Link]:
-    """Do the handshake on an accepted curio socket; closes the link at the end.
+    """Run the handshake on an accepted curio socket; the link is closed on exit.
 
-    :raises LinkClosedError: the peer is gone, or closed in the handshake.
+    :raises LinkClosedError: the peer has disconnected, or the connection was closed
+        during the handshake.
     :raises AuthenticationError: the peer does not hold the secret.
-    :raises ProtocolError: garbage, or another version.
+    :raises ProtocolError: the peer sent an invalid message, or uses another protocol
+        version.
     """
     link = Link(sock, _describe_peer(sock), timings)
 
-    async def admit() -> Identity:
-        return await handshake.admit(link, identity, secret)
+    async def accept() -> Identity:
+        return await handshake.run_accepting_side(link, identity, secret)
 
-    async with _open(link, sock, timings, admit):
+    async with _open(link, sock, timings, accept):
         yield link
 
 
 @asynccontextmanager
 async def _open(
-    link: Link, sock: Socket, timings: LinkTimings, shake_hands: Handshake
+    link: Link, sock: Socket, timings: LinkTimings, run_handshake: Handshake
 ) -> AsyncIterator[None]:
     try:
         try:
             async with curio.timeout_after(timings.handshake_s):
-                peer = await shake_hands()
+                peer = await run_handshake()
                 nodelay = stdlib_socket.TCP_NODELAY
                 sock.setsockopt(stdlib_socket.IPPROTO_TCP, nodelay, 1)
-                await link.open(peer)
+                await link.finish_handshake(peer)
         except curio.TaskTimeout:
             raise LinkClosedError(
                 f"no handshake within {timings.handshake_s:.3g} s",
@@ -98,7 +101,7 @@
 
 
 def _describe_peer(sock: Socket) -> str:
-    """Return the peer's address; a peer that is gone again has none."""
+    """Return the peer's address, or ``unknown`` if the peer has disconnected."""
     try:
         host, port = sock.getpeername()[:2]
     except OSError:
