--- a/pistachiodeal/wire/handshake_messages.py
+++ b/pistachiodeal/wire/handshake_messages.py
@@ -1,4 +1,4 @@
-"""Messages by which both sides of a new link prove who they are."""
+"""Messages by which both sides of a new link authenticate each other."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Challenge:
-    """Sent by the accepting side as soon as a connection is open."""
+    """First message of the accepting side, sent as soon as a connection is open."""
 
     version: int
     nonce: bytes
@@ -21,9 +21,10 @@
 
     :param role: ``agent`` or ``entry``.
     :param node: name of the process, stable over restarts.
-    :param incarnation: random for each start of the process.
-    :param nonce: random; the answer proves the secret over it.
-    :param proof: HMAC of the acceptor's challenge with the shared secret.
+    :param incarnation: random number drawn at each start of the process.
+    :param nonce: random bytes that the accepting side's proof has to cover.
+    :param proof: HMAC, with the shared secret, over the challenge's nonce and the
+        identity fields.
     """
 
     version: int
@@ -41,7 +42,8 @@
 class Welcome:
     """Answer of the accepting side to :class:`Hello`.
 
-    :param proof: HMAC of the dialler's nonce with the shared secret.
+    :param proof: HMAC, with the shared secret, over the nonce of the :class:`Hello`
+        and ``node``.
     """
 
     node: str
--- a/pistachiodeal/wire/job_messages.py
+++ b/pistachiodeal/wire/job_messages.py
@@ -1,8 +1,8 @@
-"""Messages between an agent or entry and the leader about jobs.
+"""Messages about jobs between the leader and agents, and between entries.
 
-An agent reports everything its worker runs, and the leader answers with a directive.
-Both carry the whole state that the other side needs, so a lost connection costs one
-report and no message has to be repeated by itself.
+An agent reports everything that its worker runs, and the leader answers with a
+directive. Both messages carry the complete state that the receiver needs: after a lost
+connection one new report restores it, and no message needs a retry of its own.
 """
 
 from __future__ import annotations
@@ -12,21 +12,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Label:
-    """One text of a list."""
+    """A list item that holds one text, such as a label or an address."""
 
     text: str
 
 
 @dataclass(frozen=True, slots=True)
 class RunningTask:
-    """A task at work on a worker.
-
-    :param checkpoint: newest saved state, empty when there is none.
-    :param percent: of its work done; for a task that lasts, 100 while it serves.
-    :param figure: tail latency in ms of a serving task, else processor use in
-        thousandths of a core.
-    :param worked_milli: pace of a filling task while the figures were taken, in
-        thousandths of full speed.
+    """A running task on a worker.
+
+    :param checkpoint: latest checkpoint, empty if there is none.
+    :param percent: share of its work that is done; for a long-running task, 100 while
+        it serves.
+    :param figure: tail latency in ms of a serving task; processor usage in thousandths
+        of a core for any other task.
+    :param worked_milli: pace at which a filling task ran while the figures were
+        measured, in thousandths of full speed.
     """
 
     task: str
@@ -41,8 +42,8 @@
 class EndedTask:
     """The end of a run, kept by the worker until it is acknowledged.
 
-    :param number: counts up on one worker.
-    :param how: a value of ``EndKind``.
+    :param number: sequence number on this worker.
+    :param how: the kind of end, a value of ``EndKind``.
     """
 
     number: int
@@ -54,9 +55,10 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderOutcome:
-    """What became of a start order that put nothing on the worker.
+    """The outcome of a start order that has started no run on the worker.
 
-    :param outcome: ``pending``, ``refused`` or ``void``: the worker will never run it.
+    :param outcome: ``pending``, ``refused``, or ``void`` if the worker will never run
+        it.
     """
 
     task: str
@@ -67,10 +69,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LostRun:
-    """A run that ended with its worker.
+    """A run that ended because its worker was lost.
 
-    :param age_ms: time from its start to the worker's first silence, -1 where the
-        agent has not seen its start.
+    :param age_ms: time from the run's start until the worker first failed to respond,
+        -1 if the agent did not observe the start.
     """
 
     task: str
@@ -80,11 +82,12 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerLoss:
-    """A worker's incarnation whose runs have certainly ended.
+    """A lost incarnation of a worker, whose runs have certainly ended.
 
+    :param worker: the lost incarnation.
     :param cause: a value of ``LossCause``.
-    :param ago_ms: time since its first silence.
-    :param runs: what was at work, or may have been.
+    :param ago_ms: time since the worker first failed to respond.
+    :param runs: runs that were, or may have been, active on it.
     """
 
     worker: str
@@ -95,15 +98,15 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerReport:
-    """Agent to leader: the worker as it is now.
+    """Agent to leader: the current state of the worker.
 
-    :param beat: counts up on one link; the grant in the answer counts from the
-        moment at which the agent sent it.
-    :param epoch: highest epoch the agent obeys.
+    :param beat: sequence number of the report on this link; the grant in the answer
+        counts from when the agent sent the report.
+    :param epoch: highest leader epoch that the agent has accepted.
     :param worker: the worker's incarnation, empty while the agent knows none.
-    :param losses: earlier incarnations that ended lately.
+    :param losses: earlier incarnations that were lost recently.
     :param listed: whether ``running`` and ``ends`` are complete.
-    :param leaving_ms: least time left to a draining worker.
+    :param leaving_ms: minimum time that a draining worker has left.
     """
 
     beat: int
@@ -125,14 +128,16 @@
 
 @dataclass(frozen=True, slots=True)
 class RunOrder:
-    """A run that the worker shall start, or that the agent shall know about.
-
-    :param serves: tail latency in ms that the task must keep, 0 when it has none.
-    :param fills: whether it lives on what others leave and may be paced.
-    :param image: what it runs; tasks of one image behave alike.
-    :param cpu_milli: processor time that it asks for, thousandths of a core.
-    :param memory_mib: memory that it reserves, MiB.
-    :param accelerators: whole accelerators that it reserves.
+    """A run that the worker has to start, or the description of one that is running.
+
+    :param fills: whether it is a filling task: it uses capacity that other tasks leave
+        idle, and its pace may be reduced.
+    :param serves_ms: tail latency in ms that the task must keep, 0 if it has no such
+        limit.
+    :param image: the image that it runs; tasks of one image behave alike.
+    :param cpu_milli: requested processor time, thousandths of a core.
+    :param memory_mib: reserved memory, MiB.
+    :param accelerators: number of reserved accelerators.
     """
 
     task: str
@@ -149,9 +154,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PairPress:
-    """What one filling task at full speed takes from a serving neighbour.
+    """The interference of one filling task at full speed with a serving task.
 
-    :param press_milli: thousandths of slack, the aim over the tail latency.
+    :param filling: image of the filling task.
+    :param serving: image of the serving task on the same worker.
+    :param press_milli: reduction of the serving task's slack, in thousandths. Slack is
+        the task's latency limit divided by its tail latency.
     """
 
     filling: str
@@ -161,7 +169,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunRef:
-    """Names one run of a task."""
+    """Identifies one run of a task."""
 
     task: str
     run: int
@@ -169,29 +177,31 @@
 
 @dataclass(frozen=True, slots=True)
 class JobText:
-    """What the runner needs to know of a job; sent once for all its tasks."""
+    """The text of a job, which the runner needs; sent once for all tasks of the job."""
 
     job: str
     text: str
 
 
 TOKENS_GRANTED = 1_024
-"""Fencing tokens that a directive grants, from the one that it names."""
+"""Number of consecutive fencing tokens that a directive grants, from ``token`` on."""
 
 
 @dataclass(frozen=True, slots=True)
 class Directive:
     """Leader to agent: the answer to a report, or new orders.
 
-    :param beat: the report that it answers.
-    :param grant_ms: leases may run until this long after that report was sent.
+    :param beat: sequence number of the answered report.
+    :param grant_ms: leases are valid until this long after that report was sent.
     :param token: the lowest of the fencing tokens for calls to the runner.
     :param worker: the incarnation that the orders are for.
-    :param ends_noted: ends up to this number are durable.
-    :param known: runs that are at work already, described for a new agent.
-    :param presses: news of which images disturb each other on this worker.
-    :param starts_ms: starts may begin until this long after that report was sent;
-        -1 of a leader of a version that knows no such limit.
+    :param ends_noted: ends up to this number are stored durably.
+    :param texts: texts of the jobs that the runs to start belong to.
+    :param known: descriptions of runs that are active already, for an agent that lacks
+        them.
+    :param presses: new estimates of how much images on this worker interfere.
+    :param starts_ms: runs may be started until this long after that report was sent;
+        -1 if the leader's version does not have this limit.
     """
 
     epoch: int
@@ -210,11 +220,13 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaderNotice:
-    """Entry to a dialler: who leads, as far as this entry knows.
+    """Entry to the process that dialled it: the leader, as far as this entry knows.
 
+    :param address: the leader's address, empty if unknown.
     :param store_age_ms: time since the leader last wrote to or read from the store.
     :param entries: addresses of all entries that the sender knows.
-    :param heard_ms: time since the sender, or whoever told it, heard the leader.
+    :param heard_ms: time since the last message from the leader, received by the sender
+        or by the entry that informed it.
     """
 
     epoch: int
@@ -226,10 +238,10 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryState:
-    """Entry to leader: how fit it is to lead.
+    """Entry to leader: how suitable the entry is as leader.
 
-    :param address: where it accepts links, ``ip:port``.
-    :param fitness_milli: in thousandths of the least that a leader needs; 0 once the
+    :param address: address ``ip:port`` at which the entry accepts links.
+    :param fitness_milli: in thousandths of the minimum that a leader needs; 0 once the
         entry is stopping.
     """
 
@@ -239,9 +251,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Appointment:
-    """Leader to an entry: the leader's row names you from now on.
+    """Leader to an entry: the leader row now names the receiver as the leader.
 
-    :param epoch: of that row.
+    :param epoch: epoch of that row.
     """
 
     epoch: int
@@ -249,9 +261,9 @@
 
 @dataclass(frozen=True, slots=True)
 class JobNotice:
-    """Entry to leader: a row of the jobs table is durable.
+    """Entry to leader: a row of the jobs table is stored durably.
 
-    :param key: the row's key.
+    :param key: key of that row.
     """
 
     key: str
@@ -259,7 +271,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobQuery:
-    """Entry to leader: a job's state, or how many jobs of a queue have not begun."""
+    """Entry to leader: asks for a job's state or a queue's number of pending jobs."""
 
     request_id: int
     job: str
@@ -268,7 +280,11 @@
 
 @dataclass(frozen=True, slots=True)
 class JobAnswer:
-    """The answer to a :class:`JobQuery`; ``state`` is empty for an unknown job."""
+    """Leader to entry: the answer to a :class:`JobQuery`.
+
+    :param state: state of the job, empty if it is unknown.
+    :param pending: number of jobs in the queue that have not started yet.
+    """
 
     request_id: int
     state: str
--- a/pistachiodeal/wire/messages.py
+++ b/pistachiodeal/wire/messages.py
@@ -1,10 +1,9 @@
 """Messages between entries and agents, and between entries.
 
-Agents dial entries; entries dial the owner of a partition with the same link.
-A message is one of these data classes, or of those in
-:mod:`pistachiodeal.wire.handshake_messages` and
-:mod:`pistachiodeal.wire.task_messages`; :mod:`pistachiodeal.wire.codec` turns it
-into a pycapnp frame and back.
+Agents dial entries; entries dial the owner of a partition over the same kind of link.
+A message is an instance of one of the data classes in this module and in the other
+``*_messages`` modules of this package; :data:`Message` lists them.
+:mod:`pistachiodeal.wire.codec` encodes them as Cap'n Proto frames.
 """
 
 from __future__ import annotations
@@ -39,12 +38,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Ping:
-    """Keeps a silent link known to be alive."""
+    """Shows that the sender is alive while it has nothing else to send."""
 
 
 @dataclass(frozen=True, slots=True)
 class Goodbye:
-    """The sender is leaving: give it nothing new; what is open goes on."""
+    """The sender is shutting down: send it no new work; open requests continue."""
 
     reason: str = ""
 
@@ -60,7 +59,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PartitionOwner:
-    """Who owns a partition, and under which epoch; node empty when nobody."""
+    """The owner of a partition and the epoch of its ownership.
+
+    :param node: the owner, empty if the partition has none.
+    """
 
     partition: int
     epoch: int
@@ -70,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Directory:
-    """Entry to agent: the entries and the owners of the partitions."""
+    """Entry to agent: all entries, and the owners of all partitions."""
 
     entries: tuple[EntryAddress, ...]
     owners: tuple[PartitionOwner, ...]
@@ -78,7 +80,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PolicyPart:
-    """A service's policy at a version; ``profile`` is JSON, empty when removed."""
+    """One version of a service's policy.
+
+    :param profile: the profile as JSON, empty if the policy was removed.
+    """
 
     service: str
     version: int
@@ -87,14 +92,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Policies:
-    """Both ways: policies in force; a receiver keeps the highest versions."""
+    """Both ways: current policies; the receiver keeps the highest version of each."""
 
     parts: tuple[PolicyPart, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceLoad:
-    """An agent's figures for one service's runners on its worker.
+    """Load of one service's runners on the agent's worker.
 
     :param latency_us: recent latency of the runners, microseconds.
     """
@@ -108,13 +113,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """Agent to entry, each heartbeat.
+    """Agent to entry: the heartbeat.
 
-    :param beat: counts up; the agent remembers when it sent each one, and a
-        lease granted with this beat counts from that moment.
-    :param draining: take nothing new here.
-    :param free: what is left of the worker's capacity.
-    :param tasks: runs of partitions which the receiver owns.
+    :param beat: sequence number. The agent remembers when it sent each heartbeat, and
+        a lease granted with this number counts from that time.
+    :param draining: whether the worker accepts no new work.
+    :param free: unused part of the worker's capacity.
+    :param tasks: runs in partitions that the receiver owns.
     """
 
     beat: int
@@ -127,11 +132,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A caller's request, handed to an agent (or, for tasks, to an owner).
+    """A caller's request, forwarded to an agent (for tasks, to the partition's owner).
 
-    :param request_id: unique on this link; never used again.
-    :param budget_ms: time left, counted from receipt.
-    :param headers: pairs, names in lower case.
+    :param request_id: unique on this link; never reused.
+    :param headers: pairs of name and value, names in lower case.
+    :param budget_ms: time left until the deadline, counted from receipt.
     """
 
     request_id: int
@@ -146,14 +151,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Withdraw:
-    """Entry to agent: hand this request on no more if it still waits."""
+    """Entry to agent: drop this request if it has not been passed to a runner yet."""
 
     request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """The whole answer to a :class:`Request`."""
+    """The complete answer to a :class:`Request`."""
 
     request_id: int
     status: int
@@ -163,7 +168,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """The request was handed to no runner (outcome ``not_run``, for certain)."""
+    """The request was passed to no runner; its outcome is certainly ``not_run``."""
 
     request_id: int
     code: str
@@ -173,7 +178,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Failure:
-    """The request was handed on and has no whole answer.
+    """The request was passed on and got no complete answer.
 
     :param outcome: ``ran`` or ``unknown``.
     """
@@ -187,9 +192,9 @@
 
 @dataclass(frozen=True, slots=True)
 class PairEvidence:
-    """What was learnt of a service beside a kind of task.
+    """Measured slow-down of a service by tasks of one kind on the same worker.
 
-    :param slowdown_sum_milli: sum of weighted slow-downs, in thousandths.
+    :param slowdown_sum_milli: sum of the weighted slow-downs, in thousandths.
     :param weight_milli: sum of the weights, in thousandths.
     """
 
@@ -201,7 +206,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Evidence:
-    """Agent to entry: new evidence; entry to agent: what all agents learnt."""
+    """Agent to entry: new measurements; entry to agent: the totals of all agents."""
 
     pairs: tuple[PairEvidence, ...]
 
--- a/pistachiodeal/wire/relay_messages.py
+++ b/pistachiodeal/wire/relay_messages.py
@@ -1,4 +1,4 @@
-"""Messages by which an entry uses the store through the leader."""
+"""Messages by which an entry reads and writes the store through the leader."""
 
 from __future__ import annotations
 
@@ -7,7 +7,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayCondition:
-    """The version that a row must have, 0 when it must not exist."""
+    """A precondition of a transaction.
+
+    :param version: version that the row must have, 0 if it must not exist.
+    """
 
     table: str
     key: str
@@ -16,7 +19,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayWrite:
-    """A row's new value, or its removal."""
+    """A row's new value, or the row's removal.
+
+    :param removed: whether the row is deleted; ``value`` is then unused.
+    """
 
     table: str
     key: str
@@ -26,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayRow:
-    """A row as the store has it."""
+    """A row as it is in the store."""
 
     table: str
     key: str
@@ -36,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayCommit:
-    """Entry to leader: apply a transaction."""
+    """Entry to leader: commit a transaction."""
 
     request_id: int
     conditions: tuple[RelayCondition, ...]
@@ -47,8 +53,8 @@
 class RelayRead:
     """Entry to leader: read a range of rows.
 
-    :param limit: most rows, 0 for as many as one page holds.
-    :param partition: where to look, empty for the partition of ``start``.
+    :param limit: maximum number of rows, 0 for as many as fit into one page.
+    :param partition: partition to read, empty for the partition of ``start``.
     """
 
     request_id: int
@@ -61,11 +67,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayAnswer:
-    """Leader to entry: what the store has answered.
-
-    :param failure: empty, ``refused`` when nothing was done, or ``uncertain``.
-    :param committed: whether a transaction's conditions held.
-    :param rows: of a read, or those of a transaction whose conditions did not hold.
+    """Leader to entry: the store's answer to a relayed commit or read.
+
+    :param failure: empty for success, ``refused`` if nothing was done, ``uncertain`` if
+        the operation may have taken effect.
+    :param committed: whether the transaction's conditions held.
+    :param truncated: whether a read returned only a part of the range.
+    :param rows: the rows that were read, or the current rows of a transaction whose
+        conditions did not hold.
     """
 
     request_id: int
--- a/pistachiodeal/wire/schema.capnp
+++ b/pistachiodeal/wire/schema.capnp
@@ -1,6 +1,7 @@
 @0xd1c1a6e4b7f30a55;
-# Frames between entries and agents. Field names are those of the data classes
-# in messages.py in camelCase; a field is never renumbered, new ones go last.
+# Frames on the links between entries and agents. Structs and fields have the names of
+# the data classes in *messages.py and of their fields, these in camelCase. Fields are
+# never renumbered; new ones are added at the end.
 
 struct Resources {
   cpuMilli @0 :Int64;
--- a/pistachiodeal/wire/task_messages.py
+++ b/pistachiodeal/wire/task_messages.py
@@ -1,4 +1,4 @@
-"""Messages by which owners of partitions and agents agree on tasks."""
+"""Messages about tasks between the owners of partitions and agents."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskRef:
-    """A run on the sender's worker."""
+    """An attempt of a task that runs on the sender's worker."""
 
     task_id: str
     attempt: int
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseGrant:
-    """Lease for every run of one partition that the beat's report named."""
+    """A lease for every run of one partition that the answered report listed."""
 
     partition: int
     epoch: int
@@ -29,7 +29,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Renew:
-    """Entry to agent: answer to a :class:`Report` that named runs."""
+    """Entry to agent: renews leases, in answer to a :class:`Report` that listed runs.
+
+    :param beat: the heartbeat number of that report; leases count from its sending.
+    """
 
     beat: int
     grants: tuple[LeaseGrant, ...]
@@ -37,12 +40,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Start:
-    """Owner to agent: run this attempt, which is journaled already.
+    """Owner to agent: run this attempt; it is in the journal already.
 
-    :param beat: the agent's latest beat that the owner has seen: the lease
-        counts from when the agent sent it, so that a start that was held up
-        (an owner frozen between two lines) brings an expired lease with it.
-    :param size: what to reserve.
+    :param beat: number of the latest heartbeat that the owner has received from the
+        agent. The lease counts from when the agent sent it, so that a start that was
+        delayed (for example by a suspended owner) arrives with an expired lease.
+    :param lease_ms: duration of the lease.
+    :param size: resources to reserve.
+    :param checkpoint: object key to resume from, empty for none.
+    :param min_run_ms: minimum time to run before the task may be evicted.
+    :param evictions: number of evictions in earlier attempts of the task.
     """
 
     task_id: str
@@ -62,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartRefused:
-    """Agent to owner: this attempt runs nowhere and never will."""
+    """Agent to owner: this attempt was not started and never will be."""
 
     task_id: str
     attempt: int
@@ -72,9 +79,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Stop:
-    """Owner to agent: stop a run; the answer is a :class:`TaskEnded`.
+    """Owner to agent: stop a run; the agent answers with a :class:`TaskEnded`.
 
-    :param evict: make a checkpoint first.
+    :param evict: whether the task saves a checkpoint first.
     """
 
     task_id: str
@@ -86,12 +93,12 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskEnded:
-    """Agent to owner, repeated until acknowledged: the run is over for certain.
+    """Agent to owner: the run has certainly ended; repeated until acknowledged.
 
-    :param state: a :class:`pistachiodeal.store.protocols.RunState` that is
-        not running, or :data:`UNKNOWN_RUN` when the worker never had it.
+    :param state: a :class:`pistachiodeal.store.protocols.RunState` other than
+        ``running``, or :data:`UNKNOWN_RUN` if the worker never had this run.
     :param checkpoint: object key to resume from, empty for none.
-    :param used: largest use seen, by which sizes are learnt.
+    :param used: peak resource usage; sizes of later tasks are estimated from it.
     """
 
     task_id: str
@@ -105,7 +112,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskAck:
-    """Owner to agent: the end is journaled, forget it."""
+    """Owner to agent: the end is in the journal, so the agent can discard it."""
 
     task_id: str
     attempt: int
