--- a/pistachiodeal/web/__init__.py
+++ b/pistachiodeal/web/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 by h11, on both sides."""
+"""HTTP/1.1 client and server, built on h11 and curio."""
--- a/pistachiodeal/web/client.py
+++ b/pistachiodeal/web/client.py
@@ -1,4 +1,4 @@
-"""An HTTP/1.1 client with kept-alive connections to one address."""
+"""An HTTP/1.1 client with a pool of kept-alive connections to one address."""
 
 from __future__ import annotations
 
@@ -17,14 +17,16 @@
 
 READ_BYTES = 65_536
 MAX_HEAD_BYTES = 65_536
-OWN_HEADERS = frozenset(("content-length", "transfer-encoding", "connection", "host"))
+MANAGED_HEADERS = frozenset(
+    ("content-length", "transfer-encoding", "connection", "host")
+)
 
 
 class CallError(PistachiodealError):
-    """A call got no whole answer.
+    """A call got no complete response.
 
-    :ivar outcome: ``not_run`` when no byte of the request can have reached the
-        peer, else ``unknown`` (``ran`` when the answer had begun).
+    :ivar outcome: ``not_run`` if no byte of the request can have reached the peer,
+        ``ran`` if the response had begun, ``unknown`` otherwise.
     """
 
     code = "call_failed"
@@ -37,24 +39,24 @@
 
 
 class OtherPeerError(CallError):
-    """Another peer than the intended one is at the address; it was sent nothing."""
+    """The address belongs to another peer than intended; the request was not sent."""
 
     code = "other_peer"
 
 
 class UnsendableError(CallError):
-    """The request itself cannot be sent as HTTP; the peer is not to blame."""
+    """The request is not valid HTTP and was not sent; this is no fault of the peer."""
 
     code = "unsendable"
 
 
 @dataclass(frozen=True, slots=True)
 class PeerCheck:
-    """The first request on each connection, which asks who is at the other end.
+    """The first request on each connection, which identifies the peer.
 
     :param expected: name of the peer that a call is meant for.
-    :param read_name: returns the peer's name from its answer, empty where it is a
-        refusal, which then answers the call itself.
+    :param read_name: returns the peer's name from its response, empty if the peer
+        refused; this response is then returned as that of the call.
     """
 
     expected: str
@@ -66,11 +68,11 @@
 
 
 @dataclass(slots=True)
-class _Line:
-    """A connection and its place in the protocol.
+class _PooledConnection:
+    """A connection with its protocol state.
 
-    :param raw: the socket under ``sock``, for calls that never wait.
-    :param peer: name of who is at the other end, empty before it has said so.
+    :param raw: the socket inside ``sock``, for non-blocking calls.
+    :param peer: name of the peer, empty until a :class:`PeerCheck` has confirmed it.
     """
 
     raw: stdlib_socket.socket
@@ -78,11 +80,11 @@
     conn: h11.Connection
     peer: str = ""
 
-    def is_fresh(self) -> bool:
-        """Tell whether the connection is open and has nothing unread.
+    def is_usable(self) -> bool:
+        """Return whether the connection is open and has no unread data.
 
-        The peer may have closed it while it was idle; a request sent on it would
-        be lost with an unknown outcome although no one could have run it.
+        The peer may have closed it while it was idle. A request sent on it would then
+        be lost with an unknown outcome, although no peer could have run it.
         """
         try:
             self.raw.recv(1, stdlib_socket.MSG_PEEK | stdlib_socket.MSG_DONTWAIT)
@@ -93,7 +95,7 @@
         return False
 
     def start_next_cycle(self) -> bool:
-        """Get ready for the next request; tell whether there can be one."""
+        """Prepare for the next request; return whether the connection can be reused."""
         conn = self.conn
         if conn.our_state is not h11.DONE or conn.their_state is not h11.DONE:
             return False
@@ -102,7 +104,7 @@
 
 
 class _Exchange:
-    """One request on one connection, and how far it got."""
+    """One request on one connection, and its outcome so far."""
 
     def __init__(self, max_body: int) -> None:
         self.outcome = Outcome.NOT_RUN
@@ -125,13 +127,15 @@
             elif isinstance(event, h11.Data):
                 size += len(event.data)
                 if size > self._max_body:
-                    raise ValueError(f"the answer is over {self._max_body} bytes")
+                    raise ValueError(
+                        f"the response body exceeds {self._max_body} bytes"
+                    )
                 chunks.append(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage) and head is not None:
                 headers = decode_headers(head.headers)
                 return WebResponse(head.status_code, headers, b"".join(chunks))
             elif isinstance(event, h11.ConnectionClosed):
-                raise EOFError("the peer closed the connection without an answer")
+                raise EOFError("the peer closed the connection without a response")
 
     async def _send(
         self, sock: Socket, conn: h11.Connection, request: h11.Request, body: bytes
@@ -140,8 +144,8 @@
         if body:
             data += conn.send(h11.Data(data=body)) or b""
         data += conn.send(h11.EndOfMessage()) or b""
-        # The first send tells whether anything left: an error on it means that
-        # the kernel took no byte, so the peer cannot have run the request.
+        # If the first send fails, the kernel has accepted no byte, so the peer cannot
+        # have run the request.
         sent = await sock.send(data)
         self.outcome = Outcome.UNKNOWN
         if sent < len(data):
@@ -149,14 +153,18 @@
 
 
 class WebClient:
-    """Calls one address; at most ``connections`` at once, the rest wait."""
+    """Sends requests to one address, over a pool of connections.
+
+    :param connections: maximum number of concurrent calls; further calls wait.
+    :param max_body: maximum size of a response body, bytes.
+    """
 
     def __init__(self, address: str, connections: int, max_body: int) -> None:
         self._address = address
         self._endpoint = split_address(address)
         self._max_body = max_body
-        self._free = curio.Semaphore(connections)
-        self._idle: list[_Line] = []
+        self._call_slots = curio.Semaphore(connections)
+        self._idle: list[_PooledConnection] = []
 
     @property
     def address(self) -> str:
@@ -173,18 +181,20 @@
         timeout: float = 5.0,
         peer_check: PeerCheck | None = None,
     ) -> WebResponse:
-        """Return the whole answer.
+        """Send a request and return the complete response.
 
-        :param timeout: seconds for everything, waiting for a connection included.
-        :param peer_check: sends the request only to the peer that it is meant for.
-        :raises CallError: there was no whole answer in time.
+        :param timeout: seconds for the whole call, including the wait for a connection.
+        :param peer_check: identifies the peer of a new connection first, so that the
+            request is sent only to the intended peer.
+        :raises CallError: there was no complete response in time.
         :raises OtherPeerError: another peer is at the address.
+        :raises UnsendableError: the request is not valid HTTP.
         """
         request = self._build_request(method, target, headers, body)
         exchange = _Exchange(self._max_body)
         try:
             async with curio.timeout_after(timeout):
-                async with self._free:
+                async with self._call_slots:
                     return await self._call(exchange, request, body, peer_check)
         except curio.TaskTimeout:
             raise self._fail(exchange, f"no answer within {timeout:.3g} s") from None
@@ -203,26 +213,26 @@
         body: bytes,
         peer_check: PeerCheck | None,
     ) -> WebResponse:
-        line = await self._take(peer_check.expected if peer_check else "")
+        pooled = await self._acquire(peer_check.expected if peer_check else "")
         reusable = False
         try:
-            if peer_check is not None and not line.peer:
-                refusal = await self._introduce(line, peer_check)
+            if peer_check is not None and not pooled.peer:
+                refusal = await self._check_peer(pooled, peer_check)
                 if refusal is not None:
                     return refusal
-            response = await exchange.run(line.sock, line.conn, request, body)
-            reusable = line.start_next_cycle()
+            response = await exchange.run(pooled.sock, pooled.conn, request, body)
+            reusable = pooled.start_next_cycle()
             return response
         finally:
             if reusable:
-                self._idle.append(line)
+                self._idle.append(pooled)
             else:
-                await line.sock.close()
+                await pooled.sock.close()
 
-    async def _introduce(
-        self, line: _Line, peer_check: PeerCheck
+    async def _check_peer(
+        self, pooled: _PooledConnection, peer_check: PeerCheck
     ) -> WebResponse | None:
-        """Learn who is at the other end; return the answer where it refuses to say.
+        """Identify the peer; return its response if it refuses, else None.
 
         :raises OtherPeerError: it is not the intended peer.
         """
@@ -233,7 +243,7 @@
             peer_check.body,
         )
         exchange = _Exchange(self._max_body)
-        answer = await exchange.run(line.sock, line.conn, request, peer_check.body)
+        answer = await exchange.run(pooled.sock, pooled.conn, request, peer_check.body)
         peer = peer_check.read_name(answer)
         if not peer:
             return answer
@@ -241,21 +251,21 @@
             raise OtherPeerError(
                 peer, Outcome.NOT_RUN, step="http.introduce", peer=self._address
             )
-        if not line.start_next_cycle():
-            raise EOFError("the peer closed the connection after its introduction")
-        line.peer = peer
+        if not pooled.start_next_cycle():
+            raise EOFError("the peer closed the connection after the peer check")
+        pooled.peer = peer
         return None
 
-    async def _take(self, peer: str) -> _Line:
-        """Return a connection, to a certain peer where one is named."""
+    async def _acquire(self, peer: str) -> _PooledConnection:
+        """Return an idle connection, to ``peer`` if that is given, or a new one."""
         while self._idle:
-            line = self._idle.pop()
-            if (not peer or line.peer == peer) and line.is_fresh():
-                return line
-            await line.sock.close()
+            pooled = self._idle.pop()
+            if (not peer or pooled.peer == peer) and pooled.is_usable():
+                return pooled
+            await pooled.sock.close()
         return await self._connect()
 
-    async def _connect(self) -> _Line:
+    async def _connect(self) -> _PooledConnection:
         raw = stdlib_socket.socket(stdlib_socket.AF_INET, stdlib_socket.SOCK_STREAM)
         raw.setsockopt(stdlib_socket.IPPROTO_TCP, stdlib_socket.TCP_NODELAY, 1)
         sock = Socket(raw)
@@ -265,18 +275,20 @@
             await sock.close()
             raise
         conn = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
-        return _Line(raw, sock, conn)
+        return _PooledConnection(raw, sock, conn)
 
     def _build_request(
         self, method: str, target: str, headers: Headers, body: bytes
     ) -> h11.Request:
-        own = [("host", self._address)]
+        managed = [("host", self._address)]
         if body or method in ("POST", "PUT", "PATCH"):
-            own.append(("content-length", str(len(body))))
-        kept = [pair for pair in headers if pair[0] not in OWN_HEADERS]
+            managed.append(("content-length", str(len(body))))
+        caller_headers = [pair for pair in headers if pair[0] not in MANAGED_HEADERS]
         try:
             return h11.Request(
-                method=method, target=target, headers=encode_headers(own + kept)
+                method=method,
+                target=target,
+                headers=encode_headers(managed + caller_headers),
             )
         except (h11.LocalProtocolError, UnicodeError) as error:
             raise UnsendableError(
@@ -290,5 +302,5 @@
 def create_client(
     address: str, *, connections: int = 8, max_body: int = 8_388_608
 ) -> WebClient:
-    """Return a client for ``ip:port``; connects on first use."""
+    """Return a client for ``ip:port``; it connects on first use."""
     return WebClient(address, connections, max_body)
--- a/pistachiodeal/web/connection.py
+++ b/pistachiodeal/web/connection.py
@@ -1,4 +1,4 @@
-"""One server-side HTTP/1.1 connection: reads whole requests, writes whole answers."""
+"""The server side of an HTTP/1.1 connection."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 LINGER_S = 1.0
 LINGER_BYTES = 1_048_576
 NO_BODY_STATUSES = (204, 304)
-OWN_HEADERS = frozenset(("content-length", "transfer-encoding", "connection"))
+MANAGED_HEADERS = frozenset(("content-length", "transfer-encoding", "connection"))
 
 
 class Connection:
-    """Reads requests from, and writes answers to, one caller's socket.
+    """Reads complete requests from a caller's socket and writes complete responses.
 
-    :param peer: address ``ip:port`` of the caller.
+    :param peer: the caller's address ``ip:port``.
     """
 
     def __init__(self, sock: Socket, peer: str, limits: WebLimits) -> None:
@@ -48,28 +48,28 @@
 
     @property
     def busy(self) -> bool:
-        """Tell whether a request is being read, handled or answered."""
+        """Return whether a request is being read, handled or answered."""
         return self._busy
 
     async def expire(self, now: float) -> None:
-        """Wake the reading or writing task when its time is over."""
+        """Wake the reading or writing task by a shutdown if its deadline has passed."""
         if now < self._deadline or self._expired:
             return
         self._expired = True
         reading = self._busy and not self._writing
-        # A caller who was too slow in sending still gets its 408.
-        how = stdlib_socket.SHUT_RD if reading else stdlib_socket.SHUT_RDWR
+        # A caller that sent its request too slowly still gets a 408 response.
+        direction = stdlib_socket.SHUT_RD if reading else stdlib_socket.SHUT_RDWR
         with suppress(OSError):
-            await self._sock.shutdown(how)
+            await self._sock.shutdown(direction)
 
     async def stop_reading(self) -> None:
-        """Let an idle connection end; a request that was received is still read."""
+        """End an idle connection; a request that has arrived already is still read."""
         if not self._busy:
             with suppress(OSError):
                 await self._sock.shutdown(stdlib_socket.SHUT_RD)
 
     async def read_request(self) -> WebRequest | None:
-        """Return the next whole request, or None when the caller is done.
+        """Return the next complete request, or None if the caller sends no more.
 
         :raises RequestError: the request is malformed, too large or too slow.
         """
@@ -93,7 +93,11 @@
             ) from None
 
     async def write_response(self, response: WebResponse, last: bool) -> bool:
-        """Send an answer; tell whether the connection can take another request."""
+        """Send a response.
+
+        :param last: whether the connection is to be closed after this response.
+        :return: whether the connection can be used for another request.
+        """
         self._deadline = time.monotonic() + self._limits.body_s
         if self._h11.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return False
@@ -107,10 +111,10 @@
         return not last
 
     async def linger(self) -> None:
-        """Read on for a moment, so that a refused caller gets to see the answer.
+        """Discard input for a short time, so that a refused caller gets the response.
 
-        Closing a socket with unread bytes resets it, and the reset can overtake
-        the answer: the caller would see a broken connection instead of a 413.
+        Closing a socket with unread bytes resets the connection, and the reset can
+        overtake the response: the caller would see a broken connection, not a 413.
         """
         await curio.ignore_after(LINGER_S, self._discard)
 
@@ -143,8 +147,8 @@
         headers = decode_headers(head.headers)
         self._refuse_declared_length(headers)
         if self._h11.they_are_waiting_for_100_continue:
-            go_on = h11.InformationalResponse(status_code=100, headers=[])
-            await self._sock.sendall(self._h11.send(go_on) or b"")
+            continue_response = h11.InformationalResponse(status_code=100, headers=[])
+            await self._sock.sendall(self._h11.send(continue_response) or b"")
         chunks: list[bytes] = []
         size = 0
         while True:
@@ -170,15 +174,15 @@
         data = await self._sock.recv(READ_BYTES)
         if self._expired and self._busy:
             raise RequestError(
-                "the request came too slowly",
+                "the request was not received in time",
                 code="request_timeout",
                 status=408,
                 step="web.read",
                 peer=self._peer,
             )
         if data and not self._busy:
-            # The first byte of a head starts its clock; a caller that sends a
-            # byte now and then would else hold the connection for ever.
+            # The time limit of a head counts from its first byte. Otherwise a caller
+            # that sends a byte now and then could hold the connection for ever.
             self._busy = True
             self._deadline = time.monotonic() + self._limits.head_s
         self._h11.receive_data(data)
@@ -192,7 +196,7 @@
 
     def _refuse_body(self) -> RequestError:
         return RequestError(
-            f"the body is over {self._limits.body_bytes} bytes",
+            f"the body exceeds {self._limits.body_bytes} bytes",
             code="body_too_large",
             status=413,
             step="web.read",
@@ -200,7 +204,7 @@
         )
 
     def _encode(self, response: WebResponse, last: bool) -> bytes:
-        headers = [pair for pair in response.headers if pair[0] not in OWN_HEADERS]
+        headers = [pair for pair in response.headers if pair[0] not in MANAGED_HEADERS]
         bodyless = self._method == "HEAD" or response.status in NO_BODY_STATUSES
         length = str(len(response.body))
         if self._method == "HEAD":
@@ -219,7 +223,7 @@
 
 
 def decode_headers(headers: Iterable[tuple[bytes, bytes]]) -> Headers:
-    """Return h11's headers as text; their names are in lower case already."""
+    """Return h11's headers as text; h11 gives their names in lower case."""
     return tuple(
         (name.decode("ascii"), value.decode("latin-1")) for name, value in headers
     )
@@ -228,6 +232,6 @@
 def encode_headers(headers: Iterable[tuple[str, str]]) -> list[tuple[bytes, bytes]]:
     """Return headers as bytes; the reverse of :func:`decode_headers`.
 
-    :raises UnicodeError: a name is not ASCII, or a value not latin-1.
+    :raises UnicodeError: a name is not ASCII, or a value is not latin-1.
     """
     return [(name.encode("ascii"), value.encode("latin-1")) for name, value in headers]
--- a/pistachiodeal/web/messages.py
+++ b/pistachiodeal/web/messages.py
@@ -1,4 +1,4 @@
-"""Whole HTTP requests and answers, and the problem documents of RFC 9457."""
+"""HTTP requests, responses, limits and counters; RFC 9457 problem documents."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 @dataclass(frozen=True, slots=True)
 class WebRequest:
-    """A request that was received whole.
+    """A completely received request.
 
-    :param headers: pairs, names in lower case.
+    :param headers: pairs of name and value, names in lower case.
     :param peer: the sender's address ``ip:port``.
     """
 
@@ -29,7 +29,7 @@
 
     @property
     def path(self) -> str:
-        """Return the target without its query."""
+        """Return the target without its query string."""
         return self.target.partition("?")[0]
 
     def header(self, name: str, default: str = "") -> str:
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WebResponse:
-    """A whole answer."""
+    """A complete response."""
 
     status: int
     headers: Headers = ()
@@ -52,14 +52,14 @@
 
 @dataclass(frozen=True, slots=True)
 class WebLimits:
-    """What one connection may cost.
-
-    :param head_bytes: largest request line and headers together.
-    :param body_bytes: largest body.
-    :param head_s: seconds for the whole head once its first byte is there.
-    :param body_s: seconds for the whole body.
-    :param idle_s: seconds that a kept-alive connection may wait.
-    :param connections: open connections at once.
+    """Limits of a server and of each of its connections.
+
+    :param head_bytes: maximum size of request line and headers together.
+    :param body_bytes: maximum size of a body.
+    :param head_s: seconds to receive the whole head, from its first byte on.
+    :param body_s: seconds to receive the whole body, and to send a response.
+    :param idle_s: seconds that a connection may wait for its next request.
+    :param connections: maximum number of open connections.
     """
 
     head_bytes: int = 16_384
@@ -72,7 +72,13 @@
 
 @dataclass(slots=True)
 class WebCounters:
-    """Counts of what a server saw."""
+    """Counters of a server.
+
+    :ivar connections: accepted connections, including those closed over the limit.
+    :ivar requests: requests passed to the handler.
+    :ivar rejected: connections over the limit, and requests that could not be read.
+    :ivar open_now: open connections.
+    """
 
     connections: int = 0
     requests: int = 0
@@ -89,13 +95,13 @@
 
 
 def build_json(status: int, document: Any, headers: Headers = ()) -> WebResponse:
-    """Return an answer with a JSON body."""
+    """Return a response with a JSON body."""
     body = orjson.dumps(document)
     return WebResponse(status, (("content-type", "application/json"), *headers), body)
 
 
 def build_problem(error: RequestError) -> WebResponse:
-    """Return the problem document of an error, with ``Retry-After`` where it helps."""
+    """Return an error's problem document, with ``Retry-After`` if a delay is given."""
     document: dict[str, Any] = {
         "type": f"urn:pistachiodeal:{error.code}",
         "title": error.code.replace("_", " "),
@@ -109,7 +115,7 @@
     headers: list[tuple[str, str]] = [("content-type", PROBLEM_TYPE)]
     if error.retry_after is not None:
         document["retry_after_ms"] = int(error.retry_after * 1000)
-        # Retry-After counts whole seconds (RFC 9110); rounding down would
-        # invite a caller back before the time that was worked out.
+        # Retry-After is in whole seconds (RFC 9110). Rounding down would make a caller
+        # retry before the computed delay is over.
         headers.append(("retry-after", str(max(1, -int(-error.retry_after // 1)))))
     return WebResponse(error.status, tuple(headers), orjson.dumps(document))
--- a/pistachiodeal/web/server.py
+++ b/pistachiodeal/web/server.py
@@ -1,4 +1,4 @@
-"""An HTTP/1.1 server: one curio task for each connection."""
+"""An HTTP/1.1 server that runs one curio task for each connection."""
 
 from __future__ import annotations
 
@@ -26,17 +26,18 @@
 Handler = Callable[[WebRequest], Awaitable[WebResponse]]
 
 BACKLOG = 1024
-# Share of a drain in which idle connections may still bring a request. The rest of a
-# few seconds is enough for its answer, also with one lost answer of the store.
-IDLE_SHARE = 0.7
-SWEEP_S = 0.25
+# Share of the drain time in which idle connections may still send a request. With a
+# drain of a few seconds, the rest is enough to answer it, even if one answer of the
+# store is lost.
+DRAIN_IDLE_SHARE = 0.7
+DEADLINE_CHECK_S = 0.25
 
 
 class WebServer:
-    """Accepts connections and answers each request by one handler.
+    """Accepts connections and passes each request to one handler.
 
-    :meth:`run` serves until :meth:`drain` has been called and every request in
-    flight is answered. A handler may raise RequestError.
+    :meth:`run` serves until :meth:`drain` has finished. A handler may raise
+    RequestError, which is answered by a problem document.
     """
 
     def __init__(
@@ -49,63 +50,68 @@
         self._connections: dict[Connection, curio.Task] = {}
         self._acceptor: curio.Task | None = None
         self._draining = False
-        self._empty = curio.Event()
+        self._all_closed = curio.Event()
         self._drained = curio.Event()
 
     @property
     def port(self) -> int:
-        """Return the port in use (settings may ask for port 0)."""
+        """Return the bound port; the system chooses it if port 0 was requested."""
         return self._listener.getsockname()[1]
 
     @property
     def counters(self) -> WebCounters:
-        """Return the counts so far."""
+        """Return the server's counters."""
         return self._counters
 
     @property
     def draining(self) -> bool:
-        """Tell whether :meth:`drain` has been called."""
+        """Return whether :meth:`drain` has been called."""
         return self._draining
 
     async def run(self) -> None:
-        """Accept and serve until drained."""
-        sweeper = await curio.spawn(self._sweep)
+        """Accept and serve connections until the server is drained."""
+        deadline_checker = await curio.spawn(self._check_deadlines)
         self._acceptor = await curio.spawn(self._accept)
         try:
             await self._drained.wait()
         finally:
             await self._stop_accepting()
-            await sweeper.cancel()
+            await deadline_checker.cancel()
             self._listener.close()
             for task in list(self._connections.values()):
                 await task.cancel()
 
     async def drain(self, timeout: float) -> bool:
-        """Stop accepting, let requests in flight end; False when time ran out.
+        """Stop accepting and wait for requests in flight.
 
         Idle connections stay open for most of the time: closing one at once would
-        cut off a request that a caller is just sending on it. The next request
-        on each is answered with ``connection: close``. The rest of the time is for
-        answers only: a request read in the last moment would else be cut off.
+        cut off a request that a caller is just sending on it. The next request on
+        each is answered with ``connection: close``. The rest of the time is only for
+        answers: a request read at the very end would otherwise be cut off.
+
+        :param timeout: maximum time in seconds.
+        :return: whether all requests were answered in time.
         """
         self._draining = True
         await self._stop_accepting()
-        await self._accept_waiting()
+        await self._accept_backlog()
         self._listener.close()
         if not self._connections:
-            await self._empty.set()
-        await curio.ignore_after(timeout * IDLE_SHARE, self._empty.wait)
+            await self._all_closed.set()
+        await curio.ignore_after(timeout * DRAIN_IDLE_SHARE, self._all_closed.wait)
         for connection in list(self._connections):
             await connection.stop_reading()
-        await curio.ignore_after(timeout * (1 - IDLE_SHARE), self._empty.wait)
+        await curio.ignore_after(
+            timeout * (1 - DRAIN_IDLE_SHARE), self._all_closed.wait
+        )
         busy = any(connection.busy for connection in self._connections)
         await self._drained.set()
         return not busy
 
     async def _stop_accepting(self) -> None:
-        # A closed descriptor's number is given to the next socket. An acceptor that
-        # still waited on the number would make the first read of that socket fail,
-        # and its request would be cut off.
+        # The next socket reuses the number of a closed descriptor. If the acceptor
+        # still waited on that number, the first read of the new socket would fail and
+        # its request would be cut off.
         if self._acceptor is not None:
             await self._acceptor.cancel()
             self._acceptor = None
@@ -116,9 +122,9 @@
             sock, address = await listener.accept()
             await self._open(sock, address)
 
-    async def _accept_waiting(self) -> None:
-        # A connection in the kernel's backlog is reset when the listener closes,
-        # and its caller sees a request cut off. So the backlog is emptied first.
+    async def _accept_backlog(self) -> None:
+        # Connections in the kernel's backlog are reset when the listener closes, which
+        # would cut off their callers' requests. So they are accepted before that.
         while True:
             try:
                 sock, address = self._listener.accept()
@@ -148,7 +154,7 @@
             self._connections.pop(connection, None)
             self._counters.open_now = len(self._connections)
             if self._draining and not self._connections:
-                await self._empty.set()
+                await self._all_closed.set()
 
     async def _serve_requests(self, connection: Connection) -> None:
         while True:
@@ -174,7 +180,8 @@
             return build_problem(error)
         except Exception as error:
             log.exception("web: handler failed on {}", request.method)
-            # Nobody knows how far the handler came, so "not run" would be a guess.
+            # The handler may have taken effect before it failed, so the outcome cannot
+            # be reported as "not run".
             return build_problem(
                 RequestError(
                     type(error).__name__,
@@ -184,11 +191,11 @@
                 )
             )
 
-    async def _sweep(self) -> None:
-        # One task looks at all connections' deadlines: a time-out for each read
-        # costs more than the read itself.
+    async def _check_deadlines(self) -> None:
+        # One task checks the deadlines of all connections: a time-out for each read
+        # would cost more than the read itself.
         while True:
-            await curio.sleep(SWEEP_S)
+            await curio.sleep(DEADLINE_CHECK_S)
             now = time.monotonic()
             for connection in list(self._connections):
                 await connection.expire(now)
@@ -197,7 +204,7 @@
 def create_server(
     host: str, port: int, handler: Handler, limits: WebLimits
 ) -> WebServer:
-    """Bind the listening socket now; accept only once :meth:`WebServer.run` runs."""
+    """Return a server with a bound socket; :meth:`WebServer.run` starts accepting."""
     listener = bind_listener(host, port)
     return WebServer(listener, handler, limits)
 
--- a/pistachiodeal/web/validation.py
+++ b/pistachiodeal/web/validation.py
@@ -1,4 +1,4 @@
-"""What is wrong with a body, told so that its sender can mend it."""
+"""Describes validation errors of a request body, so that its sender can fix them."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 
 def describe_validation_errors(error: ValidationError) -> str:
-    """Return the path and the message of each fault, in one line."""
+    """Return the path and message of each validation error, joined in one line."""
     return "; ".join(
-        f"{'.'.join(map(str, fault['loc'])) or WHOLE_BODY}: {fault['msg']}"
-        for fault in error.errors(include_url=False, include_input=False)
+        f"{'.'.join(map(str, detail['loc'])) or WHOLE_BODY}: {detail['msg']}"
+        for detail in error.errors(include_url=False, include_input=False)
     )
