--- a/tests/unit/test_web.py
+++ b/tests/unit/test_web.py
@@ -1,4 +1,4 @@
-"""HTTP on both sides: limits, broken connections, graceful stop."""
+"""HTTP client and server: limits, broken connections, draining."""
 
 import contextlib
 
@@ -14,19 +14,19 @@
 LIMITS = WebLimits(head_bytes=1024, body_bytes=100, head_s=0.2, body_s=0.2)
 
 
-async def answer_echo(request: WebRequest) -> WebResponse:
+async def echo(request: WebRequest) -> WebResponse:
     if request.path == "/refuse":
         raise RequestError("later", code="busy", status=503, retry_after=1.2)
     return WebResponse(200, (), request.body)
 
 
-async def start(handler=answer_echo):
+async def start_server(handler=echo):
     server = create_server("127.0.0.1", 0, handler, LIMITS)
     task = await curio.spawn(server.run)
     return server, task, create_client(f"127.0.0.1:{server.port}")
 
 
-async def talk(port: int, data: bytes) -> bytes:
+async def send_raw(port: int, data: bytes) -> bytes:
     sock = await curio.open_connection("127.0.0.1", port)
     async with sock:
         await sock.sendall(data)
@@ -51,16 +51,16 @@
         (b"POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 9\r\n\r\nx", b" 408 "),
     ],
 )
-def test_bad_input_gets_a_problem_and_harms_no_other(data, status):
-    """Symptom: one caller's garbage breaks or delays another caller's request.
+def test_invalid_input_is_refused_and_affects_no_other_connection(data, status):
+    """Guards against invalid input of one caller that affects another caller's request.
 
-    Sequence: bad input on one connection, then a good request on another.
-    Cause: an error of one connection that ends the server, or waits for ever.
+    Invalid input on one connection could end the server or block it for ever, so that
+    a valid request on another connection fails.
     """
 
     async def main():
-        server, task, client = await start()
-        answer = await talk(server.port, data)
+        server, task, client = await start_server()
+        answer = await send_raw(server.port, data)
         assert status in answer.split(b"\r\n")[0]
         assert b"application/problem+json" in answer
         assert (await client.call("POST", "/", body=b"hi")).body == b"hi"
@@ -69,12 +69,12 @@
     curio.run(main)
 
 
-def test_broken_handler_does_not_claim_not_run():
+def test_failing_handler_is_not_reported_as_not_run():
     async def main():
         async def handle(request: WebRequest) -> WebResponse:
-            raise KeyError("after the hand-over")
+            raise KeyError("after the request was passed on")
 
-        _, task, client = await start(handle)
+        _, task, client = await start_server(handle)
         answer = await client.call("POST", "/")
         assert (answer.status, b'"unknown"' in answer.body) == (500, True)
         await task.cancel()
@@ -82,9 +82,9 @@
     curio.run(main)
 
 
-def test_refusal_says_when_to_come_back():
+def test_refusal_has_a_retry_after_header():
     async def main():
-        _, task, client = await start()
+        _, task, client = await start_server()
         answer = await client.call("GET", "/refuse")
         assert answer.status == 503
         assert answer.header("retry-after") == "2"
@@ -94,14 +94,14 @@
 
 
 def test_drain_answers_a_request_on_a_kept_alive_connection():
-    """Symptom: a caller's request is cut off by a planned stop.
+    """Guards against a request that is cut off by a planned shutdown.
 
-    Sequence: a connection is idle, the stop begins, the next request arrives.
-    Cause: idle connections closed at the moment at which the stop begins.
+    The next request on an idle connection arrives just after the drain has begun. It
+    fails if idle connections are closed as soon as the drain begins.
     """
 
     async def main():
-        server, task, client = await start()
+        server, task, client = await start_server()
         await client.call("GET", "/")
         drain = await curio.spawn(server.drain, 30.0)
         while not server.draining:
@@ -115,10 +115,10 @@
 
 
 def test_drain_waits_for_a_request_in_flight():
-    """Symptom: a caller gets a broken connection while a stop is under way.
+    """Guards against a broken connection for a request in flight during a drain.
 
-    Sequence: a request is being handled, the stop begins, the handler ends.
-    Cause: handlers cancelled together with the listener.
+    The drain begins while a request is being handled. The request fails if handlers
+    are cancelled together with the listener.
     """
 
     async def main():
@@ -128,7 +128,7 @@
             await gate.wait()
             return WebResponse(200, (), b"whole")
 
-        server, task, client = await start(handle)
+        server, task, client = await start_server(handle)
         call = await curio.spawn(client.call, "GET", "/")
         while not server.counters.requests:
             await curio.sleep(0.001)
@@ -150,11 +150,11 @@
         (b"HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\nhalf", Outcome.RAN),
     ],
 )
-def test_broken_answer_is_never_taken_for_a_whole_one(script, outcome):
-    """Symptom: a caller gets half an answer as if it were all of it.
+def test_partial_response_is_never_returned_as_complete(script, outcome):
+    """Guards against a partial response that is returned as a complete one.
 
-    Sequence: the peer reads the request, sends a part, closes.
-    Cause: the end of the connection taken for the end of the answer.
+    The peer reads the request, sends a part of the response and closes the connection.
+    The end of the connection must not count as the end of the response.
     """
 
     async def main():
@@ -190,10 +190,10 @@
 
 
 def test_connection_closed_while_idle_is_not_used_again():
-    """Symptom: `unknown` for a request which nobody can have run.
+    """Guards against the outcome `unknown` for a request that no peer can have run.
 
-    Sequence: answer, the peer closes the idle connection, next request.
-    Cause: a kept-alive connection used again without a look at its state.
+    After a response the peer closes the idle connection. The next request is lost if
+    the client reuses a kept-alive connection without checking that it is still open.
     """
 
     async def main():
@@ -219,18 +219,18 @@
     curio.run(main)
 
 
-def test_header_values_pass_as_they_came():
-    """Symptom: `unknown` for a request with an accented letter in a header.
+def test_header_values_are_passed_on_unchanged():
+    """Guards against the outcome `unknown` for a request with a non-ASCII header.
 
-    Sequence: a caller sends a latin-1 header value; it is passed on by the client.
-    Cause: values decoded as latin-1 and encoded as ASCII.
+    A caller sends a latin-1 header value, and the client passes it on. This fails if
+    values are decoded as latin-1 but encoded as ASCII.
     """
 
     async def main():
         async def handle(request: WebRequest) -> WebResponse:
             return WebResponse(200, (("x-back", request.header("x-there")),))
 
-        _, task, client = await start(handle)
+        _, task, client = await start_server(handle)
         answer = await client.call("GET", "/", headers=(("x-there", "Z\xe1horie"),))
         assert answer.header("x-back") == "Z\xe1horie"
         with pytest.raises(UnsendableError):
@@ -241,12 +241,11 @@
 
 
 def test_a_request_read_late_in_a_drain_is_answered():
-    """A request that came late in a graceful stop got no answer.
+    """Guards against a request late in a drain that gets no response.
 
-    Symptom: the connection ends 0.24 s after a request on it, without an answer.
-    Sequence: the server drains; an idle connection brings a request shortly before
-    the time runs out; its answer takes longer than what is left.
-    Cause: idle connections could bring requests until the very end.
+    An idle connection sends a request shortly before the drain's time runs out, and the
+    response takes longer than the remaining time: the connection ended 0.24 s after the
+    request, without a response. Idle connections could send requests until the end.
     """
     read, answered = [], []
 
@@ -265,7 +264,7 @@
                     answered.append(after_s)
 
     async def main():
-        server, task, client = await start(answer_slowly)
+        server, task, client = await start_server(answer_slowly)
         late = [0.1, 0.5, 0.6, 0.8, 0.9, 0.95]
         callers = [
             await curio.spawn(call_late, server.port, 0.05 + after_s)
@@ -284,18 +283,17 @@
 
 
 def test_a_socket_opened_while_draining_can_be_read():
-    """A request on a new connection was cut off during a graceful stop.
+    """Guards against a request on a new connection that is cut off during a drain.
 
-    Symptom: ``ReadResourceBusy`` in the log, and a caller without an answer.
-    Sequence: the server drains and closes its listener; the next socket gets the
-    listener's descriptor number; its first read fails.
-    Cause: the accepting task still waited on that number.
+    The server drains and closes its listener, and the next socket gets the listener's
+    descriptor number. If the accepting task still waits on that number, the first read
+    of the new socket fails with ``ReadResourceBusy`` and the caller gets no response.
     """
 
     async def main():
-        server, task, client = await start()
+        server, task, client = await start_server()
         await client.call("GET", "/", timeout=2)
-        # An idle connection keeps the drain going while other sockets are opened.
+        # An idle connection keeps the drain running while other sockets are opened.
         drain = await curio.spawn(server.drain, 0.5)
         await curio.sleep(0.05)
         opened = [curio.socket.socketpair() for _ in range(8)]
--- a/tests/unit/test_wire.py
+++ b/tests/unit/test_wire.py
@@ -1,4 +1,4 @@
-"""Links between our processes: secret, version, garbage, silence."""
+"""Links: codec, authentication, versions, invalid input, time-outs, closing."""
 
 import socket
 import struct
@@ -34,14 +34,14 @@
 from pistachiodeal.wire.task_messages import TaskRef
 
 SECRET = "a-secret-of-tests"
-QUICK = LinkTimings(ping_s=0.05, silent_s=0.2, handshake_s=5.0)
-PATIENT = LinkTimings(ping_s=5.0, silent_s=60.0, handshake_s=5.0)
+SHORT_TIMINGS = LinkTimings(ping_s=0.05, silent_s=0.2, handshake_s=5.0)
+LONG_TIMINGS = LinkTimings(ping_s=5.0, silent_s=60.0, handshake_s=5.0)
 ENTRY = Identity("entry", "e1", 1, "dc1")
 AGENT = Identity("agent", "a1", 2, "dc1", "w1", "r1")
 
 
 class Acceptor:
-    """Accepts one link, keeps it or its error, and echoes requests."""
+    """Accepts one link, echoes requests on it, and keeps the error that ended it."""
 
     def __init__(self, listener, timings):
         self.address = f"127.0.0.1:{listener.getsockname()[1]}"
@@ -63,7 +63,7 @@
 
 
 @asynccontextmanager
-async def accepting(timings=PATIENT):
+async def run_acceptor(timings=LONG_TIMINGS):
     listener = bind_listener("127.0.0.1", 0)
     acceptor = Acceptor(listener, timings)
     task = await curio.spawn(acceptor.run)
@@ -78,7 +78,7 @@
     return Request(number, "orders", "shop", "GET", "/", (("a", "b"),), body, 100)
 
 
-def test_messages_come_back_as_they_were():
+def test_messages_are_unchanged_by_encoding_and_decoding():
     loads = (ServiceLoad("orders", 8, 3, 1, 250),)
     refs = (TaskRef("0001-x", 2, 9),)
     report = Report(7, True, Resources(1, 2, 3), Resources(0, -1, 0), loads, refs)
@@ -89,11 +89,11 @@
         assert decode_message(frame[LENGTH_BYTES:], packed) == message
 
 
-def test_packed_frame_cannot_blow_up_memory():
-    """Symptom: a small frame takes gigabytes of memory.
+def test_memory_for_a_packed_frame_is_limited():
+    """Guards against a small frame that takes gigabytes of memory.
 
-    Sequence: a packed frame announces a message of 4 GB and holds its zero bytes.
-    Cause: packing shrinks zeroes a thousandfold, and only the frame was limited.
+    A packed frame can declare a message of 4 GB that consists of zero bytes. Packing
+    shrinks these a thousandfold, so a limit on the size of the frame is not enough.
     """
     words = (512 * 1024 * 1024).to_bytes(4, "little")
     bomb = b"\xff" + b"\x00\x00\x00\x00" + words + b"\x00" + b"\x00\xff" * 1000
@@ -115,10 +115,10 @@
         assert error.code == "protocol"
 
 
-def test_large_frames_pass_whole():
+def test_large_frames_are_received_completely():
     async def main():
-        async with accepting() as acceptor:
-            async with dial_link(acceptor.address, AGENT, SECRET, PATIENT) as link:
+        async with run_acceptor() as acceptor:
+            async with dial_link(acceptor.address, AGENT, SECRET, LONG_TIMINGS) as link:
                 body = b"x" * 3_000_000
                 await link.send(build_request(1, body))
                 assert (await link.receive()).body == body
@@ -128,9 +128,11 @@
 
 def test_peer_without_the_secret_is_refused():
     async def main():
-        async with accepting() as acceptor:
+        async with run_acceptor() as acceptor:
             with pytest.raises(LinkClosedError):
-                async with dial_link(acceptor.address, AGENT, "wrong" * 4, PATIENT):
+                async with dial_link(
+                    acceptor.address, AGENT, "wrong" * 4, LONG_TIMINGS
+                ):
                     pass
             await acceptor.done.wait()
             assert isinstance(acceptor.error, AuthenticationError)
@@ -140,10 +142,10 @@
 
 def test_other_version_is_named_in_the_error(monkeypatch):
     async def main():
-        async with accepting() as acceptor:
+        async with run_acceptor() as acceptor:
             monkeypatch.setattr(handshake, "_check_version", refuse_version)
             with pytest.raises(ProtocolError, match="version"):
-                async with dial_link(acceptor.address, AGENT, SECRET, PATIENT):
+                async with dial_link(acceptor.address, AGENT, SECRET, LONG_TIMINGS):
                     pass
 
     def refuse_version(version: int) -> None:
@@ -161,15 +163,15 @@
         (encode_message(build_request(1)), ProtocolError),
     ],
 )
-def test_stranger_costs_one_small_frame(data, error):
-    """Symptom: memory grows on garbage sent to the internal port.
+def test_unauthenticated_peer_may_send_only_a_small_frame(data, error):
+    """Guards against memory growth from invalid data sent to the internal port.
 
-    Sequence: a stranger connects and sends HTTP, noise, or a frame too early.
-    Cause: the announced length believed before the peer has shown the secret.
+    An unauthenticated peer sends HTTP, random bytes or a frame before the handshake.
+    The length that it declares must not be trusted before it has authenticated.
     """
 
     async def main():
-        async with accepting() as acceptor:
+        async with run_acceptor() as acceptor:
             host, _, port = acceptor.address.rpartition(":")
             sock = await curio.open_connection(host, int(port))
             async with sock:
@@ -180,38 +182,40 @@
     curio.run(main)
 
 
-def test_silent_connection_is_given_up():
-    """Symptom: requests wait for ever on a connection that looks open.
+def test_silent_connection_is_closed():
+    """Guards against requests that wait for ever on a connection that seems open.
 
-    Sequence: handshake, then nothing passes in either direction any more.
-    Cause: something between the ends forgot the connection; TCP doesn't notice.
+    After the handshake no data passes in either direction, because a device between
+    both ends has dropped the connection's state. TCP does not notice this.
     """
 
     async def main():
-        async with accepting(QUICK) as acceptor:
-            # The dialler pings so rarely that it is silent for the acceptor.
-            async with dial_link(acceptor.address, AGENT, SECRET, PATIENT):
+        async with run_acceptor(SHORT_TIMINGS) as acceptor:
+            # The dialling side pings too rarely for the acceptor's silence time-out.
+            async with dial_link(acceptor.address, AGENT, SECRET, LONG_TIMINGS):
                 await acceptor.done.wait()
             assert isinstance(acceptor.error, LinkSilentError)
 
     curio.run(main)
 
 
-def test_idle_link_stays_open_by_pings():
+def test_pings_keep_an_idle_link_open():
     async def main():
-        async with accepting(QUICK) as acceptor:
-            async with dial_link(acceptor.address, AGENT, SECRET, QUICK) as link:
-                await curio.sleep(3 * QUICK.silent_s)
+        async with run_acceptor(SHORT_TIMINGS) as acceptor:
+            async with dial_link(
+                acceptor.address, AGENT, SECRET, SHORT_TIMINGS
+            ) as link:
+                await curio.sleep(3 * SHORT_TIMINGS.silent_s)
                 await link.send(build_request(1, b"x"))
                 assert (await link.receive()).body == b"x"
 
     curio.run(main)
 
 
-def test_send_on_a_closed_link_says_that_nothing_was_sent():
+def test_send_on_a_closed_link_raises_link_closed():
     async def main():
-        async with accepting() as acceptor:
-            async with dial_link(acceptor.address, AGENT, SECRET, PATIENT) as link:
+        async with run_acceptor() as acceptor:
+            async with dial_link(acceptor.address, AGENT, SECRET, LONG_TIMINGS) as link:
                 await link.close()
                 with pytest.raises(LinkClosedError):
                     await link.send(Ping())
@@ -220,15 +224,15 @@
 
 
 def test_close_wakes_the_receiving_task():
-    """Symptom: a task waits for ever on a link that another task has closed.
+    """Guards against a task that waits for ever on a link that another has closed.
 
-    Sequence: one task receives, another closes the link.
-    Cause: a closed descriptor leaves the selector without waking its reader.
+    Closing a descriptor removes it from the selector without waking the task that
+    reads from it.
     """
 
     async def main():
-        async with accepting() as acceptor:
-            async with dial_link(acceptor.address, AGENT, SECRET, PATIENT) as link:
+        async with run_acceptor() as acceptor:
+            async with dial_link(acceptor.address, AGENT, SECRET, LONG_TIMINGS) as link:
                 reader = await curio.spawn(link.receive)
                 await curio.sleep(0)
                 await link.close()
@@ -239,11 +243,11 @@
     curio.run(main)
 
 
-def test_peer_that_is_gone_before_it_is_accepted():
-    """Symptom: an unknown error of the operating system in the task of a link.
+def test_peer_that_disconnects_before_it_is_accepted():
+    """Guards against an unhandled OSError in the task of a link.
 
-    Sequence: a peer connects and resets; only then is its connection accepted.
-    Cause: the address of a connection that is gone can't be asked for.
+    A peer connects and resets the connection before it is accepted. The peer's address
+    is then no longer available.
     """
 
     async def main():
@@ -254,7 +258,7 @@
         peer.close()
         sock, _ = await Socket(listener).accept()
         with pytest.raises(LinkClosedError):
-            async with accept_link(sock, ENTRY, SECRET, PATIENT):
+            async with accept_link(sock, ENTRY, SECRET, LONG_TIMINGS):
                 pass
         listener.close()
 
@@ -262,12 +266,12 @@
 
 
 def test_a_link_that_is_closed_under_its_reader_does_not_end_the_process():
-    """Symptom: a process ends with FileNotFoundError from the selector.
+    """Guards against a FileNotFoundError from the selector that ends the process.
 
-    Sequence: one task reads from a link, another closes it, and a new connection gets
-    the number of its descriptor before the reader has run again. Cause: curio keeps
-    the descriptor of a task that it has just woken registered, and takes the new
-    connection for the old one.
+    One task reads from a link, another closes it, and a new connection gets the same
+    descriptor number before the reader has run again. Curio keeps the descriptor of a
+    task that it has just woken registered, and takes the new connection for the old
+    one.
     """
 
     async def read_until_closed(link):
@@ -275,8 +279,8 @@
             await link.receive()
 
     async def main():
-        async with accepting() as acceptor:
-            async with dial_link(acceptor.address, AGENT, SECRET, PATIENT) as link:
+        async with run_acceptor() as acceptor:
+            async with dial_link(acceptor.address, AGENT, SECRET, LONG_TIMINGS) as link:
                 reader = await curio.spawn(read_until_closed, link)
                 await curio.sleep(0)
                 await link.close()
