--- a/tests/unit/test_job_cluster.py
+++ b/tests/unit/test_job_cluster.py
@@ -19,11 +19,11 @@
 from tests.standins.job_cluster import JobCluster, build_job, run_cluster
 
 
-async def wait_for(check, timeout: float = 8.0):
-    """Return what ``check`` returns as soon as it is true."""
+async def wait_for(condition, timeout: float = 8.0):
+    """Return what ``condition`` returns as soon as it is true."""
     deadline = time.monotonic() + timeout
     while time.monotonic() < deadline:
-        result = check()
+        result = condition()
         if result:
             return result
         await curio.sleep(0.01)
