--- a/tests/fuzz_plugin.py
+++ b/tests/fuzz_plugin.py
@@ -25,26 +25,26 @@
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
     for item in items:
         function = getattr(item, "obj", None)
-        machine = find_machine(item)
+        machine = find_state_machine(item)
         if machine is not None:
-            machine.settings = lengthen(machine.settings)
+            machine.settings = extend_settings(machine.settings)
         elif hasattr(function, "is_hypothesis_test"):
             target = getattr(function, "__func__", function)
             earlier = getattr(target, SETTINGS_ATTRIBUTE, settings())
-            setattr(target, SETTINGS_ATTRIBUTE, lengthen(earlier))
+            setattr(target, SETTINGS_ATTRIBUTE, extend_settings(earlier))
         else:
             continue
         item.add_marker("fuzz")
 
 
-def find_machine(item: pytest.Item) -> Any:
+def find_state_machine(item: pytest.Item) -> Any:
     """Return the test case class of a state machine, or None."""
     case = getattr(item, "cls", None)
     # A machine's test case has the settings by which it runs as its own attribute.
     return case if isinstance(getattr(case, "settings", None), settings) else None
 
 
-def lengthen(earlier: settings) -> settings:
+def extend_settings(earlier: settings) -> settings:
     """Return the settings for a long run."""
     examples = int(os.environ.get("PISTACHIODEAL_FUZZ_EXAMPLES", DEFAULT_EXAMPLES))
     return settings(earlier, derandomize=False, max_examples=examples, print_blob=True)
--- a/tests/harness/cluster.py
+++ b/tests/harness/cluster.py
@@ -10,7 +10,7 @@
 
 from tests.harness import documents
 from tests.harness.calls import Reply, call, call_json
-from tests.harness.ports import take_port
+from tests.harness.ports import reserve_port
 from tests.harness.processes import Process
 from tests.harness.waiting import LIMIT_S, NotReachedError, wait_until
 
@@ -154,11 +154,11 @@
     def wait_reply(self, entry: Peer, target: str, status: int = 200) -> Reply:
         """Ask an entry until it answers with this status."""
 
-        def look() -> Reply | None:
+        def poll() -> Reply | None:
             reply = self.http(entry, "GET", target)
             return reply if reply.status == status else None
 
-        return wait_until(look, f"GET {target} gives {status}")
+        return wait_until(poll, f"GET {target} gives {status}")
 
     def operate(
         self,
@@ -196,14 +196,14 @@
         """Wait until a task is in a final state; return what the entry shows."""
         last: Reply | None = None
 
-        def look() -> dict[str, Any] | None:
+        def poll() -> dict[str, Any] | None:
             nonlocal last
             last = self.http(entry, "GET", f"/tasks/{task_id}")
             shown = last.document() if last.status == 200 else {}
             return shown if shown.get("state") in FINAL_STATES else None
 
         try:
-            return wait_until(look, f"task {task_id} ends", limit_s)
+            return wait_until(poll, f"task {task_id} ends", limit_s)
         except NotReachedError as error:
             raise NotReachedError(f"{error}, {last}") from None
 
@@ -282,7 +282,7 @@
     def _find_port(self, name: str, label: str) -> int:
         """Return the port of a process, the same after a restart."""
         if (name, label) not in self._ports:
-            self._ports[name, label] = take_port()
+            self._ports[name, label] = reserve_port()
         return self._ports[name, label]
 
     def _wait_ports(self, process: Process, *labels: str) -> None:
--- a/tests/harness/ports.py
+++ b/tests/harness/ports.py
@@ -13,22 +13,22 @@
 
 from tests.harness.processes import HOST
 
-LOWEST = 12_000
-HIGHEST = 32_000  # below the range of outgoing connections
-WORKERS = 16
-SPAN = (HIGHEST - LOWEST) // WORKERS
+MIN_PORT = 12_000
+MAX_PORT = 32_000  # below the range of outgoing connections
+MAX_WORKERS = 16
+PORTS_PER_WORKER = (MAX_PORT - MIN_PORT) // MAX_WORKERS
 
 _reserved: dict[int, socket.socket] = {}
 
 
-def take_port() -> int:
+def reserve_port() -> int:
     """Return a port that nothing uses, and that this process never gives again."""
-    worker = int(os.environ.get("PYTEST_XDIST_WORKER", "gw0")[2:]) % WORKERS
-    first = LOWEST + worker * SPAN
+    worker = int(os.environ.get("PYTEST_XDIST_WORKER", "gw0")[2:]) % MAX_WORKERS
+    first = MIN_PORT + worker * PORTS_PER_WORKER
     # Another run of the tests on this machine starts elsewhere in the span.
-    offset = random.SystemRandom().randrange(SPAN)
-    for step in range(SPAN):
-        port = first + (offset + step) % SPAN
+    offset = random.SystemRandom().randrange(PORTS_PER_WORKER)
+    for step in range(PORTS_PER_WORKER):
+        port = first + (offset + step) % PORTS_PER_WORKER
         if port not in _reserved and _reserve(port):
             return port
     raise RuntimeError("no free port")
--- a/tests/harness/processes.py
+++ b/tests/harness/processes.py
@@ -63,13 +63,13 @@
         """Return the port that the process prints on a line ``label N``."""
         pattern = re.compile(rf"^{label} (\d+)\n", re.MULTILINE)
 
-        def look() -> int | None:
+        def poll() -> int | None:
             found = pattern.search(self._out.read_text())
             if found is None:
                 self._check_running(f"before it printed its {label}")
             return int(found[1]) if found else None
 
-        return wait_until(look, f"{self.name} prints its {label}")
+        return wait_until(poll, f"{self.name} prints its {label}")
 
     def address(self, label: str = "port") -> str:
         """Return ``ip:port`` for the port printed with ``label``."""
--- a/tests/harness/waiting.py
+++ b/tests/harness/waiting.py
@@ -16,15 +16,17 @@
     """What was waited for did not come about within the limit."""
 
 
-def wait_until(look: Callable[[], T | None], what: str, limit_s: float = LIMIT_S) -> T:
-    """Return the first value of ``look`` that is true.
+def wait_until(
+    condition: Callable[[], T | None], what: str, limit_s: float = LIMIT_S
+) -> T:
+    """Return the first value of ``condition`` that is true.
 
     :param what: what is waited for, for the error.
     :raises NotReachedError: it did not come about; the last value is told.
     """
     end = time.monotonic() + limit_s
     while True:
-        value = look()
+        value = condition()
         if value:
             return value
         if time.monotonic() > end:
--- a/tests/scenarios/load.py
+++ b/tests/scenarios/load.py
@@ -21,9 +21,9 @@
 class Tally:
     """What became of the requests of a load."""
 
-    whole: int = 0
+    complete: int = 0
     problems: list[str] = field(default_factory=list)
-    broken: list[str] = field(default_factory=list)
+    failures: list[str] = field(default_factory=list)
 
 
 class Caller:
@@ -38,7 +38,7 @@
         self._number = number
         self._addresses = addresses
         self._tally = tally
-        self._turn = number
+        self._next_entry = number
         self._random = random.Random(number)
         self._connection: http.client.HTTPConnection | None = None
 
@@ -53,7 +53,7 @@
         try:
             reply = self._exchange(method, target, headers, body)
         except (OSError, http.client.HTTPException) as error:
-            self._tally.broken.append(f"{case}: {error!r}")
+            self._tally.failures.append(f"{case}: {error!r}")
             self._drop()
             return
         self._check(case, body, size, reply)
@@ -74,8 +74,8 @@
         if self._connection is not None:
             return self._connection
         for _ in range(50 * len(self._addresses)):
-            self._turn += 1
-            address = self._addresses[self._turn % len(self._addresses)]
+            self._next_entry += 1
+            address = self._addresses[self._next_entry % len(self._addresses)]
             connection = http.client.HTTPConnection(address, timeout=TIMEOUT_S)
             try:
                 connection.connect()
@@ -98,11 +98,11 @@
         document = json.loads(reply.body)
         expected = hashlib.sha256(body).hexdigest()
         if document["case"] != case or document["sha"] != expected:
-            self._tally.broken.append(f"{case}: another's answer {document}")
+            self._tally.failures.append(f"{case}: another's answer {document}")
         elif len(reply.body) < size:
-            self._tally.broken.append(f"{case}: {len(reply.body)} of {size} bytes")
+            self._tally.failures.append(f"{case}: {len(reply.body)} of {size} bytes")
         else:
-            self._tally.whole += 1
+            self._tally.complete += 1
 
 
 class Load:
--- a/tests/scenarios/steps/callers.py
+++ b/tests/scenarios/steps/callers.py
@@ -15,7 +15,7 @@
 from tests.harness.waiting import wait_until
 from tests.scenarios.load import Load
 from tests.scenarios.steps.deployment import TASK_LEASE_S
-from tests.scenarios.world import SERVICE, Sent, World
+from tests.scenarios.world import SERVICE, SentRequest, World
 
 SEND = (
     r'"(?P<name>\w+)" is sent as (?P<method>[A-Z]+) "(?P<target>[^"]+)"'
@@ -55,7 +55,7 @@
         time.sleep(RETRY_PAUSE_S)
 
 
-def must_retry(sent: Sent, how: str | None) -> bool:
+def must_retry(sent: SentRequest, how: str | None) -> bool:
     """Tell whether a caller would ask again with the same key."""
     if not how:
         return False
@@ -202,7 +202,7 @@
     start_load(world)
     assert world.load is not None
     tally = world.load.tally
-    wait_until(lambda: tally.whole + len(tally.problems) >= count, "answers")
+    wait_until(lambda: tally.complete + len(tally.problems) >= count, "answers")
 
 
 @when("callers send requests through all entries without pause")
@@ -210,14 +210,14 @@
     addresses = [world.address(name) for name in world.entries]
     world.load = Load(addresses)
     tally = world.load.tally
-    wait_until(lambda: tally.whole > 20, "the load is answered")
+    wait_until(lambda: tally.complete > 20, "the load is answered")
 
 
 @when(parsers.parse("the load ends after {count:d} more answers"))
 def end_load(world: World, count: int) -> None:
     assert world.load is not None
-    before = world.load.tally.whole
-    wait_until(lambda: world.load.tally.whole > before + count, "more answers")
+    before = world.load.tally.complete
+    wait_until(lambda: world.load.tally.complete > before + count, "more answers")
     world.load.stop()
 
 
@@ -235,8 +235,8 @@
 def stop_load(world: World):
     assert world.load is not None
     tally = world.load.stop()
-    assert tally.broken == []
-    assert tally.whole > 20
+    assert tally.failures == []
+    assert tally.complete > 20
     return tally
 
 
@@ -312,14 +312,14 @@
 def wait_refused(world: World, entry: str) -> None:
     host, _, port = world.address(entry).rpartition(":")
 
-    def look() -> bool:
+    def poll() -> bool:
         try:
             socket.create_connection((host, int(port)), timeout=1).close()
         except ConnectionRefusedError:
             return True
         return False
 
-    wait_until(look, f"{entry} refuses connections")
+    wait_until(poll, f"{entry} refuses connections")
 
 
 @then('the caller\'s next request on it is answered with "connection: close"')
@@ -371,11 +371,11 @@
 
 @then(parsers.parse('entry "{entry}" gives "{worker}" up within {limit:d} s'))
 def check_given_up(world: World, entry: str, worker: str, limit: int) -> None:
-    def look() -> bool:
+    def poll() -> bool:
         status = world.cluster.operate(world.cluster[entry], "GET", "/-/status")
         seen = [agent["worker"] for agent in status.document()["agents"]]
         return worker not in seen
 
     started = time.monotonic()
-    wait_until(look, f"{entry} gives {worker} up")
+    wait_until(poll, f"{entry} gives {worker} up")
     assert time.monotonic() - started <= limit
--- a/tests/scenarios/steps/deployment.py
+++ b/tests/scenarios/steps/deployment.py
@@ -130,7 +130,7 @@
     """
     cluster = world.cluster
 
-    def look() -> bool:
+    def poll() -> bool:
         shares = []
         versions = set()
         for name in world.entries:
@@ -140,7 +140,7 @@
             shares.append(sum(one["authority"] for one in held))
         return all(shares) and sum(shares) == PARTITIONS and len(versions) == 1
 
-    wait_until(look, "the partitions are shared out")
+    wait_until(poll, "the partitions are shared out")
     for name in world.entries:
         for partition in range(PARTITIONS):
             unknown = f"/tasks/{partition:04d}-{'0' * 32}"
@@ -150,11 +150,11 @@
 def wait_served(world: World, entry: str, workers: int) -> None:
     """Wait until an entry sees every worker and answers requests."""
 
-    def look() -> bool:
+    def poll() -> bool:
         status = world.cluster.operate(world.cluster[entry], "GET", "/-/status")
         seen = status.document()["agents"]
         serving = [agent for agent in seen if agent["services"]]
         return len(serving) >= workers
 
-    wait_until(look, f"{entry} sees {workers} workers with runners")
+    wait_until(poll, f"{entry} sees {workers} workers with runners")
     world.cluster.wait_reply(world.cluster[entry], f"/{SERVICE}/ready")
--- a/tests/scenarios/steps/faults.py
+++ b/tests/scenarios/steps/faults.py
@@ -20,21 +20,21 @@
 ROWS["profiles"] = "commit/profiles"
 
 
-def halt(world: World, *names: str) -> None:
+def mark_halted(world: World, *names: str) -> None:
     world.notes.setdefault("halted", set()).update(names)
 
 
 def freeze(world: World, *names: str) -> None:
     for name in names:
         world.cluster[name].freeze()
-    halt(world, *names)
+    mark_halted(world, *names)
     world.notes["frozen"] = names
 
 
 def kill(world: World, *names: str) -> None:
     for name in names:
         world.cluster[name].kill()
-    halt(world, *names)
+    mark_halted(world, *names)
 
 
 def thaw(world: World) -> None:
@@ -61,7 +61,7 @@
 @when(parsers.parse('the agent of "{worker}" is asked to stop'))
 def stop_agent(world: World, worker: str) -> None:
     world.cluster[f"agent-{worker}"].terminate()
-    halt(world, f"agent-{worker}")
+    mark_halted(world, f"agent-{worker}")
 
 
 @when(parsers.parse('the runner of "{worker}" is asked to stop'))
@@ -143,7 +143,7 @@
     world.notes["owner"] = owner
     world.notes.setdefault("cut", []).append(owner)
     world.cluster.set_relay(world.relays[f"table-{owner}"], "refuse")
-    halt(world, owner)
+    mark_halted(world, owner)
 
 
 @when("the cut entry reaches the table again")
@@ -180,7 +180,7 @@
 @when(parsers.parse('entry "{entry}" is asked to stop'))
 def stop_entry(world: World, entry: str) -> None:
     world.cluster[entry].terminate()
-    halt(world, entry)
+    mark_halted(world, entry)
 
 
 @when(parsers.parse('entry "{entry}" has ended with status {status:d}'))
@@ -251,7 +251,7 @@
 
 
 @when('the worker that runs task "t" leaves for good')
-def leave_for_good(world: World) -> None:
+def decommission_worker(world: World) -> None:
     run = world.wait_running("t")
     agent = world.cluster[f"agent-{run['worker']}"]
     world.notes["leaving"] = f"agent-{run['worker']}"
@@ -268,10 +268,12 @@
 def cut_links(world: World, count: int) -> None:
     assert world.load is not None
     for _ in range(count):
-        whole = world.load.tally.whole
+        complete = world.load.tally.complete
         for name in world.entries:
             world.cluster.set_relay(world.relays[name], "cut")
-        wait_until(lambda w=whole: world.load.tally.whole > w + 20, "answers again")
+        wait_until(
+            lambda w=complete: world.load.tally.complete > w + 20, "answers again"
+        )
 
 
 @when(parsers.parse('the oldest link to "{entry}" goes silent'))
--- a/tests/scenarios/steps/platform.py
+++ b/tests/scenarios/steps/platform.py
@@ -22,7 +22,7 @@
     "loses the answers to": {"lose_answers": 2},
     "refuses": {"down": True},
 }
-WELL = {"frozen": False, "mute": False, "down": False, "lose_answers": 0, "only": []}
+CLEARED = {"frozen": False, "mute": False, "down": False, "lose_answers": 0, "only": []}
 PLACE = r"the (?P<place>table|object store|runtime) "
 
 
@@ -46,7 +46,7 @@
 
 
 @when(parsers.re(PLACE + rf'(?P<fault>{"|".join(FAULTS)}) "(?P<calls>[^"]+)"'))
-def spoil_calls(world: World, place: str, fault: str, calls: str) -> None:
+def inject_call_faults(world: World, place: str, fault: str, calls: str) -> None:
     """Spoil all calls whose operations begin with one of ``calls``.
 
     The scenario goes on when the first of them is met: the others may be calls that
@@ -63,20 +63,20 @@
 def wait_met(world: World, place: str) -> None:
     before = world.notes["met"]
 
-    def look() -> str:
+    def poll() -> str:
         for process in find_stand_ins(world, place):
             if count_met(world, process) > before[process.name]:
                 return process.name
         return ""
 
-    met = wait_until(look, f"{place} meets a call")
+    met = wait_until(poll, f"{place} meets a call")
     if place == "runtime":
         world.notes["waits"] = f"agent-{met.removeprefix('worker-')}"
 
 
 @when(parsers.re(PLACE + "(?:is well again|carries out what it held)"))
-def make_well(world: World, place: str) -> None:
-    set_all(world, place, WELL)
+def clear_faults(world: World, place: str) -> None:
+    set_all(world, place, CLEARED)
 
 
 @when(parsers.re(PLACE + "drops what it held"))
@@ -84,20 +84,20 @@
     set_all(world, place, {"down": True, "frozen": False})
     for process in find_stand_ins(world, place):
 
-        def look(process: Process = process) -> bool:
+        def poll(process: Process = process) -> bool:
             return not world.cluster.record(process)["held"]
 
-        wait_until(look, f"{process.name} holds nothing")
-    make_well(world, place)
+        wait_until(poll, f"{process.name} holds nothing")
+    clear_faults(world, place)
 
 
 @when("the table has a claim")
 def wait_claimed(world: World) -> None:
-    def look() -> bool:
+    def poll() -> bool:
         log = world.cluster.record(world.cluster["table"])["log"]
         return any(key.startswith("claim/") for event in log for key in event["keys"])
 
-    wait_until(look, "a claim is in")
+    wait_until(poll, "a claim is in")
 
 
 def waiting_agent(world: World) -> str:
--- a/tests/scenarios/steps/tasks.py
+++ b/tests/scenarios/steps/tasks.py
@@ -110,10 +110,10 @@
     left = world.notes["left"]
     task_id = world.tasks[task]
 
-    def look() -> bool:
+    def poll() -> bool:
         return any(run["worker"] != left for run in world.intervals(task_id))
 
-    wait_until(look, f"{task} runs elsewhere")
+    wait_until(poll, f"{task} runs elsewhere")
 
 
 @when(parsers.parse('the worker "{worker}" runs {count:d} tasks'))
@@ -202,10 +202,10 @@
 
 @then("every run was stopped, none was lost")
 def check_all_stopped(world: World) -> None:
-    def look() -> bool:
+    def poll() -> bool:
         return count_running(world) == 0
 
-    wait_until(look, "no task runs any more")
+    wait_until(poll, "no task runs any more")
     ends = {run["ended"] for run in world.intervals()}
     assert ends == {"stopped"}, ends
 
--- a/tests/scenarios/world.py
+++ b/tests/scenarios/world.py
@@ -24,7 +24,7 @@
 
 
 @dataclass
-class Sent:
+class SentRequest:
     """A caller's request, sent in a thread of its own."""
 
     name: str
@@ -58,7 +58,7 @@
     entries: list[str] = field(default_factory=list)
     workers: list[str] = field(default_factory=list)
     relays: dict[str, Process] = field(default_factory=dict)
-    sent: dict[str, Sent] = field(default_factory=dict)
+    sent: dict[str, SentRequest] = field(default_factory=dict)
     tasks: dict[str, str] = field(default_factory=dict)
     submissions: dict[str, Reply] = field(default_factory=dict)
     notes: dict[str, Any] = field(default_factory=dict)
@@ -78,12 +78,12 @@
 
     def send(
         self, name: str, method: str, target: str, entry: str, **headers: str
-    ) -> Sent:
+    ) -> SentRequest:
         """Send a request in a thread of its own."""
         named = {key.replace("_", "-"): value for key, value in headers.items()}
         named.setdefault("pistachiodeal-deadline-ms", str(DEADLINE_MS))
         named["x-case"] = name
-        sent = Sent(name, entry, method, target, named)
+        sent = SentRequest(name, entry, method, target, named)
         body = f"body of {named.get('idempotency-key', name)}"
         address = self.address(entry)
 
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -9,7 +9,7 @@
 import curio
 
 from tests.harness.ports import release_ports
-from tests.soak.driver import play
+from tests.soak.driver import run_seed
 
 
 def main() -> None:
@@ -24,18 +24,18 @@
     for seed in range(options.first, options.first + options.seeds):
         folder = Path(options.folder) / str(seed)
         folder.mkdir(parents=True, exist_ok=True)
-        result = curio.run(lambda: play(seed, folder, faults_s=options.seconds))  # noqa: B023
+        result = curio.run(lambda: run_seed(seed, folder, faults_s=options.seconds))  # noqa: B023
         # Kept, the ports of many seeds leave none to other runs of the tests.
         release_ports()
         print(
             f"seed {seed}: {result.accepted} accepted, {result.refused} refused, "
             f"{result.completed} completed, {result.starts} starts, "
-            f"{len(result.faults)} faults, {len(result.broken)} broken",
+            f"{len(result.faults)} faults, {len(result.violations)} broken",
             flush=True,
         )
-        if result.broken:
+        if result.violations:
             failed += 1
-            print("\n".join([*result.broken[:10], *result.faults]), flush=True)
+            print("\n".join([*result.violations[:10], *result.faults]), flush=True)
     sys.exit(1 if failed else 0)
 
 
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -11,9 +11,9 @@
 
 from pistachiodeal.web.client import CallError, WebClient, create_client
 from tests.soak.deployment import PREFIX
-from tests.soak.platform import TimedWitness
+from tests.soak.platform import TimedInvariantChecker
 
-BUDGET_S = 3.0
+CALL_TIMEOUT_S = 3.0
 # Promises of the pages, and a margin for a busy machine.
 VISIBLE_S = 3.0
 CANCEL_S = 3.0
@@ -44,16 +44,18 @@
 
 @dataclass
 class Callers:
-    """All callers; ``broken`` has a line for each promise that was not kept."""
+    """All callers; ``violations`` has a line for each promise that was not kept."""
 
-    fronts: list[str]
-    witness: TimedWitness
+    addresses: list[str]
+    checker: TimedInvariantChecker
     rng: random.Random
     jobs: dict[str, CalledJob] = field(default_factory=dict)
-    broken: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
 
     def __post_init__(self) -> None:
-        self._clients = [create_client(front, connections=8) for front in self.fronts]
+        self._clients = [
+            create_client(address, connections=8) for address in self.addresses
+        ]
 
     async def submit(self, number: int) -> None:
         """Hand one job in, until it is accepted or refused; maybe cancel it."""
@@ -73,19 +75,19 @@
                 # A try before it that got no answer may have been accepted.
                 job.refused = not unknown
             elif status not in UNKNOWN:
-                self.broken.append(f"answered {status}: {job.job_id}")
+                self.violations.append(f"answered {status}: {job.job_id}")
                 return
             await curio.sleep(PAUSE_S)
         if job.accepted_at and cancels:
             await curio.sleep(self.rng.uniform(0.0, 0.5))
             await self._cancel(job)
 
-    async def watch(self, job: CalledJob) -> bool:
+    async def poll_state(self, job: CalledJob) -> bool:
         """Ask for a job's state; tell whether it is final."""
         asked_at = time.monotonic()
         status, body = await self._call("GET", job.job_id, b"")
         if status == GONE and asked_at - job.accepted_at > VISIBLE_S + MARGIN_S:
-            self.broken.append(f"lost: {job.job_id} is answered 410")
+            self.violations.append(f"lost: {job.job_id} is answered 410")
         if status != 200:
             return False
         state = json.loads(body)["state"]
@@ -99,16 +101,16 @@
         for job in self.jobs.values():
             starts = self._list_starts(job)
             if job.refused and starts:
-                self.broken.append(f"refused and ran: {job.job_id}")
+                self.violations.append(f"refused and ran: {job.job_id}")
             if job.accepted_at and job.state not in FINAL:
-                self.broken.append(f"not finished: {job.job_id} is {job.state!r}")
+                self.violations.append(f"not finished: {job.job_id} is {job.state!r}")
             if job.state == "failed":
-                self.broken.append(f"failed without a cause: {job.job_id}")
+                self.violations.append(f"failed without a cause: {job.job_id}")
             limit = job.cancelled_at + CANCEL_S + MARGIN_S
             if job.cancelled_at and max(starts, default=0.0) > limit:
-                self.broken.append(f"started after its cancellation: {job.job_id}")
+                self.violations.append(f"started after its cancellation: {job.job_id}")
             if job.state == "completed" and len(starts) < 5:
-                self.broken.append(f"completed without all tasks: {job.job_id}")
+                self.violations.append(f"completed without all tasks: {job.job_id}")
 
     def _check_change(self, job: CalledJob, state: str) -> None:
         if job.state not in FINAL:
@@ -117,12 +119,12 @@
         lag_s = time.monotonic() - job.state_at
         if job.state == "cancelled" and lag_s < VISIBLE_S:
             return
-        self.broken.append(f"went back: {job.job_id} {job.state}, then {state}")
+        self.violations.append(f"went back: {job.job_id} {job.state}, then {state}")
 
     def _list_starts(self, job: CalledJob) -> list[float]:
         return [
             at
-            for task, at in self.witness.started_at.items()
+            for task, at in self.checker.started_at.items()
             if task.startswith(job.job_id)
         ]
 
@@ -138,7 +140,11 @@
         client: WebClient = self.rng.choice(self._clients)
         try:
             response = await client.call(
-                method, PREFIX + job_id, headers=HEADERS, body=body, timeout=BUDGET_S
+                method,
+                PREFIX + job_id,
+                headers=HEADERS,
+                body=body,
+                timeout=CALL_TIMEOUT_S,
             )
         except CallError:
             return LOST, b""
--- a/tests/soak/deployment.py
+++ b/tests/soak/deployment.py
@@ -10,9 +10,9 @@
 from curio.io import Socket
 
 from pistachiodeal.web.server import bind_listener
-from tests.harness.ports import take_port
+from tests.harness.ports import reserve_port
 from tests.harness.processes import Process
-from tests.soak.platform import RunnerServer, StoreServer, TimedWitness
+from tests.soak.platform import RunnerServer, StoreServer, TimedInvariantChecker
 from tests.standins import base
 from tests.standins.job_runner import MemoryRunner
 from tests.standins.relay import Relay
@@ -60,17 +60,21 @@
     def __init__(self, entries: int, agents: int, folder: Path, seed: int) -> None:
         self.state = RowsState()
         self.state.rng.seed(seed)
-        self.witness = TimedWitness()
+        self.checker = TimedInvariantChecker()
         self.runners = [
-            MemoryRunner(f"w{number}", self.witness, 0.4, seed + number)
+            MemoryRunner(f"w{number}", self.checker, 0.4, seed + number)
             for number in range(agents)
         ]
         for runner in self.runners:
-            runner.keeps_id = 0.5
+            runner.same_id_share = 0.5
         self._folder = folder
-        self._ports = {name: take_port() for name in ("peer", "front", "ready", "beat")}
-        self._net = 2 + seed % 200
-        self._hosts = [f"127.{self._net}.0.{1 + number}" for number in range(entries)]
+        self._ports = {
+            name: reserve_port() for name in ("peer", "front", "ready", "beat")
+        }
+        self._subnet = 2 + seed % 200
+        self._hosts = [
+            f"127.{self._subnet}.0.{1 + number}" for number in range(entries)
+        ]
         self.entries: list[Node] = []
         self.agents: list[Node] = []
         self._version = 0
@@ -81,7 +85,7 @@
         """Return all nodes."""
         return [*self.entries, *self.agents]
 
-    def list_fronts(self) -> list[str]:
+    def list_caller_addresses(self) -> list[str]:
         """Return where callers reach the entries."""
         return [f"{host}:{self._ports['front']}" for host in self._hosts]
 
@@ -110,20 +114,20 @@
 
     async def start(self) -> None:
         """Start the stand-ins and then all processes."""
-        store = await self._serve(StoreServer(self.state), base.HOST, take_port())
+        store = await self._serve(StoreServer(self.state), base.HOST, reserve_port())
         for number, host in enumerate(self._hosts):
             node = await self._build_node(
                 f"entry-{number}", ENTRY_MODULE, host, store, ""
             )
             self.entries.append(node)
         for number, runner in enumerate(self.runners):
-            host = f"127.{self._net}.1.{1 + number}"
+            host = f"127.{self._subnet}.1.{1 + number}"
             server = RunnerServer(runner, f"{host}:{self._ports['beat']}")
-            address = await self._serve(server, base.HOST, take_port())
+            address = await self._serve(server, base.HOST, reserve_port())
             node = await self._build_node(
                 f"agent-{number}", AGENT_MODULE, host, store, address
             )
-            await curio.spawn(server.beat, daemon=True)
+            await curio.spawn(server.send_heartbeats, daemon=True)
             self.agents.append(node)
         for node in self.nodes:
             node.start()
@@ -144,7 +148,7 @@
         relays = []
         for target in (store, runner):
             if target:
-                relay = Relay(target, take_port())
+                relay = Relay(target, reserve_port())
                 await relay.listen()
                 relays.append(relay)
         seen = [f"{base.HOST}:{relay.port}" for relay in relays]
--- a/tests/soak/driver.py
+++ b/tests/soak/driver.py
@@ -11,7 +11,7 @@
 
 from tests.soak.callers import CalledJob, Callers
 from tests.soak.deployment import Deployment
-from tests.soak.faults import FaultMaker
+from tests.soak.faults import FaultInjector
 
 JOB_EVERY_S = 0.12
 START_S = 2.5
@@ -29,33 +29,33 @@
     refused: int
     completed: int
     starts: int
-    broken: tuple[str, ...]
+    violations: tuple[str, ...]
     faults: tuple[str, ...]
 
 
-async def play(
+async def run_seed(
     seed: int, folder: Path, *, faults_s: float, entries: int = 3, agents: int = 4
 ) -> Result:
     """Play a seed."""
     rng = random.Random(seed)
     deployment = Deployment(entries, agents, folder, seed)
-    callers = Callers(deployment.list_fronts(), deployment.witness, rng)
-    maker = FaultMaker(deployment, random.Random(seed + 1))
+    callers = Callers(deployment.list_caller_addresses(), deployment.checker, rng)
+    injector = FaultInjector(deployment, random.Random(seed + 1))
     try:
         await deployment.start()
         await curio.sleep(START_S)
         ends_at = time.monotonic() + faults_s
         calling = await curio.spawn(_submit_jobs, callers, ends_at)
         watching = await curio.spawn(_watch_jobs, callers)
-        await maker.run(lambda: time.monotonic() > ends_at)
-        await maker.heal()
+        await injector.run(lambda: time.monotonic() > ends_at)
+        await injector.clear_all()
         await calling.join()
         await _wait_finished(callers)
         await watching.cancel()
         callers.check_end()
     finally:
         deployment.stop()
-    return _build_result(seed, callers, maker)
+    return _build_result(seed, callers, injector)
 
 
 async def _submit_jobs(callers: Callers, ends_at: float) -> None:
@@ -71,7 +71,7 @@
     while True:
         for job in list(callers.jobs.values()):
             if job.accepted_at:
-                await callers.watch(job)
+                await callers.poll_state(job)
         await curio.sleep(WATCH_PAUSE_S)
 
 
@@ -81,7 +81,7 @@
     while left and time.monotonic() < until:
         await curio.sleep(WATCH_PAUSE_S)
         for job in left:
-            await callers.watch(job)
+            await callers.poll_state(job)
         left = _list_open(callers)
 
 
@@ -93,14 +93,14 @@
     ]
 
 
-def _build_result(seed: int, callers: Callers, maker: FaultMaker) -> Result:
+def _build_result(seed: int, callers: Callers, injector: FaultInjector) -> Result:
     jobs = callers.jobs.values()
     return Result(
         seed,
         sum(1 for job in jobs if job.accepted_at),
         sum(1 for job in jobs if job.refused),
         sum(1 for job in jobs if job.state == "completed"),
-        sum(history.starts for history in callers.witness.tasks.values()),
-        (*callers.broken, *callers.witness.broken),
-        tuple(maker.log),
+        sum(history.starts for history in callers.checker.tasks.values()),
+        (*callers.violations, *callers.checker.violations),
+        tuple(injector.log),
     )
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -13,7 +13,7 @@
 
 Fault = Callable[[], Awaitable[None]]
 
-LONGEST_S = 4.0
+MAX_FAULT_S = 4.0
 RESTART_S = 0.6
 STORE_MODES = ("silent", "cut", "refuse")
 # A runner listens on its agent's own VM, so only its end refuses connections; a runner
@@ -21,7 +21,7 @@
 RUNNER_MODES = ("silent", "cut")
 
 
-class FaultMaker:
+class FaultInjector:
     """Makes one fault at a time of one kind; kinds overlap."""
 
     def __init__(self, deployment: Deployment, rng: random.Random) -> None:
@@ -38,7 +38,7 @@
                 await group.spawn(fault)
                 await curio.sleep(self._rng.uniform(0.1, 1.5))
 
-    async def heal(self) -> None:
+    async def clear_all(self) -> None:
         """End everything that goes on, and start what is down."""
         state = self._deployment.state
         state.faults = StoreFaults()
@@ -55,9 +55,9 @@
             self._kill,
             self._freeze,
             self._terminate,
-            self._disturb_store,
-            self._disturb_link,
-            self._disturb_runner,
+            self._fault_store,
+            self._fault_link,
+            self._fault_runner,
             self._crash_runner,
             self._change_configuration,
         ]
@@ -70,9 +70,9 @@
         ]
         return self._rng.choice(free) if free else None
 
-    async def _hold(self, name: str, what: str) -> None:
+    async def _sustain(self, name: str, what: str) -> None:
         """Let a fault last."""
-        for_s = self._rng.uniform(0.3, LONGEST_S)
+        for_s = self._rng.uniform(0.3, MAX_FAULT_S)
         self.log.append(f"{what} {name} {for_s:.1f} s")
         await curio.sleep(for_s)
 
@@ -93,7 +93,7 @@
             return
         self._busy.add(node.name)
         node.process.freeze()
-        await self._hold(node.name, "freeze")
+        await self._sustain(node.name, "freeze")
         node.process.thaw()
         self._busy.discard(node.name)
 
@@ -109,7 +109,7 @@
         node.start()
         self._busy.discard(node.name)
 
-    async def _disturb_store(self) -> None:
+    async def _fault_store(self) -> None:
         if "store" in self._busy:
             return
         self._busy.add("store")
@@ -125,11 +125,11 @@
         self._deployment.state.faults = faults
         if self._rng.random() < 0.3:
             self._deployment.state.drop_history()
-        await self._hold("store", kind)
+        await self._sustain("store", kind)
         self._deployment.state.faults = StoreFaults()
         self._busy.discard("store")
 
-    async def _disturb_link(self) -> None:
+    async def _fault_link(self) -> None:
         node = self._rng.choice(self._deployment.nodes)
         relay = self._rng.choice(node.relays)
         name = f"relay {relay.port}"
@@ -139,18 +139,18 @@
         modes = STORE_MODES if relay is node.relays[0] else RUNNER_MODES
         mode = self._rng.choice(modes)
         await relay.set_mode(mode, existing_only=self._rng.random() < 0.5)
-        await self._hold(f"{node.name} {name}", mode)
+        await self._sustain(f"{node.name} {name}", mode)
         await relay.set_mode("pass", existing_only=False)
         self._busy.discard(name)
 
-    async def _disturb_runner(self) -> None:
+    async def _fault_runner(self) -> None:
         runner = self._rng.choice(self._deployment.runners)
         if runner.worker in self._busy:
             return
         runner.faults = self._rng.choice(
             [RunnerFaults(late=0.3, late_s=2.0), RunnerFaults(lost=0.3)]
         )
-        await self._hold(runner.worker, "orders late or lost")
+        await self._sustain(runner.worker, "orders late or lost")
         runner.faults = RunnerFaults()
 
     async def _crash_runner(self) -> None:
--- a/tests/soak/platform.py
+++ b/tests/soak/platform.py
@@ -23,12 +23,12 @@
 )
 from pistachiodeal.web.client import CallError, create_client
 from tests.standins import base
-from tests.standins.job_runner import MemoryRunner, Witness
+from tests.standins.job_runner import InvariantChecker, MemoryRunner
 from tests.standins.rows import MemoryRows, RowsState
 
-BEAT_S = 0.3
-BEAT_TIMEOUT_S = 1.0
-ROOM = {"cpu": 16_000, "mem_mb": 64_000, "gpu": 0}
+HEARTBEAT_S = 0.3
+HEARTBEAT_TIMEOUT_S = 1.0
+CAPACITY = {"cpu": 16_000, "mem_mb": 64_000, "gpu": 0}
 REASONS = {
     CallResult.FENCED: "fence",
     CallResult.SUPERSEDED: "old",
@@ -38,14 +38,14 @@
 
 
 @dataclass
-class TimedWitness(Witness):
+class TimedInvariantChecker(InvariantChecker):
     """A witness that also knows when each task was started last."""
 
     started_at: dict[str, float] = field(default_factory=dict)
 
-    def see_start(self, task: str, run: int, worker: str) -> None:
+    def record_start(self, task: str, run: int, worker: str) -> None:
         """Note that a runner began a run."""
-        super().see_start(task, run, worker)
+        super().record_start(task, run, worker)
         self.started_at[task] = time.monotonic()
 
 
@@ -160,10 +160,10 @@
         percent = document["percent"]
         return self._answer(await self.runner.pace(worker, token, task, run, percent))
 
-    async def beat(self) -> None:
+    async def send_heartbeats(self) -> None:
         """Send heartbeats for ever."""
         while True:
-            beat = self.runner.build_beat()
+            beat = self.runner.build_heartbeat()
             runner_id = get_runner(beat.worker)
             document = {
                 "born": _read_born(beat.worker),
@@ -172,7 +172,7 @@
                 "state": "draining" if beat.draining else "ready",
                 "remaining_ms": beat.leaving_ms,
                 "seq": beat.sequence,
-                "capacity": ROOM,
+                "capacity": CAPACITY,
                 "labels": list(beat.labels),
             }
             try:
@@ -181,12 +181,12 @@
                     f"/api/Instances.Heartbeat/{runner_id}",
                     headers=(("content-type", "application/json"),),
                     body=json.dumps(document).encode(),
-                    timeout=BEAT_TIMEOUT_S,
+                    timeout=HEARTBEAT_TIMEOUT_S,
                 )
             except CallError:
                 # An agent that is down or stopped hears the next one.
                 await self._agent.close()
-            await curio.sleep(BEAT_S)
+            await curio.sleep(HEARTBEAT_S)
 
     async def _hold_lease(self, worker: str, document: dict[str, Any]) -> base.Answer:
         listing = await self.runner.renew(
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -5,7 +5,7 @@
 import curio
 import pytest
 
-from tests.soak.driver import play
+from tests.soak.driver import run_seed
 
 FAULTS_S = 6.0
 
@@ -24,6 +24,6 @@
 @pytest.mark.parametrize("seed", FAILED_SEEDS)
 def test_no_promise_is_broken(seed, tmp_path):
     """Real programs under kills, freezes, cuts, and a store and runners that fail."""
-    result = curio.run(lambda: play(seed, tmp_path, faults_s=FAULTS_S))
-    assert result.broken == (), (result.broken, result.faults)
+    result = curio.run(lambda: run_seed(seed, tmp_path, faults_s=FAULTS_S))
+    assert result.violations == (), (result.violations, result.faults)
     assert result.completed > 0
--- a/tests/standins/base.py
+++ b/tests/standins/base.py
@@ -114,7 +114,7 @@
         self.faults = Faults()
         self.record = record or Record()
         self._held: Counter[str] = Counter()
-        self._spoilt: Counter[str] = Counter()
+        self._faulted: Counter[str] = Counter()
 
     def operation(self, call: Call) -> str:
         """Return the name by which faults may be limited to a call."""
@@ -137,7 +137,7 @@
         if call.path == "/record":
             shown = {
                 "held": sum(self._held.values()),
-                "met": self._held + self._spoilt,
+                "met": self._held + self._faulted,
                 **self.build_record(),
             }
             return answer_json(shown)
@@ -150,29 +150,29 @@
     async def _answer_faulty(self, call: Call) -> Answer:
         operation = self.operation(call)
         faults = self.faults
-        await self._hold(operation, "frozen")
-        if faults.slow_s > 0 and self._hit_by_faults(operation):
+        await self._hold_while(operation, "frozen")
+        if faults.slow_s > 0 and self._is_affected(operation):
             await curio.sleep(faults.slow_s)
-        if faults.down and self._hit_by_faults(operation):
-            self._spoilt[operation] += 1
+        if faults.down and self._is_affected(operation):
+            self._faulted[operation] += 1
             return answer_error(503, "down")
         answer = await self.handle(operation, call)
-        await self._hold(operation, "mute")
+        await self._hold_while(operation, "mute")
         can_lose = self.lossy is None or operation.partition("/")[0] in self.lossy
-        if faults.lose_answers > 0 and can_lose and self._hit_by_faults(operation):
+        if faults.lose_answers > 0 and can_lose and self._is_affected(operation):
             faults.lose_answers -= 1
-            self._spoilt[operation] += 1
+            self._faulted[operation] += 1
             raise AnswerLostError
         return answer
 
-    async def _hold(self, operation: str, switch: str) -> None:
+    async def _hold_while(self, operation: str, switch: str) -> None:
         """Keep a call while a switch is on; a call whose sender died stays, too."""
         self._held[operation] += 1
-        while getattr(self.faults, switch) and self._hit_by_faults(operation):
+        while getattr(self.faults, switch) and self._is_affected(operation):
             await curio.sleep(UNFREEZE_POLL_S)
         self._held[operation] -= 1
 
-    def _hit_by_faults(self, operation: str) -> bool:
+    def _is_affected(self, operation: str) -> bool:
         return not self.faults.only or operation.startswith(tuple(self.faults.only))
 
 
@@ -215,8 +215,10 @@
         event = connection.next_event()
         if event is h11.NEED_DATA:
             if connection.they_are_waiting_for_100_continue:
-                go_on = h11.InformationalResponse(status_code=100, headers=[])
-                await sock.sendall(connection.send(go_on))
+                continue_response = h11.InformationalResponse(
+                    status_code=100, headers=[]
+                )
+                await sock.sendall(connection.send(continue_response))
             connection.receive_data(await sock.recv(CHUNK))
         elif isinstance(event, h11.Request):
             head = event
@@ -277,7 +279,7 @@
     await serve(stand_in, open_port(port))
 
 
-def count_from(start: int = 1) -> Callable[[], int]:
+def create_counter(start: int = 1) -> Callable[[], int]:
     """Return a function that counts up."""
     return itertools.count(start).__next__
 
--- a/tests/standins/job_cluster.py
+++ b/tests/standins/job_cluster.py
@@ -37,13 +37,13 @@
 from pistachiodeal.platform.closures import CLOSURE_PREFIX, CLOSURES_TABLE
 from pistachiodeal.store.row_store import RowWrite, Transaction
 from pistachiodeal.wire.identity import AGENT_ROLE, ENTRY_ROLE, Identity
-from tests.harness.ports import take_port
-from tests.standins.job_runner import MemoryRunner, Witness
+from tests.harness.ports import reserve_port
+from tests.standins.job_runner import InvariantChecker, MemoryRunner
 from tests.standins.rows import MemoryRows, RowsState
 
 QUEUE = Queue("q", "host", "/q/", "svc", 0, 4, 2.0, 1.0)
 SECRET = "secret"
-BEAT_S = 0.1
+HEARTBEAT_S = 0.1
 
 
 def build_job(number: int, *, count: int = 3, steps: int = 2) -> Job:
@@ -81,16 +81,16 @@
         self.state = state
         self.addresses = addresses
         self.address = addresses[int(name)]
-        self.lives = 0
+        self.incarnation = 0
         self.fitness = 1.0
 
     async def boot(self) -> None:
         """Start a new life."""
-        self.lives += 1
+        self.incarnation += 1
         self.store = MemoryRows(self.state)
         self.events = events = create_quiet_log()
         peers = PeerContext(
-            Identity(ENTRY_ROLE, f"entry-{self.name}", self.lives, "dc"),
+            Identity(ENTRY_ROLE, f"entry-{self.name}", self.incarnation, "dc"),
             self.address,
             SECRET,
             Directory(tuple(self.addresses)),
@@ -141,11 +141,11 @@
         self.state = state
         self.addresses = addresses
         self.runner = runner
-        self.lives = 0
+        self.incarnation = 0
 
     async def boot(self) -> None:
         """Start a new life; the runner goes on by itself."""
-        self.lives += 1
+        self.incarnation += 1
         events = create_quiet_log()
         signals = AgentSignals()
         self.ledger = AgentLedger(events)
@@ -153,7 +153,9 @@
         renewal = Renewal(self.ledger, self.runner, paces, events, signals)
         executor = Executor(self.ledger, self.runner, events, signals)
         peers = PeerContext(
-            Identity(AGENT_ROLE, f"node-{self.name}", self.lives, self.data_centre),
+            Identity(
+                AGENT_ROLE, f"node-{self.name}", self.incarnation, self.data_centre
+            ),
             "",
             SECRET,
             Directory(tuple(self.addresses)),
@@ -161,13 +163,15 @@
         )
         link = LeaderLink(MemoryRows(self.state), peers, self.ledger, executor, signals)
         self.heartbeats = Heartbeats(self.ledger, renewal, events, signals.report)
-        await self.start(renewal.run, renewal.run_looks, link.run, self._beat)
+        await self.start(
+            renewal.run, renewal.run_looks, link.run, self._send_heartbeats
+        )
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
             if not self.runner.down:
-                await self.heartbeats.take(self.runner.build_beat())
-            await curio.sleep(BEAT_S)
+                await self.heartbeats.take(self.runner.build_heartbeat())
+            await curio.sleep(HEARTBEAT_S)
 
 
 @dataclass
@@ -175,7 +179,7 @@
     """All processes, and the witness."""
 
     state: RowsState
-    witness: Witness
+    checker: InvariantChecker
     entries: list[EntryProcess]
     agents: list[AgentProcess]
 
@@ -195,7 +199,7 @@
         """Take the closing of a data centre back."""
         close_data_centre(self.state, data_centre, value=None)
 
-    async def fail_first(self, jobs: list[Job], timeout: float) -> None:
+    async def submit_and_fail_first(self, jobs: list[Job], timeout: float) -> None:
         """Hand jobs in; wait until the first has failed and the others are done."""
         for job in jobs:
             await self.entries[0].submit(job)
@@ -235,19 +239,19 @@
     *, entries: int = 2, agents: int = 2, work_s: float = 0.2, seed: int = 1
 ) -> AsyncIterator[JobCluster]:
     """Run a cluster until the end of the block."""
-    state, witness = RowsState(), Witness()
+    state, checker = RowsState(), InvariantChecker()
     state.rng.seed(seed)
-    addresses = [f"127.0.0.1:{take_port()}" for _ in range(entries)]
+    addresses = [f"127.0.0.1:{reserve_port()}" for _ in range(entries)]
     cluster = JobCluster(
         state,
-        witness,
+        checker,
         [EntryProcess(str(number), state, addresses) for number in range(entries)],
         [
             AgentProcess(
                 str(number),
                 state,
                 addresses,
-                MemoryRunner(f"w{number}", witness, work_s, seed + number),
+                MemoryRunner(f"w{number}", checker, work_s, seed + number),
             )
             for number in range(agents)
         ],
--- a/tests/standins/paced_fleet.py
+++ b/tests/standins/paced_fleet.py
@@ -24,45 +24,45 @@
 from pistachiodeal.scheduling.views import WorkerView
 from tests.standins.paced_worker import (
     AIM_MS,
-    IDLE_STRAIN,
-    LISTED_S,
+    IDLE_LATENCY_RATIO,
+    LISTING_INTERVAL_S,
+    LOAD_PERIOD_S,
     STEP_S,
-    SWING_S,
     PacedWorker,
     PaceFaults,
-    Serving,
+    ServingTask,
 )
 
 FILLING_IMAGES = 18
 SERVING_IMAGES = 3
 # Tasks that save nothing and are far on are left where they are.
-STAY_SHARE = 0.15
-BROKEN_S = 6.0
+PINNED_SHARE = 0.15
+SLOWDOWN_S = 6.0
 
 
 @dataclass(frozen=True, slots=True)
-class Trouble:
+class FleetFaults:
     """What goes wrong on each worker.
 
     :param late: share of the paces that come into force late, without an answer.
     :param lost: share of the paces that get no answer and never come into force.
-    :param broken: how often a second a serving task turns slow by itself.
-    :param restarts: how often a second the agent starts anew.
+    :param slowdowns: how often a second a serving task turns slow by itself.
+    :param agent_restarts: how often a second the agent starts anew.
     """
 
     late: float = 0.0
     lost: float = 0.0
-    broken: float = 0.0
-    restarts: float = 0.0
+    slowdowns: float = 0.0
+    agent_restarts: float = 0.0
 
 
-NO_TROUBLE = Trouble()
+NO_FAULTS = FleetFaults()
 
 
 class PacedFleet:
     """Workers that learn from each other, and filling work that finds its way there.
 
-    :param believed: what is believed of pairs for good; learnt where it is left out.
+    :param estimates: what is believed of pairs for good; learnt where it is left out.
     """
 
     def __init__(
@@ -71,22 +71,22 @@
         *,
         workers: int = 6,
         interference_s: float = 4.0,
-        believed: dict[Pair, float] | None = None,
+        estimates: dict[Pair, float] | None = None,
         loads: dict[Pair, float] | None = None,
-        trouble: Trouble = NO_TROUBLE,
+        faults: FleetFaults = NO_FAULTS,
     ) -> None:
         self.rng = random.Random(seed)
         self.loads = loads or draw_loads(self.rng)
         self.model = InterferenceModel()
         self.now = 100.0
-        self._trouble = trouble
-        self._learns = believed is None
+        self._faults = faults
+        self._learns = estimates is None
         self._images = sorted({filling for filling, _ in self.loads})
-        if believed is not None:
+        if estimates is not None:
             self.model.adopt(
-                Lesson(*pair, press, 0.04) for pair, press in believed.items()
+                Lesson(*pair, press, 0.04) for pair, press in estimates.items()
             )
-        swings = [self.rng.uniform(0, SWING_S) for _ in range(SERVING_IMAGES)]
+        offsets = [self.rng.uniform(0, LOAD_PERIOD_S) for _ in range(SERVING_IMAGES)]
         self.workers = []
         for _ in range(workers):
             usual = self.rng.randrange(SERVING_IMAGES)
@@ -94,43 +94,43 @@
             for _ in range(self.rng.randint(2, 4)):
                 other = self.rng.randrange(SERVING_IMAGES)
                 image = usual if self.rng.random() < 0.8 else other
-                servings.append(Serving(f"i{image}", swings[image]))
+                servings.append(ServingTask(f"i{image}", offsets[image]))
             worker = PacedWorker(servings, self.loads, self.rng, interference_s)
-            worker.next_listing = self.now + self.rng.uniform(0, LISTED_S)
-            worker.faults = PaceFaults(late=trouble.late, lost=trouble.lost)
+            worker.next_listing = self.now + self.rng.uniform(0, LISTING_INTERVAL_S)
+            worker.faults = PaceFaults(late=faults.late, lost=faults.lost)
             self.workers.append(worker)
 
     @property
-    def longest_s(self) -> float:
+    def longest_over_s(self) -> float:
         """Return the longest time for which neighbours kept a task over its aim."""
         return max(
-            serving.longest_s
+            serving.longest_over_s
             for worker in self.workers
             for serving in worker.servings.values()
         )
 
     @property
-    def over(self) -> float:
+    def over_share(self) -> float:
         """Return the share of time that serving tasks were over by others' doing."""
         whole = sum(worker.time_s for worker in self.workers)
         return sum(worker.over_s for worker in self.workers) / whole
 
     @property
-    def done(self) -> float:
+    def work_done(self) -> float:
         """Return the filling work done, in tasks at full speed for each worker."""
         whole = sum(worker.time_s for worker in self.workers)
         return sum(worker.done_s for worker in self.workers) / whole
 
-    async def play(self, length_s: float, *, most: int = 6) -> None:
+    async def simulate(self, length_s: float, *, max_fillings: int = 6) -> None:
         """Let time pass.
 
-        :param most: filling tasks on a worker at a time.
+        :param max_fillings: filling tasks on a worker at a time.
         """
         until = self.now + length_s
         while self.now < until:
             self.now += STEP_S
             for worker in self.workers:
-                self._disturb(worker)
+                self._inject_faults(worker)
                 worker.advance(self.now)
                 if self.now < worker.next_listing:
                     continue
@@ -138,44 +138,50 @@
                 mix = worker.measure_mix()
                 if self._learns:
                     self._learn(worker, mix)
-                self._place(worker, mix, most)
-                self._tell(worker)
+                self._place(worker, mix, max_fillings)
+                self._send_interference(worker)
 
-    def _disturb(self, worker: PacedWorker) -> None:
-        if self.rng.random() < self._trouble.broken * STEP_S:
+    def _inject_faults(self, worker: PacedWorker) -> None:
+        if self.rng.random() < self._faults.slowdowns * STEP_S:
             serving = self.rng.choice(list(worker.servings.values()))
-            serving.broken_until = self.now + BROKEN_S
-        if self.rng.random() < self._trouble.restarts * STEP_S:
+            serving.slow_until = self.now + SLOWDOWN_S
+        if self.rng.random() < self._faults.agent_restarts * STEP_S:
             worker.restart_agent(self.now)
 
     def _learn(self, worker: PacedWorker, mix: dict[str, float]) -> None:
         for task, serving in worker.servings.items():
-            strain = worker.ledger.running[task, 1].figure / AIM_MS
+            latency_ratio = worker.ledger.running[task, 1].figure / AIM_MS
             described = (task, 1) in worker.ledger.described
-            if strain < FIRST_STRAIN or not described:
+            if latency_ratio < FIRST_STRAIN or not described:
                 continue
             # Each image is one step here, so its tasks are siblings.
             name = f"{id(worker)}.{task}"
             step = (serving.image, 0, 0)
             self.model.observe(
-                ServingSample(step, name, serving.image, strain, dict(mix), self.now)
+                ServingSample(
+                    step, name, serving.image, latency_ratio, dict(mix), self.now
+                )
             )
 
-    def _tell(self, worker: PacedWorker) -> None:
+    def _send_interference(self, worker: PacedWorker) -> None:
         for serving in {one.image for one in worker.servings.values()}:
             for filling in {one.image for one in worker.fillings.values()}:
                 press = self.model.get_press(filling, serving)
                 worker.ledger.presses[filling, serving] = press
 
-    def _place(self, worker: PacedWorker, mix: dict[str, float], most: int) -> None:
-        while len(worker.fillings) < most:
+    def _place(
+        self, worker: PacedWorker, mix: dict[str, float], max_fillings: int
+    ) -> None:
+        while len(worker.fillings) < max_fillings:
             image = self.rng.choice(self._images)
             step = Step(1, Resources(0, 1_000, 0), 4.0, image=image, fills=True)
             view = self._build_view(worker, mix)
             if choose_worker(Request(step, ("job", 0, 0)), [view], self.model) is None:
                 return
-            stays = self.rng.random() < STAY_SHARE
-            worker.begin(image, self.rng.uniform(1.5, 7.0), self.now, stays=stays)
+            pinned = self.rng.random() < PINNED_SHARE
+            worker.start_filling(
+                image, self.rng.uniform(1.5, 7.0), self.now, pinned=pinned
+            )
 
     def _build_view(self, worker: PacedWorker, mix: dict[str, float]) -> WorkerView:
         room = Resources(64_000, 64_000, 0)
@@ -183,8 +189,10 @@
         view.serving = dict(Counter(one.image for one in worker.servings.values()))
         view.filling = dict(Counter(one.image for one in worker.fillings.values()))
         for task, serving in worker.servings.items():
-            strain = worker.ledger.running[task, 1].figure / AIM_MS
-            alone = 1 / max(strain, 0.2) + self.model.weigh((serving.image,), mix)
+            latency_ratio = worker.ledger.running[task, 1].figure / AIM_MS
+            alone = 1 / max(latency_ratio, 0.2) + self.model.weigh(
+                (serving.image,), mix
+            )
             known = view.alone.get(serving.image, alone)
             view.alone[serving.image] = min(alone, known)
         return view
@@ -204,7 +212,7 @@
     return loads
 
 
-def draw_beliefs(
+def draw_estimates(
     loads: dict[Pair, float], rng: random.Random, wrong: float
 ) -> dict[Pair, float]:
     """Return presses as they are believed, some of them harmless by mistake.
@@ -213,6 +221,6 @@
     """
     beliefs = {}
     for pair, load in loads.items():
-        press = load / IDLE_STRAIN * rng.uniform(0.7, 1.3)
+        press = load / IDLE_LATENCY_RATIO * rng.uniform(0.7, 1.3)
         beliefs[pair] = 0.0 if rng.random() < wrong else press
     return beliefs
--- a/tests/standins/paced_hunt.py
+++ b/tests/standins/paced_hunt.py
@@ -12,9 +12,9 @@
 import curio
 
 from tests.standins.paced_fleet import (
+    FleetFaults,
     PacedFleet,
-    Trouble,
-    draw_beliefs,
+    draw_estimates,
     draw_loads,
 )
 
@@ -28,18 +28,18 @@
     interference_s = rng.choice(INTERFERENCE_S)
     wrong = rng.choice(WRONG_BELIEFS)
     loads = draw_loads(rng, rng.uniform(0.2, 0.8))
-    trouble = Trouble(
+    faults = FleetFaults(
         late=rng.choice((0.0, 0.05)),
         lost=rng.choice((0.0, 0.05)),
-        broken=rng.choice((0.0, 0.02)),
-        restarts=rng.choice((0.0, 0.02)),
+        slowdowns=rng.choice((0.0, 0.02)),
+        agent_restarts=rng.choice((0.0, 0.02)),
     )
     fleet = PacedFleet(
         seed,
         loads=loads,
-        believed=None if wrong is None else draw_beliefs(loads, rng, wrong),
+        estimates=None if wrong is None else draw_estimates(loads, rng, wrong),
         interference_s=interference_s,
-        trouble=trouble,
+        faults=faults,
     )
     return fleet, interference_s
 
@@ -54,14 +54,14 @@
     failed = 0
     for seed in range(options.first, options.first + options.seeds):
         fleet, interference_s = build_fleet(seed)
-        curio.run(fleet.play, options.seconds)
-        broken = fleet.longest_s >= interference_s
-        failed += broken
+        curio.run(fleet.simulate, options.seconds)
+        exceeded = fleet.longest_over_s >= interference_s
+        failed += exceeded
         print(
-            f"seed {seed}: over the aim for {fleet.longest_s:.2f} s of "
-            f"{interference_s} s allowed, {fleet.over:.4f} of the time; "
-            f"{fleet.done:.2f} tasks of filling work a worker"
-            + (", broken" if broken else ""),
+            f"seed {seed}: over the aim for {fleet.longest_over_s:.2f} s of "
+            f"{interference_s} s allowed, {fleet.over_share:.4f} of the time; "
+            f"{fleet.work_done:.2f} tasks of filling work a worker"
+            + (", broken" if exceeded else ""),
             flush=True,
         )
     sys.exit(1 if failed else 0)
--- a/tests/standins/paced_worker.py
+++ b/tests/standins/paced_worker.py
@@ -22,85 +22,85 @@
 from tests.standins.job_cluster import create_quiet_log
 
 STEP_S = 0.02
-LISTED_S = 0.4
-LISTED_JITTER_S = 0.05
+LISTING_INTERVAL_S = 0.4
+LISTING_JITTER_S = 0.05
 # An agent looks at its runner as soon as a start is answered.
-LOOK_S = 0.02
+FIRST_LISTING_S = 0.02
 PACE_DELAY_S = 0.1
-FOLLOW_S = 0.5
+SMOOTHING_S = 0.5
 # A figure of processor time in use is this old.
 USE_LAG_S = 0.3
 AIM_MS = 50
 # A tail grows as this part of the aim over what the load leaves; it stays within most.
-IDLE_STRAIN = 0.2
-LEAST_LEFT = 0.02
-LOAD = 0.45
-SWING = 0.6
-SWING_S = 14.0
-FIGURE_OFF = 0.08
+IDLE_LATENCY_RATIO = 0.2
+MIN_HEADROOM = 0.02
+MEAN_LOAD = 0.45
+LOAD_AMPLITUDE = 0.6
+LOAD_PERIOD_S = 14.0
+FIGURE_ERROR = 0.08
 # Phases of filling tasks: share of the processor time they ask for, and how much of
 # their load on neighbours is left in it.
 PHASES = ((2 / 3, 0.4), (1.0, 1.0))
-HELD_BACK_MILLI = 250
-HELD_BACK_S = 1.0
+STALLED_MILLI = 250
+STALLED_S = 1.0
 STOP_S = 0.6
 # A new agent hears of the runs on its worker, and for how long after its start the
 # promise is not asked of it.
-DESCRIBED_S = 1.0
-EXCUSED_S = 4.0
+RUN_SPECS_DELAY_S = 1.0
+RESTART_GRACE_S = 4.0
 
 
 @dataclass(slots=True)
-class Filling:
+class FillingTask:
     """A filling task at work.
 
-    :ivar stays: whether the leader leaves it there although it hardly works.
+    :ivar pinned: whether the leader leaves it there although it hardly works.
     :ivar percent: its pace, as the runner has it.
     :ivar due: paces that will be in force, with the time from which on.
     :ivar used_milli: its processor time in use, as the runner would list it.
-    :ivar using: what it has used lately, with the times.
-    :ivar slow_since: since when it hardly works, as far as its agent knows.
+    :ivar usage_history: what it has used lately, with the times.
+    :ivar stalled_since: since when it hardly works, as far as its agent knows.
     """
 
     image: str
     cpu_milli: int
-    left_s: float
-    stays: bool = False
+    remaining_s: float
+    pinned: bool = False
     percent: int = 100
     due: list[tuple[float, int]] = field(default_factory=list)
     phase: tuple[float, float] = PHASES[1]
     phase_until: float = 0.0
     used_milli: float = 0.0
-    using: deque[tuple[float, float]] = field(default_factory=deque)
-    slow_since: float = 0.0
+    usage_history: deque[tuple[float, float]] = field(default_factory=deque)
+    stalled_since: float = 0.0
     ends_at: float = math.inf
 
     @property
-    def effort(self) -> float:
+    def intensity(self) -> float:
         """Return the share of its image's load that it puts on neighbours."""
         return self.percent / 100 * self.phase[1]
 
 
 @dataclass(slots=True)
-class Serving:
+class ServingTask:
     """A serving task.
 
     :ivar load: its own load in the mean, and by how much of that it swings.
     :ivar figure: what the runner would list, without noise, as a share of the aim.
-    :ivar broken_until: until when it is slow by itself.
-    :ivar harmed_s: how long its neighbours have kept it over its aim by now.
-    :ivar longest_s: the longest such time.
+    :ivar slow_until: until when it is slow by itself.
+    :ivar current_over_s: how long its neighbours have kept it over its aim by now.
+    :ivar longest_over_s: the longest such time.
     """
 
     image: str
-    swing_at: float
-    load: float = LOAD
-    swing: float = SWING
+    load_offset_s: float
+    load: float = MEAN_LOAD
+    load_amplitude: float = LOAD_AMPLITUDE
     figure: float = 0.3
-    broken_until: float = 0.0
-    harmed_s: float = 0.0
-    longest_s: float = 0.0
-    longest_at: float = 0.0
+    slow_until: float = 0.0
+    current_over_s: float = 0.0
+    longest_over_s: float = 0.0
+    longest_over_at: float = 0.0
 
 
 @dataclass(slots=True)
@@ -125,31 +125,31 @@
 
     def __init__(
         self,
-        servings: list[Serving],
+        servings: list[ServingTask],
         loads: dict[Pair, float],
         rng: random.Random,
         interference_s: float,
     ) -> None:
         self.servings = {f"s{number}": one for number, one in enumerate(servings)}
-        self.fillings: dict[str, Filling] = {}
+        self.fillings: dict[str, FillingTask] = {}
         self.faults = PaceFaults()
         self.next_listing = 0.0
         self.done_s = self.over_s = self.time_s = 0.0
         self._loads = loads
         self._rng = rng
         self._interference_s = interference_s
-        self._begun = 0
+        self._started_count = 0
         self._now = 0.0
-        self._excused_until = 0.0
-        self._described_at = 0.0
-        self._boot()
-        self._describe()
+        self._grace_until = 0.0
+        self._run_specs_due_at = 0.0
+        self._start_agent()
+        self._send_run_specs()
 
     def restart_agent(self, now: float) -> None:
         """Begin a new life of the agent, which has to learn everything again."""
-        self._boot()
-        self._described_at = now + DESCRIBED_S
-        self._excused_until = now + EXCUSED_S
+        self._start_agent()
+        self._run_specs_due_at = now + RUN_SPECS_DELAY_S
+        self._grace_until = now + RESTART_GRACE_S
 
     async def pace(
         self, worker: str, token: int, task: str, run: int, percent: int
@@ -158,29 +158,29 @@
         filling = self.fillings.get(task)
         if filling is None:
             return CallResult.SUPERSEDED
-        dice = self._rng.random()
-        if dice < self.faults.lost:
+        draw = self._rng.random()
+        if draw < self.faults.lost:
             return CallResult.UNKNOWN
-        late = dice < self.faults.lost + self.faults.late
+        late = draw < self.faults.lost + self.faults.late
         delay_s = self.faults.late_s if late else PACE_DELAY_S
         filling.due.append((self._now + delay_s, percent))
         filling.due.sort(key=lambda entry: entry[0])
         return CallResult.UNKNOWN if late else CallResult.DONE
 
-    def begin(
-        self, image: str, work_s: float, now: float, *, stays: bool = False
-    ) -> Filling:
+    def start_filling(
+        self, image: str, work_s: float, now: float, *, pinned: bool = False
+    ) -> FillingTask:
         """Start a filling task, as its agent does."""
-        self._begun += 1
-        task = f"f{self._begun}"
+        self._started_count += 1
+        task = f"f{self._started_count}"
         cpu_milli = self._rng.randrange(1_200, 2_600)
-        filling = Filling(image, cpu_milli, work_s, stays, slow_since=now)
+        filling = FillingTask(image, cpu_milli, work_s, pinned, stalled_since=now)
         self.fillings[task] = filling
         self.ledger.described[task, 1] = build_order(task, filling)
         self.ledger.orders[task, 1] = Order(
             task, 1, settled_at=now, sent=True, started=True
         )
-        self.next_listing = min(self.next_listing, now + LOOK_S)
+        self.next_listing = min(self.next_listing, now + FIRST_LISTING_S)
         return filling
 
     def advance(self, now: float) -> None:
@@ -189,42 +189,45 @@
         self.time_s += STEP_S
         for task, filling in list(self.fillings.items()):
             self._advance_filling(filling, now)
-            self._move_away(task, filling, now)
-            if filling.left_s <= 0 or now >= filling.ends_at:
+            self._evict_stalled(task, filling, now)
+            if filling.remaining_s <= 0 or now >= filling.ends_at:
                 del self.fillings[task]
         working = any(one.percent for one in self.fillings.values())
         for serving in self.servings.values():
-            strain = self.compute_strain(serving, now)
-            part = 1 - math.exp(-STEP_S / FOLLOW_S)
-            serving.figure += (strain - serving.figure) * part
-            harmed = working and strain > 1.0 and now >= serving.broken_until
+            latency_ratio = self.compute_latency_ratio(serving, now)
+            part = 1 - math.exp(-STEP_S / SMOOTHING_S)
+            serving.figure += (latency_ratio - serving.figure) * part
+            harmed = working and latency_ratio > 1.0 and now >= serving.slow_until
             self.over_s += STEP_S * harmed / len(self.servings)
-            harmed = harmed and now >= self._excused_until
-            serving.harmed_s = serving.harmed_s + STEP_S if harmed else 0.0
-            if serving.harmed_s > serving.longest_s:
-                serving.longest_s, serving.longest_at = serving.harmed_s, now
-
-    def compute_strain(self, serving: Serving, now: float) -> float:
+            harmed = harmed and now >= self._grace_until
+            serving.current_over_s = serving.current_over_s + STEP_S if harmed else 0.0
+            if serving.current_over_s > serving.longest_over_s:
+                serving.longest_over_s, serving.longest_over_at = (
+                    serving.current_over_s,
+                    now,
+                )
+
+    def compute_latency_ratio(self, serving: ServingTask, now: float) -> float:
         """Return a tail as a share of its aim."""
-        if now < serving.broken_until:
-            return 1 / LEAST_LEFT
-        angle = 2 * math.pi * (now + serving.swing_at) / SWING_S
-        load = serving.load * (1 + serving.swing * math.sin(angle))
+        if now < serving.slow_until:
+            return 1 / MIN_HEADROOM
+        angle = 2 * math.pi * (now + serving.load_offset_s) / LOAD_PERIOD_S
+        load = serving.load * (1 + serving.load_amplitude * math.sin(angle))
         for one in self.fillings.values():
-            load += self._loads[one.image, serving.image] * one.effort
-        return IDLE_STRAIN / max(LEAST_LEFT, 1 - load)
+            load += self._loads[one.image, serving.image] * one.intensity
+        return IDLE_LATENCY_RATIO / max(MIN_HEADROOM, 1 - load)
 
     async def list(self, now: float) -> None:
         """List what runs to the agent, which sets the paces."""
         ledger = self.ledger
-        if self._described_at and now >= self._described_at:
-            self._describe()
+        if self._run_specs_due_at and now >= self._run_specs_due_at:
+            self._send_run_specs()
         running = [
-            RunningTask(task, 1, "", 100, self._blur(AIM_MS * one.figure))
+            RunningTask(task, 1, "", 100, self._add_noise(AIM_MS * one.figure))
             for task, one in self.servings.items()
         ]
         running += [
-            RunningTask(task, 1, "", 50, self._blur(one.used_milli))
+            RunningTask(task, 1, "", 50, self._add_noise(one.used_milli))
             for task, one in self.fillings.items()
         ]
         listing = Listing(CallResult.DONE, int(now * 1000), tuple(running))
@@ -234,7 +237,9 @@
         for key in list(ledger.described):
             if key[0] not in self.servings and key[0] not in self.fillings:
                 del ledger.described[key]
-        self.next_listing = now + LISTED_S + self._rng.uniform(0, LISTED_JITTER_S)
+        self.next_listing = (
+            now + LISTING_INTERVAL_S + self._rng.uniform(0, LISTING_JITTER_S)
+        )
 
     def measure_mix(self) -> dict[str, float]:
         """Return the filling work at work, as the agent reports it."""
@@ -244,53 +249,55 @@
             if order is None:
                 continue
             seen = self.ledger.running[key]
-            effort = compute_effort(
+            intensity = compute_effort(
                 seen.worked_milli / 1000, seen.figure, order.cpu_milli
             )
-            mix[order.image] = mix.get(order.image, 0.0) + effort
+            mix[order.image] = mix.get(order.image, 0.0) + intensity
         return mix
 
-    def _boot(self) -> None:
+    def _start_agent(self) -> None:
         events = create_quiet_log()
         self.ledger = AgentLedger(events)
         self._keeper = PaceKeeper(self.ledger, self, events, self._interference_s)
 
-    def _describe(self) -> None:
+    def _send_run_specs(self) -> None:
         """Tell the agent what runs on its worker, as the leader does."""
-        self._described_at = 0.0
+        self._run_specs_due_at = 0.0
         for task, serving in self.servings.items():
             order = RunOrder(task, 1, "", "", False, AIM_MS, serving.image)
             self.ledger.described[task, 1] = order
         for task, filling in self.fillings.items():
             self.ledger.described[task, 1] = build_order(task, filling)
 
-    def _advance_filling(self, one: Filling, now: float) -> None:
+    def _advance_filling(self, one: FillingTask, now: float) -> None:
         while one.due and one.due[0][0] <= now:
             one.percent = one.due.pop(0)[1]
         if now >= one.phase_until:
             one.phase = self._rng.choice(PHASES)
             one.phase_until = now + self._rng.uniform(1.5, 6.0)
         share = one.percent / 100
-        one.using.append((now, one.cpu_milli * share * one.phase[0]))
-        while one.using[0][0] < now - USE_LAG_S:
-            one.using.popleft()
-        gap_milli = one.using[0][1] - one.used_milli
-        one.used_milli += gap_milli * (1 - math.exp(-STEP_S / FOLLOW_S))
-        one.left_s -= STEP_S * share
+        one.usage_history.append((now, one.cpu_milli * share * one.phase[0]))
+        while one.usage_history[0][0] < now - USE_LAG_S:
+            one.usage_history.popleft()
+        gap_milli = one.usage_history[0][1] - one.used_milli
+        one.used_milli += gap_milli * (1 - math.exp(-STEP_S / SMOOTHING_S))
+        one.remaining_s -= STEP_S * share
         self.done_s += STEP_S * share
 
-    def _move_away(self, task: str, one: Filling, now: float) -> None:
+    def _evict_stalled(self, task: str, one: FillingTask, now: float) -> None:
         """Have a task leave that hardly works, as the leader does."""
         seen = self.ledger.running.get((task, 1))
-        if seen is None or seen.worked_milli > HELD_BACK_MILLI:
-            one.slow_since = now
-        elif now - one.slow_since > HELD_BACK_S and not one.stays:
+        if seen is None or seen.worked_milli > STALLED_MILLI:
+            one.stalled_since = now
+        elif now - one.stalled_since > STALLED_S and not one.pinned:
             one.ends_at = min(one.ends_at, now + STOP_S)
 
-    def _blur(self, figure: float) -> int:
-        return max(1, int(figure * self._rng.uniform(1 - FIGURE_OFF, 1 + FIGURE_OFF)))
+    def _add_noise(self, figure: float) -> int:
+        return max(
+            1, int(figure * self._rng.uniform(1 - FIGURE_ERROR, 1 + FIGURE_ERROR))
+        )
 
 
-def build_order(task: str, filling: Filling) -> RunOrder:
+def build_order(task: str, filling: FillingTask) -> RunOrder:
     """Return what an agent is told of a filling task."""
     return RunOrder(task, 1, "", "", True, 0, filling.image, filling.cpu_milli)
--- a/tests/standins/rows.py
+++ b/tests/standins/rows.py
@@ -20,7 +20,7 @@
 
 Key = tuple[str, str]
 # The store refuses a transaction when more than this waits in its partition.
-LONGEST_QUEUE_S = 1.0
+MAX_QUEUE_S = 1.0
 
 
 @dataclass
@@ -120,16 +120,16 @@
         """See ``RowStore``."""
         state = self._state
         state.commits += 1
-        await self._reach("commit")
+        await self._simulate_call("commit")
         if state.faults.busy:
             raise StoreUnavailableError("busy", step="commit")
-        dice = state.rng.random()
-        if dice < state.faults.late:
+        draw = state.rng.random()
+        if draw < state.faults.late:
             await curio.spawn(self._apply_late, transaction, daemon=True)
             raise StoreUncertainError("late", step="commit")
-        await self._queue(transaction)
+        await self._wait_for_earlier(transaction)
         result = state.apply(transaction)
-        if dice < state.faults.late + state.faults.lost:
+        if draw < state.faults.late + state.faults.lost:
             raise StoreUncertainError("lost", step="commit")
         return result
 
@@ -142,7 +142,7 @@
         partition: str = "",
     ) -> RowPage:
         """See ``RowStore``."""
-        await self._reach("read")
+        await self._simulate_call("read")
         state = self._state
         await curio.sleep(state.faults.slow_reads.get(table, 0.0))
         wanted = partition or find_partition(table, start)
@@ -156,14 +156,14 @@
             and wanted in (UNDIVIDED_PARTITION, find_partition(table, key))
         )
         rows = tuple(source[table, key] for key in keys)
-        most = limit or 500
-        return RowPage(rows[:most], state.version, len(rows) > most)
+        page_size = limit or 500
+        return RowPage(rows[:page_size], state.version, len(rows) > page_size)
 
     async def follow(self, table: str, after: int, wait_s: float) -> RowPage:
         """See ``RowStore``."""
         waited = 0.0
         while True:
-            await self._reach("follow")
+            await self._simulate_call("follow")
             state = self._state
             if after < state.oldest:
                 raise HistoryLostError(step="follow")
@@ -177,7 +177,7 @@
             await curio.sleep(0.005)
             waited += 0.005
 
-    async def _reach(self, step: str) -> None:
+    async def _simulate_call(self, step: str) -> None:
         faults = self._state.faults
         await curio.sleep(faults.slow_s)
         if self.cut or faults.silent:
@@ -186,7 +186,7 @@
         if faults.down:
             raise StoreUnavailableError("down", step=step)
 
-    async def _queue(self, transaction: Transaction) -> None:
+    async def _wait_for_earlier(self, transaction: Transaction) -> None:
         """Wait for the transactions before it in its partition, and do it.
 
         It is done also if the caller gives up meanwhile, as at a real store.
@@ -202,7 +202,7 @@
         [partition] = parts
         now = read_boot_clock()
         begins_at = max(now, state.busy_until.get(partition, 0.0))
-        if begins_at - now > LONGEST_QUEUE_S:
+        if begins_at - now > MAX_QUEUE_S:
             state.refused += 1
             raise StoreUnavailableError("too much waits", step="commit")
         state.busy_until[partition] = begins_at + took_s
--- a/tests/standins/runner.py
+++ b/tests/standins/runner.py
@@ -28,7 +28,7 @@
     def __init__(self, options: Namespace, record: base.Record) -> None:
         super().__init__(record)
         self._options = options
-        self._next_execution = base.count_from()
+        self._next_execution = base.create_counter()
         self._counts = {"executions": 0, "most_in_flight": 0, "over_slots": 0}
         self.in_flight = 0
 
--- a/tests/standins/table.py
+++ b/tests/standins/table.py
@@ -21,7 +21,7 @@
         super().__init__(record)
         self._rows: dict[str, tuple[str, int]] = {}
         self._keys: list[str] = []
-        self._next_version = base.count_from()
+        self._next_version = base.create_counter()
         self._counts = {"commits": 0, "conflicts": 0, "reads": 0, "scans": 0}
 
     def operation(self, call: base.Call) -> str:
--- a/tests/unit/test_closed_data_centres.py
+++ b/tests/unit/test_closed_data_centres.py
@@ -37,7 +37,7 @@
 
 def list_starts(cluster: JobCluster, worker: str) -> list[str]:
     """Return the tasks that a worker has begun, over all its incarnations."""
-    begun = cluster.witness.begun
+    begun = cluster.checker.started_tasks
     names = [name for name in begun if name.startswith(f"{worker}-")]
     return [task for name in names for task in begun[name]]
 
@@ -57,7 +57,7 @@
             await cluster.entries[1].submit(second)
             await cluster.wait_for_state(second, JobState.COMPLETED)
             assert len(list_starts(cluster, "w0")) == before
-            assert cluster.witness.broken == []
+            assert cluster.checker.violations == []
 
     curio.run(main)
 
@@ -96,7 +96,7 @@
             await cluster.entries[2].boot()
             await curio.sleep(2 * IN_FORCE_S)
             assert len(list_starts(cluster, "w0")) == before
-            assert cluster.witness.broken == []
+            assert cluster.checker.violations == []
 
     curio.run(main)
 
@@ -165,7 +165,7 @@
             job = build_job(1)
             await cluster.entries[0].submit(job)
             await curio.sleep(IN_FORCE_S)
-            assert not cluster.witness.tasks
+            assert not cluster.checker.tasks
             cluster.reopen("dc-1")
             cluster.close("dc-1")
             cluster.reopen("dc-1")
--- a/tests/unit/test_crashing_tasks.py
+++ b/tests/unit/test_crashing_tasks.py
@@ -11,23 +11,23 @@
 from pistachiodeal.exceptions import RequestError
 from pistachiodeal.jobs.model import JobState
 from tests.standins.job_cluster import JobCluster, build_job, run_cluster
-from tests.standins.job_runner import ROOM, ROOM_TOLD_S
-from tests.unit.test_job_cluster import check, disturb, wait_for
+from tests.standins.job_runner import CAPACITY, CAPACITY_REPORT_S
+from tests.unit.test_job_cluster import check_invariants, inject_random_fault, wait_for
 
 CRASHER = f"{1:016x}.0.0.0"
 
 
-def plant(cluster: JobCluster, *, crash_after_s: float = 0.0) -> None:
+def set_crashing_task(cluster: JobCluster, *, crash_after_s: float = 0.0) -> None:
     """Make one task end each runner that starts it."""
     for agent in cluster.agents:
         faults = agent.runner.faults
-        faults.crashers = frozenset((CRASHER,))
+        faults.crashing_tasks = frozenset((CRASHER,))
         faults.crash_after_s, faults.down_s = crash_after_s, 0.6
 
 
 async def wait_for_crashes(cluster: JobCluster, count: int) -> None:
     """Wait until the task has ended so many runners."""
-    tasks = cluster.witness.tasks
+    tasks = cluster.checker.tasks
     await wait_for(lambda: CRASHER in tasks and tasks[CRASHER].crashes >= count)
 
 
@@ -43,15 +43,15 @@
 
     async def main():
         async with run_cluster(agents=3, work_s=0.3) as cluster:
-            plant(cluster)
+            set_crashing_task(cluster)
             jobs = [build_job(number, steps=1) for number in range(1, 4)]
             for job in jobs:
                 await cluster.entries[0].submit(job)
             await cluster.wait_for_state(jobs[0], JobState.FAILED, 15.0)
             for job in jobs[1:]:
                 await cluster.wait_for_state(job, JobState.COMPLETED, 15.0)
-            check(cluster)
-            assert cluster.witness.tasks[CRASHER].crashes == 2
+            check_invariants(cluster)
+            assert cluster.checker.tasks[CRASHER].crashes == 2
 
     curio.run(main)
 
@@ -64,7 +64,7 @@
 
     async def main():
         async with run_cluster(agents=3, work_s=0.3) as cluster:
-            plant(cluster)
+            set_crashing_task(cluster)
             job = build_job(1, count=1, steps=1)
             await cluster.entries[0].submit(job)
             for crashes in (1, 2):
@@ -76,7 +76,7 @@
                         await process.kill()
                         await process.boot()
             await cluster.wait_for_state(job, JobState.FAILED, 20.0)
-            check(cluster)
+            check_invariants(cluster)
 
     curio.run(main)
 
@@ -89,13 +89,13 @@
 
     async def main():
         async with run_cluster(agents=3, work_s=0.3) as cluster:
-            plant(cluster, crash_after_s=crash_after_s)
+            set_crashing_task(cluster, crash_after_s=crash_after_s)
             jobs = [build_job(number, steps=1) for number in range(1, 4)]
             # The crasher works until it ends its runner; the others end before.
             for agent in cluster.agents:
-                agent.runner.lasting = frozenset((CRASHER,))
-            await cluster.fail_first(jobs, 20.0)
-            check(cluster)
+                agent.runner.endless_tasks = frozenset((CRASHER,))
+            await cluster.submit_and_fail_first(jobs, 20.0)
+            check_invariants(cluster)
 
     curio.run(main)
 
@@ -107,13 +107,13 @@
 
     async def main():
         async with run_cluster(agents=3, work_s=0.3) as cluster:
-            plant(cluster)
+            set_crashing_task(cluster)
             for agent in cluster.agents:
                 agent.runner.faults.lost = 0.5
             job = build_job(1, steps=1)
             await cluster.entries[0].submit(job)
             await cluster.wait_for_state(job, JobState.FAILED, 20.0)
-            check(cluster)
+            check_invariants(cluster)
 
     curio.run(main)
 
@@ -137,20 +137,20 @@
                 cluster.agents[turn % 3].runner.crash()
             for job in jobs:
                 await cluster.wait_for_state(job, JobState.COMPLETED, 20.0)
-            check(cluster)
+            check_invariants(cluster)
 
     curio.run(main)
 
 
-async def disturb_rooms(cluster: JobCluster, rng: random.Random) -> None:
+async def shrink_capacity(cluster: JobCluster, rng: random.Random) -> None:
     """Let a runner's room shrink for a while."""
     runner = rng.choice(cluster.agents).runner
-    runner.room = replace(ROOM, cpu_milli=rng.choice((0, 2_000, 5_000)))
-    await curio.sleep(rng.uniform(1.0, 4.0) * ROOM_TOLD_S)
-    runner.room = ROOM
+    runner.capacity = replace(CAPACITY, cpu_milli=rng.choice((0, 2_000, 5_000)))
+    await curio.sleep(rng.uniform(1.0, 4.0) * CAPACITY_REPORT_S)
+    runner.capacity = CAPACITY
 
 
-def play_random(seed: int) -> None:
+def run_random_faults(seed: int) -> None:
     """Submit jobs, some with tasks that end their runners, among random faults.
 
     What is accepted ends as it should, no task runs twice or too often, and no runner
@@ -161,10 +161,10 @@
     async def main():
         async with run_cluster(agents=4, work_s=0.25, seed=seed) as cluster:
             await wait_for(cluster.find_leader)
-            crashers = {f"{number:016x}.0.0.0" for number in (2, 5)}
+            crashing_tasks = {f"{number:016x}.0.0.0" for number in (2, 5)}
             for agent in cluster.agents:
                 faults = agent.runner.faults
-                faults.crashers = frozenset(crashers)
+                faults.crashing_tasks = frozenset(crashing_tasks)
                 faults.crash_after_s = rng.choice((0.0, 0.02))
                 faults.down_s = rng.uniform(0.2, 0.8)
             jobs = []
@@ -177,16 +177,16 @@
                         jobs.append(job)
                 except RequestError:
                     pass
-                dice = rng.random()
-                if dice < 0.4:
-                    await disturb(cluster, rng)
-                elif dice < 0.8:
-                    await disturb_rooms(cluster, rng)
+                draw = rng.random()
+                if draw < 0.4:
+                    await inject_random_fault(cluster, rng)
+                elif draw < 0.8:
+                    await shrink_capacity(cluster, rng)
             for job in jobs:
-                bad = f"{job.job_id}.0.0.0" in crashers
+                bad = f"{job.job_id}.0.0.0" in crashing_tasks
                 state = JobState.FAILED if bad else JobState.COMPLETED
                 await cluster.wait_for_state(job, state, 40.0)
-            check(cluster)
+            check_invariants(cluster)
 
     curio.run(main)
 
@@ -196,4 +196,4 @@
     """A task was started too often, a job never ended, or a sound one failed, under
     faults in series: the count got lost with a process, or fell on a bystander.
     """
-    play_random(seed)
+    run_random_faults(seed)
--- a/tests/unit/test_entry_stop.py
+++ b/tests/unit/test_entry_stop.py
@@ -70,7 +70,7 @@
             deployment.state.faults = faults
             await curio.sleep(0.5)
             assert leader.process is not None
-            front = deployment.list_fronts()[deployment.entries.index(leader)]
+            front = deployment.list_caller_addresses()[deployment.entries.index(leader)]
             with send_part_of_a_request(front):
                 leader.process.terminate()
                 stopped_at = time.monotonic()
--- a/tests/unit/test_harmed_neighbours.py
+++ b/tests/unit/test_harmed_neighbours.py
@@ -11,12 +11,17 @@
 from pistachiodeal.scheduling.tail_guard import TailGuard
 from pistachiodeal.scheduling.tails import ServingTail
 from tests.standins.paced_fleet import (
+    FleetFaults,
     PacedFleet,
-    Trouble,
-    draw_beliefs,
+    draw_estimates,
     draw_loads,
 )
-from tests.standins.paced_worker import LISTED_S, STEP_S, PacedWorker, Serving
+from tests.standins.paced_worker import (
+    LISTING_INTERVAL_S,
+    STEP_S,
+    PacedWorker,
+    ServingTask,
+)
 
 INTERFERENCE_S = 4.0
 PAIR = ("filling", "serving")
@@ -31,9 +36,11 @@
     :param press: what it is believed to take from their slack.
     """
 
-    def __init__(self, seed: int, load: float, press: float, *others: Serving) -> None:
+    def __init__(
+        self, seed: int, load: float, press: float, *others: ServingTask
+    ) -> None:
         self.now = 100.0
-        self.serving = Serving("serving", 0.0, swing=0.0)
+        self.serving = ServingTask("serving", 0.0, load_amplitude=0.0)
         self.worker = PacedWorker(
             [self.serving, *others], {PAIR: load}, random.Random(seed), INTERFERENCE_S
         )
@@ -55,11 +62,11 @@
     async def main() -> None:
         for number in range(10):
             play = Play(number, load=0.5, press=0.0)
-            await play.advance(2.0 + number * LISTED_S / 10)
+            await play.advance(2.0 + number * LISTING_INTERVAL_S / 10)
             for _ in range(3):
-                play.worker.begin("filling", 60.0, play.now, stays=True)
+                play.worker.start_filling("filling", 60.0, play.now, pinned=True)
             await play.advance(8.0)
-            assert play.serving.longest_s < INTERFERENCE_S
+            assert play.serving.longest_over_s < INTERFERENCE_S
 
     curio.run(main)
 
@@ -70,10 +77,12 @@
     async def main() -> None:
         for number in range(60):
             play = Play(number, load=JUST_TOO_MUCH, press=0.0)
-            filling = play.worker.begin("filling", 1_000.0, play.now, stays=True)
+            filling = play.worker.start_filling(
+                "filling", 1_000.0, play.now, pinned=True
+            )
             filling.phase_until = float("inf")
             await play.advance(60.0)
-            assert play.serving.longest_s < INTERFERENCE_S
+            assert play.serving.longest_over_s < INTERFERENCE_S
 
     curio.run(main)
 
@@ -83,12 +92,12 @@
 
     async def main() -> None:
         play = Play(1, load=0.5, press=100.0)
-        filling = play.worker.begin("filling", 60.0, play.now, stays=True)
+        filling = play.worker.start_filling("filling", 60.0, play.now, pinned=True)
         await play.advance(6.0)
         assert filling.percent == 0
         filling.due.append((play.now, 100))
         await play.advance(12.0)
-        assert play.serving.longest_s < INTERFERENCE_S
+        assert play.serving.longest_over_s < INTERFERENCE_S
 
     curio.run(main)
 
@@ -134,8 +143,8 @@
 
     async def main() -> None:
         play = Play(1, 0.0, 0.0)
-        play.serving.broken_until = float("inf")
-        play.worker.begin("filling", 60.0, play.now, stays=True)
+        play.serving.slow_until = float("inf")
+        play.worker.start_filling("filling", 60.0, play.now, pinned=True)
         await play.advance(30.0)
         assert play.worker.done_s > 10.0
 
@@ -146,11 +155,11 @@
     """Guards against a clock that the sibling of a harmed task sets back."""
 
     async def main() -> None:
-        calm = Serving("serving", 0.0, load=0.1, swing=0.0)
+        calm = ServingTask("serving", 0.0, load=0.1, load_amplitude=0.0)
         play = Play(1, 0.4, 0.0, calm)
-        play.worker.begin("filling", 60.0, play.now, stays=True)
+        play.worker.start_filling("filling", 60.0, play.now, pinned=True)
         await play.advance(30.0)
-        assert play.serving.longest_s < INTERFERENCE_S
+        assert play.serving.longest_over_s < INTERFERENCE_S
 
     curio.run(main)
 
@@ -182,16 +191,16 @@
     for seed in range(4):
         rng = random.Random(seed)
         loads = draw_loads(rng)
-        believed = None if wrong is None else draw_beliefs(loads, rng, wrong)
+        estimates = None if wrong is None else draw_estimates(loads, rng, wrong)
         fleet = PacedFleet(
             seed,
             loads=loads,
-            believed=believed,
+            estimates=estimates,
             interference_s=INTERFERENCE_S,
-            trouble=Trouble(late=late),
+            faults=FleetFaults(late=late),
         )
-        curio.run(fleet.play, 40.0)
-        assert fleet.longest_s < INTERFERENCE_S
+        curio.run(fleet.simulate, 40.0)
+        assert fleet.longest_over_s < INTERFERENCE_S
 
 
 def test_work_that_goes_on_while_it_should_stand_is_noticed():
@@ -199,13 +208,13 @@
 
     async def main() -> None:
         play = Play(1, load=0.5, press=0.0)
-        filling = play.worker.begin("filling", 60.0, play.now, stays=True)
+        filling = play.worker.start_filling("filling", 60.0, play.now, pinned=True)
         while not any(percent == 0 for _, percent in filling.due):
             await play.advance(STEP_S)
         filling.phase_until = float("inf")
         # Carried out late, and just after the order to stand.
         filling.due.append((filling.due[-1][0], 100))
         await play.advance(12.0)
-        assert play.serving.longest_s < INTERFERENCE_S
+        assert play.serving.longest_over_s < INTERFERENCE_S
 
     curio.run(main)
--- a/tests/unit/test_job_cluster.py
+++ b/tests/unit/test_job_cluster.py
@@ -30,16 +30,16 @@
     raise AssertionError("it did not come true in time")
 
 
-async def wait_until_begun(cluster: JobCluster, starts: int = 1) -> None:
+async def wait_for_starts(cluster: JobCluster, starts: int = 1) -> None:
     """Wait until runners have begun runs."""
     await wait_for(
-        lambda: sum(one.starts for one in cluster.witness.tasks.values()) >= starts
+        lambda: sum(one.starts for one in cluster.checker.tasks.values()) >= starts
     )
 
 
-def check(cluster: JobCluster) -> None:
+def check_invariants(cluster: JobCluster) -> None:
     """Fail on any broken promise that the runners saw."""
-    assert cluster.witness.broken == []
+    assert cluster.checker.violations == []
 
 
 def test_a_job_is_done_step_by_step():
@@ -48,8 +48,8 @@
             job = build_job(1)
             await cluster.entries[1].submit(job)
             await cluster.wait_for_state(job, JobState.COMPLETED)
-            check(cluster)
-            assert {one.starts for one in cluster.witness.tasks.values()} == {1}
+            check_invariants(cluster)
+            assert {one.starts for one in cluster.checker.tasks.values()} == {1}
 
     curio.run(main)
 
@@ -63,10 +63,10 @@
         async with run_cluster(work_s=5.0) as cluster:
             job = build_job(1)
             await cluster.entries[0].submit(job)
-            await wait_until_begun(cluster)
+            await wait_for_starts(cluster)
             await cluster.entries[1].cancel(job)
             await cluster.wait_for_state(job, JobState.CANCELLED)
-            tasks = cluster.witness.tasks
+            tasks = cluster.checker.tasks
             await wait_for(lambda: not any(one.alive for one in tasks.values()))
             starts = sum(one.starts for one in tasks.values())
             await curio.sleep(0.5)
@@ -87,7 +87,7 @@
         async with run_cluster(work_s=5.0) as cluster:
             job = build_job(1)
             await cluster.entries[0].submit(job)
-            await wait_until_begun(cluster)
+            await wait_for_starts(cluster)
             leader = await wait_for(cluster.find_leader)
             leadership = leader.seat.leadership
             leadership.announce(build_cancel_key(job.job_id))
@@ -107,12 +107,12 @@
             jobs = [build_job(number) for number in range(1, 4)]
             for job in jobs:
                 await cluster.entries[0].submit(job)
-            await wait_until_begun(cluster, 3)
+            await wait_for_starts(cluster, 3)
             leader = await wait_for(cluster.find_leader)
             await leader.kill()
             for job in jobs:
                 await cluster.wait_for_state(job, JobState.COMPLETED, 15.0)
-            check(cluster)
+            check_invariants(cluster)
 
     curio.run(main)
 
@@ -127,13 +127,13 @@
         async with run_cluster(agents=1, work_s=1.5) as cluster:
             job = build_job(1, steps=1)
             await cluster.entries[0].submit(job)
-            await wait_until_begun(cluster, 3)
+            await wait_for_starts(cluster, 3)
             await cluster.agents[0].kill()
             await curio.sleep(0.3)
             await cluster.agents[0].boot()
             await cluster.wait_for_state(job, JobState.COMPLETED)
-            check(cluster)
-            assert {one.starts for one in cluster.witness.tasks.values()} == {1}
+            check_invariants(cluster)
+            assert {one.starts for one in cluster.checker.tasks.values()} == {1}
 
     curio.run(main)
 
@@ -155,7 +155,7 @@
             for job in jobs:
                 await cluster.wait_for_state(job, JobState.COMPLETED, 30.0)
             await curio.sleep(1.2)
-            check(cluster)
+            check_invariants(cluster)
 
     curio.run(main)
 
@@ -170,10 +170,10 @@
         async with run_cluster(agents=1, work_s=0.8) as cluster:
             job = build_job(1, steps=1)
             await cluster.entries[0].submit(job)
-            await wait_until_begun(cluster, 3)
+            await wait_for_starts(cluster, 3)
             cluster.agents[0].runner.crash()
             await cluster.wait_for_state(job, JobState.COMPLETED, 6.0)
-            check(cluster)
+            check_invariants(cluster)
 
     curio.run(main)
 
@@ -195,7 +195,7 @@
             cluster.state.faults.late = cluster.state.faults.lost = 0.0
             for job in jobs:
                 await cluster.wait_for_state(job, JobState.COMPLETED, 20.0)
-            check(cluster)
+            check_invariants(cluster)
 
     curio.run(main)
 
@@ -288,18 +288,18 @@
                 await process.boot()
             for job in jobs:
                 await cluster.wait_for_state(job, JobState.COMPLETED, 20.0)
-            check(cluster)
+            check_invariants(cluster)
 
     curio.run(main)
 
 
-def keep_some_ids(cluster: JobCluster) -> None:
+def return_under_same_ids_sometimes(cluster: JobCluster) -> None:
     """Let half of the runners that crash come back under their ids."""
     for agent in cluster.agents:
-        agent.runner.keeps_id = 0.5
+        agent.runner.same_id_share = 0.5
 
 
-async def disturb(cluster: JobCluster, rng: random.Random) -> None:
+async def inject_random_fault(cluster: JobCluster, rng: random.Random) -> None:
     """Do one harmful thing, and end it after a while."""
     kind = rng.choice(("entry", "agent", "runner", "late", "store", "history"))
     if kind in ("entry", "agent"):
@@ -326,13 +326,13 @@
         cluster.state.drop_history()
 
 
-def play_random(seed: int) -> None:
+def run_random_faults(seed: int) -> None:
     """Submit jobs among random faults; all accepted ones are done, none twice."""
     rng = random.Random(seed)
 
     async def main():
         async with run_cluster(agents=3, work_s=0.25, seed=seed) as cluster:
-            keep_some_ids(cluster)
+            return_under_same_ids_sometimes(cluster)
             await wait_for(cluster.find_leader)
             accepted = []
             for number in range(1, 11):
@@ -345,10 +345,10 @@
                 except RequestError:
                     pass
                 if rng.random() < 0.6:
-                    await disturb(cluster, rng)
+                    await inject_random_fault(cluster, rng)
             for job in accepted:
                 await cluster.wait_for_state(job, JobState.COMPLETED, 30.0)
-            check(cluster)
+            check_invariants(cluster)
 
     curio.run(main)
 
@@ -356,4 +356,4 @@
 @pytest.mark.parametrize("seed", [1, 2, 3, 4])
 def test_random_faults_break_no_promise(seed):
     """Symptom: a task twice, or an accepted job never done, under faults in series."""
-    play_random(seed)
+    run_random_faults(seed)
--- a/tests/unit/test_leader_election.py
+++ b/tests/unit/test_leader_election.py
@@ -28,7 +28,7 @@
 )
 from pistachiodeal.wire.link import Link, LinkTimings
 from pistachiodeal.wire.opening import accept_link
-from tests.harness.ports import take_port
+from tests.harness.ports import reserve_port
 from tests.standins.job_cluster import (
     SECRET,
     AgentProcess,
@@ -36,7 +36,7 @@
     create_quiet_log,
     run_cluster,
 )
-from tests.standins.job_runner import MemoryRunner, Witness
+from tests.standins.job_runner import InvariantChecker, MemoryRunner
 from tests.standins.rows import MemoryRows, RowsState
 
 
@@ -61,7 +61,7 @@
             async def lead(_: Authority, name: str = name) -> None:
                 await lead_for_ever(name)
 
-            address = f"127.0.0.1:{take_port()}"
+            address = f"127.0.0.1:{reserve_port()}"
             identity = Identity(ENTRY_ROLE, name, 1, "dc")
             peers = PeerContext(
                 identity, address, SECRET, Directory(()), create_quiet_log()
@@ -87,7 +87,7 @@
             leaders.append("weak")
             await curio.sleep(60)
 
-        address = f"127.0.0.1:{take_port()}"
+        address = f"127.0.0.1:{reserve_port()}"
         identity = Identity(ENTRY_ROLE, "weak", 1, "dc")
         peers = PeerContext(
             identity, address, SECRET, Directory(()), create_quiet_log()
@@ -246,11 +246,14 @@
     """
 
     async def main() -> tuple[int, int]:
-        old, new = (FakeLeader(n, f"127.0.0.1:{take_port()}") for n in (1, 2))
+        old, new = (FakeLeader(n, f"127.0.0.1:{reserve_port()}") for n in (1, 2))
         old.entries = (Label(new.address),)
         listeners = [await curio.spawn(one.listen, daemon=True) for one in (old, new)]
         agent = AgentProcess(
-            "0", RowsState(), [old.address], MemoryRunner("w", Witness(), 0.1, 1)
+            "0",
+            RowsState(),
+            [old.address],
+            MemoryRunner("w", InvariantChecker(), 0.1, 1),
         )
         await agent.boot()
         await curio.ignore_after(3.0, wait_for_reports, new)
@@ -343,7 +346,7 @@
         await curio.sleep(60)
 
     async def main() -> None:
-        address = f"127.0.0.1:{take_port()}"
+        address = f"127.0.0.1:{reserve_port()}"
         peers = PeerContext(
             Identity(ENTRY_ROLE, "only", 1, "dc"),
             address,
--- a/tests/unit/test_leader_handover.py
+++ b/tests/unit/test_leader_handover.py
@@ -41,7 +41,7 @@
     took_s = time.monotonic() - stopped_at
     assert await leaving.join()
     assert leader.seat.leadership is None
-    assert cluster.witness.broken == []
+    assert cluster.checker.violations == []
     return took_s
 
 
@@ -136,7 +136,7 @@
             other = await wait_for_leader(cluster, chosen)
             await other.submit(job)
             await cluster.wait_for_state(job, JobState.COMPLETED)
-            assert cluster.witness.broken == []
+            assert cluster.checker.violations == []
 
     curio.run(main)
 
@@ -165,7 +165,7 @@
             job = build_job(1)
             await successor.submit(job)
             await cluster.wait_for_state(job, JobState.COMPLETED)
-            assert cluster.witness.broken == []
+            assert cluster.checker.violations == []
             return took_s
 
     assert min(curio.run(main) for _ in range(3)) < 1.0
--- a/tests/unit/test_platform_advice.py
+++ b/tests/unit/test_platform_advice.py
@@ -5,7 +5,7 @@
 import curio
 
 from pistachiodeal.platform.advice import create_advice
-from tests.harness.ports import take_port
+from tests.harness.ports import reserve_port
 from tests.standins import base
 
 
@@ -28,7 +28,7 @@
 
     async def main():
         service = AdviceService()
-        address = f"{base.HOST}:{take_port()}"
+        address = f"{base.HOST}:{reserve_port()}"
         port = int(address.rpartition(":")[2])
         await curio.spawn(base.run_stand_in, service, port, daemon=True)
         await curio.sleep(0.05)
--- a/tests/unit/test_platform_runner.py
+++ b/tests/unit/test_platform_runner.py
@@ -10,7 +10,7 @@
 from pistachiodeal.jobs.incarnations import build_incarnation
 from pistachiodeal.jobs.runtime import CallResult, StartCall
 from pistachiodeal.platform.runner import PlatformRunner, create_runner
-from tests.harness.ports import take_port
+from tests.harness.ports import reserve_port
 from tests.standins import base
 
 RUNNER = "i-1"
@@ -60,7 +60,7 @@
 
 async def serve(stand_in: RestartingRunner) -> PlatformRunner:
     """Serve until the end, and return a client."""
-    address = f"{base.HOST}:{take_port()}"
+    address = f"{base.HOST}:{reserve_port()}"
     port = int(address.rpartition(":")[2])
     await curio.spawn(base.run_stand_in, stand_in, port, daemon=True)
     await curio.sleep(0.05)
--- a/tests/unit/test_restarted_runners.py
+++ b/tests/unit/test_restarted_runners.py
@@ -13,35 +13,35 @@
 from pistachiodeal.platform.runner import LEAVE_PATH
 from pistachiodeal.web.messages import WebRequest
 from tests.standins.job_cluster import JobCluster, build_job, run_cluster
-from tests.unit.test_crashing_tasks import plant
-from tests.unit.test_job_cluster import check, wait_for, wait_until_begun
+from tests.unit.test_crashing_tasks import set_crashing_task
+from tests.unit.test_job_cluster import check_invariants, wait_for, wait_for_starts
 
 
-def keep_ids(cluster: JobCluster, *, down_s: float) -> None:
+def return_under_same_ids(cluster: JobCluster, *, down_s: float) -> None:
     """Let each runner that crashes come back under its id after a while."""
     for agent in cluster.agents:
-        agent.runner.keeps_id = 1.0
+        agent.runner.same_id_share = 1.0
         agent.runner.faults.down_s = down_s
 
 
-def restart_under_work(
-    *, down_s: float, tells_start: bool = True, crashes: int = 1
+def crash_under_load(
+    *, down_s: float, reports_start: bool = True, crashes: int = 1
 ) -> None:
     """Let the only runner crash under a job, which is done all the same."""
 
     async def main():
         async with run_cluster(agents=1, work_s=0.8) as cluster:
-            keep_ids(cluster, down_s=down_s)
+            return_under_same_ids(cluster, down_s=down_s)
             runner = cluster.agents[0].runner
-            runner.tells_start = tells_start
+            runner.reports_start = reports_start
             job = build_job(1, steps=1)
             await cluster.entries[0].submit(job)
-            await wait_until_begun(cluster, 3)
+            await wait_for_starts(cluster, 3)
             for _ in range(crashes):
                 runner.crash()
                 await curio.sleep(0.2)
             await cluster.wait_for_state(job, JobState.COMPLETED, 6.0)
-            check(cluster)
+            check_invariants(cluster)
 
     curio.run(main)
 
@@ -54,17 +54,17 @@
     "worker.dropped" with "cause":"crashed" each agent logged only "heartbeat.ignored"
     with "sequence":1, 2, 3 and on, and "why":"its sender has ended".
     """
-    restart_under_work(down_s=0.6)
+    crash_under_load(down_s=0.6)
 
 
 def test_a_runner_that_tells_no_start_is_found_again_once_it_was_away():
     """A runner that keeps its id and names no start gets no work for good."""
-    restart_under_work(down_s=0.6, tells_start=False)
+    crash_under_load(down_s=0.6, reports_start=False)
 
 
 def test_a_restart_that_nobody_noticed_loses_no_task():
     """Runs that ended in a restart faster than any silence are taken for running."""
-    restart_under_work(down_s=0.0)
+    crash_under_load(down_s=0.0)
 
 
 @pytest.mark.parametrize("late_s", [0.3, 0.8])
@@ -73,7 +73,7 @@
 
     async def main():
         async with run_cluster(agents=2, work_s=2.0) as cluster:
-            keep_ids(cluster, down_s=0.1)
+            return_under_same_ids(cluster, down_s=0.1)
             runner = cluster.agents[0].runner
             cluster.agents[1].runner.draining = True
             await curio.sleep(0.5)
@@ -86,7 +86,7 @@
             runner.crash()
             cluster.agents[1].runner.draining = False
             await cluster.wait_for_state(job, JobState.COMPLETED, 10.0)
-            check(cluster)
+            check_invariants(cluster)
 
     curio.run(main)
 
@@ -97,11 +97,11 @@
 
     async def main():
         async with run_cluster(agents=2, work_s=0.8) as cluster:
-            keep_ids(cluster, down_s=0.0)
+            return_under_same_ids(cluster, down_s=0.0)
             jobs = [build_job(number, steps=1) for number in range(1, 4)]
             for job in jobs:
                 await cluster.entries[0].submit(job)
-            await wait_until_begun(cluster, 9)
+            await wait_for_starts(cluster, 9)
             processes = [cluster.agents[0]] if away != "leader" else []
             if away != "agent":
                 processes.append(await wait_for(cluster.find_leader))
@@ -113,14 +113,14 @@
                 await process.boot()
             for job in jobs:
                 await cluster.wait_for_state(job, JobState.COMPLETED, 10.0)
-            check(cluster)
+            check_invariants(cluster)
 
     curio.run(main)
 
 
 def test_two_restarts_within_a_second_lose_no_task():
     """The second start is taken for the first, or never known."""
-    restart_under_work(down_s=0.05, crashes=3)
+    crash_under_load(down_s=0.05, crashes=3)
 
 
 def test_a_heartbeat_of_an_earlier_start_changes_nothing():
@@ -128,26 +128,26 @@
 
     async def main():
         async with run_cluster(agents=1, work_s=1.0) as cluster:
-            keep_ids(cluster, down_s=0.0)
+            return_under_same_ids(cluster, down_s=0.0)
             agent = cluster.agents[0]
-            earlier = agent.runner.build_beat()
+            earlier = agent.runner.build_heartbeat()
             unknown = replace(earlier, worker=f"{get_runner(earlier.worker)}@7")
             agent.runner.crash()
             job = build_job(1, steps=1)
             await cluster.entries[0].submit(job)
-            await wait_until_begun(cluster, 3)
+            await wait_for_starts(cluster, 3)
             for beat in (earlier, unknown):
                 await agent.heartbeats.take(replace(beat, sequence=900))
                 await curio.sleep(0.1)
                 assert agent.ledger.worker == agent.runner.worker
             await cluster.wait_for_state(job, JobState.COMPLETED, 6.0)
-            check(cluster)
-            assert {one.starts for one in cluster.witness.tasks.values()} == {1}
+            check_invariants(cluster)
+            assert {one.starts for one in cluster.checker.tasks.values()} == {1}
 
     curio.run(main)
 
 
-def say_goodbye(born: int | None) -> WebRequest:
+def build_deregistration(born: int | None) -> WebRequest:
     """Return a runner's goodbye as the platform sends it."""
     body = b"" if born is None else b'{"born":%d}' % born
     return WebRequest("POST", f"{LEAVE_PATH}w0-1", (), body)
@@ -161,10 +161,10 @@
             agent = cluster.agents[0]
             worker = await wait_for(lambda: agent.ledger.worker)
             born = int(worker.rpartition("@")[2])
-            for request in (say_goodbye(born - 1), say_goodbye(None)):
+            for request in (build_deregistration(born - 1), build_deregistration(None)):
                 await agent.heartbeats.handle(request)
                 assert agent.ledger.worker == worker
-            await agent.heartbeats.handle(say_goodbye(born))
+            await agent.heartbeats.handle(build_deregistration(born))
             assert agent.ledger.worker == ""
 
     curio.run(main)
@@ -178,7 +178,7 @@
             agent = cluster.agents[0]
             agent.runner.draining = True
             await wait_for(lambda: agent.ledger.draining)
-            await agent.heartbeats.handle(say_goodbye(None))
+            await agent.heartbeats.handle(build_deregistration(None))
             assert agent.ledger.worker == ""
 
     curio.run(main)
@@ -187,31 +187,31 @@
 @pytest.mark.parametrize("seed", [101, 102, 103, 104, 1_030])
 def test_random_restarts_break_no_promise(seed):
     """A task twice, or a job never done, among restarts and late orders in series."""
-    play_restarts(seed)
+    run_random_restarts(seed)
 
 
-def play_restarts(seed: int) -> None:
+def run_random_restarts(seed: int) -> None:
     """Restart runners all the time, and now and then an agent or entry beside them."""
     rng = random.Random(seed)
 
     async def main():
         async with run_cluster(agents=3, work_s=0.3, seed=seed) as cluster:
-            keep_ids(cluster, down_s=0.0)
+            return_under_same_ids(cluster, down_s=0.0)
             jobs = [build_job(number, steps=1) for number in range(1, 9)]
             await wait_for(cluster.find_leader)
             for job in jobs:
                 await cluster.entries[job is jobs[0]].submit(job)
-                await disturb_restarts(cluster, rng)
+                await inject_restarts(cluster, rng)
             for agent in cluster.agents:
                 agent.runner.faults.late = agent.runner.faults.lost = 0.0
             for job in jobs:
                 await cluster.wait_for_state(job, JobState.COMPLETED, 30.0)
-            check(cluster)
+            check_invariants(cluster)
 
     curio.run(main)
 
 
-async def disturb_restarts(cluster: JobCluster, rng: random.Random) -> None:
+async def inject_restarts(cluster: JobCluster, rng: random.Random) -> None:
     """Crash a runner, perhaps again, and perhaps with its agent or the leader."""
     agent = rng.choice(cluster.agents)
     faults = agent.runner.faults
@@ -234,10 +234,10 @@
 
     async def main():
         async with run_cluster(agents=3, work_s=0.3) as cluster:
-            plant(cluster)
-            keep_ids(cluster, down_s=0.0)
+            set_crashing_task(cluster)
+            return_under_same_ids(cluster, down_s=0.0)
             jobs = [build_job(number, steps=1) for number in range(1, 4)]
-            await cluster.fail_first(jobs, 15.0)
-            check(cluster)
+            await cluster.submit_and_fail_first(jobs, 15.0)
+            check_invariants(cluster)
 
     curio.run(main)
--- a/tests/unit/test_shrinking_workers.py
+++ b/tests/unit/test_shrinking_workers.py
@@ -13,8 +13,8 @@
 from pistachiodeal.model.resources import Resources
 from pistachiodeal.wire.job_messages import Directive, RunningTask, RunOrder
 from tests.standins.job_cluster import build_job, run_cluster
-from tests.standins.job_runner import ROOM, ROOM_TOLD_S
-from tests.unit.test_job_cluster import check, wait_until_begun
+from tests.standins.job_runner import CAPACITY, CAPACITY_REPORT_S
+from tests.unit.test_job_cluster import check_invariants, wait_for_starts
 from tests.unit.test_jobagent_executor import SETTLE_S, build_stage
 from tests.unit.test_jobagent_ledger import build_beat, create_ledger
 from tests.unit.test_leader_crashes import Stage, place
@@ -159,13 +159,13 @@
             jobs = [build_job(number, count=12, steps=2) for number in range(1, 4)]
             for job in jobs:
                 await cluster.entries[0].submit(job)
-            await wait_until_begun(cluster)
-            for room in (SMALL, ROOM, SMALL, ROOM):
+            await wait_for_starts(cluster)
+            for room in (SMALL, CAPACITY, SMALL, CAPACITY):
                 for agent in cluster.agents:
-                    agent.runner.room = room
-                await curio.sleep(2 * ROOM_TOLD_S)
+                    agent.runner.capacity = room
+                await curio.sleep(2 * CAPACITY_REPORT_S)
             for job in jobs:
                 await cluster.wait_for_state(job, JobState.COMPLETED, 30.0)
-            check(cluster)
+            check_invariants(cluster)
 
     curio.run(main)
--- a/tests/unit/test_store_under_load.py
+++ b/tests/unit/test_store_under_load.py
@@ -25,7 +25,7 @@
 from pistachiodeal.platform.rows import PlatformRows, create_rows
 from pistachiodeal.store.patience import LONGEST_S, SHORTEST_S, Patience
 from pistachiodeal.store.row_store import ABSENT, RowCondition, RowWrite, Transaction
-from tests.harness.ports import take_port
+from tests.harness.ports import reserve_port
 from tests.soak.platform import StoreServer
 from tests.standins import base
 from tests.standins.job_cluster import create_quiet_log
@@ -44,7 +44,7 @@
 @asynccontextmanager
 async def run_store() -> AsyncIterator[tuple[RowsState, PlatformRows]]:
     """Run the store's stand-in, and connect a client of the platform to it."""
-    state, port = RowsState(), take_port()
+    state, port = RowsState(), reserve_port()
     server = StoreServer(state)
     sock = curio.network.tcp_server_socket(base.HOST, port, backlog=100)
     task = await curio.spawn(base.serve, server, sock, daemon=True)
