--- a/tests/fuzz_plugin.py
+++ b/tests/fuzz_plugin.py
@@ -1,8 +1,8 @@
-"""Runs the property tests with new random cases, and many of them.
+"""Runs the property tests with many new random cases.
 
-``make test`` runs each property with few cases that are the same every time.
-``make fuzz`` loads this plugin, which takes the derandomization off, raises the
-number of cases and marks the property tests, so that only these run.
+``make test`` runs each property test with a few cases, the same every time.
+``make fuzz`` loads this plugin. It switches derandomization off, raises the number of
+cases and marks the property tests, so that only these run.
 """
 
 from __future__ import annotations
@@ -40,11 +40,11 @@
 def find_state_machine(item: pytest.Item) -> Any:
     """Return the test case class of a state machine, or None."""
     case = getattr(item, "cls", None)
-    # A machine's test case has the settings by which it runs as its own attribute.
+    # The test case of a state machine holds its settings as an attribute.
     return case if isinstance(getattr(case, "settings", None), settings) else None
 
 
 def extend_settings(earlier: settings) -> settings:
-    """Return the settings for a long run."""
+    """Return the settings with random cases, and with the number for a long run."""
     examples = int(os.environ.get("PISTACHIODEAL_FUZZ_EXAMPLES", DEFAULT_EXAMPLES))
     return settings(earlier, derandomize=False, max_examples=examples, print_blob=True)
--- a/tests/harness/calls.py
+++ b/tests/harness/calls.py
@@ -1,4 +1,4 @@
-"""HTTP calls by the standard library, so that tests do not rest on our client."""
+"""HTTP calls by the standard library, so that tests don't depend on our own client."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """A whole answer; header names are in lower case."""
+    """A complete response; header names are in lower case."""
 
     status: int
     headers: Mapping[str, str]
@@ -25,7 +25,7 @@
 
     @property
     def outcome(self) -> str:
-        """Return the outcome that a problem document tells, ``ran`` without one."""
+        """Return the ``outcome`` of a problem document, or ``ran`` for other bodies."""
         if self.headers.get("content-type") != "application/problem+json":
             return "ran"
         return str(self.document()["outcome"])
@@ -40,11 +40,11 @@
     *,
     timeout: float = TIMEOUT_S,
 ) -> Reply:
-    """Make one call on a connection of its own.
+    """Send one request on a new connection.
 
-    :param timeout: seconds without a byte from the peer.
-    :raises OSError: no connection, or no answer in time.
-    :raises http.client.HTTPException: the answer was not whole.
+    :param timeout: longest wait in seconds for the next byte from the peer.
+    :raises OSError: the connection failed, or no response arrived in time.
+    :raises http.client.HTTPException: the response was incomplete.
     """
     connection = http.client.HTTPConnection(address, timeout=timeout)
     try:
@@ -64,7 +64,7 @@
     document: Any = None,
     headers: Mapping[str, str] | None = None,
 ) -> Reply:
-    """Make one call with a JSON body, or with none where ``document`` is None."""
+    """Send one request with a JSON body, or with none if ``document`` is None."""
     body = None if document is None else json.dumps(document)
     kind = {} if body is None else {"content-type": "application/json"}
     return call(address, method, target, {**kind, **(headers or {})}, body)
--- a/tests/harness/cluster.py
+++ b/tests/harness/cluster.py
@@ -20,10 +20,10 @@
 
 
 class Cluster:
-    """Starts processes by name; a name that was used before is a restart.
+    """Starts processes by name; starting a name again restarts that process.
 
-    Wherever a process can be given as a peer, an address ``ip:port`` can be
-    given as well, for example that of a relay in front of it.
+    A peer is given as a process or as an address ``ip:port``, for example that of a
+    relay in front of the process.
     """
 
     def __init__(self, directory: Path) -> None:
@@ -38,7 +38,7 @@
 
     @property
     def processes(self) -> tuple[Process, ...]:
-        """Return all processes, those that were replaced by a restart too."""
+        """Return all processes, including those that a restart has replaced."""
         return (*self._replaced, *self._processes.values())
 
     def start_table(self) -> Process:
@@ -73,7 +73,7 @@
         cpu_milli: int = 1_000,
         memory_mib: int = 1_000,
     ) -> Process:
-        """Start a runner of a service, announced to an agent."""
+        """Start a runner of a service that announces itself to an agent."""
         count = sum(key.startswith(f"{service}-") for key in self._processes)
         name = name or f"{service}-{count + 1}"
         arguments = ["--service", service, "--name", name]
@@ -83,9 +83,9 @@
         return self._start_stand_in(name, "runner", arguments)
 
     def start_relay(self, to: Peer, label: str = "port", name: str = "") -> Process:
-        """Start a relay to a peer; its own address is that of label ``port``.
+        """Start a relay to a peer; it listens on its port labelled ``port``.
 
-        :param label: which port of the peer, where it has several.
+        :param label: port of the peer to relay to, if the peer has several.
         """
         count = sum(key.startswith("relay-") for key in self._processes)
         arguments = ["--to", get_address(to, label)]
@@ -100,7 +100,7 @@
     ) -> Process:
         """Start an entry; a restart keeps its ports.
 
-        :param overrides: sections of the settings, for example ``batch={...}``.
+        :param overrides: settings to change by section, for example ``batch={...}``.
         """
         document = documents.build_entry_settings(
             name,
@@ -125,7 +125,7 @@
     ) -> Process:
         """Start the agent of the worker ``name``; the process is ``agent-{name}``.
 
-        :param node: another name for it, beside an agent that runs.
+        :param node: its node name, if another agent of this worker is running.
         """
         document = documents.build_agent_settings(
             name,
@@ -148,11 +148,11 @@
         headers: Mapping[str, str] | None = None,
         body: bytes | str | None = None,
     ) -> Reply:
-        """Make a caller's call to an entry."""
+        """Send an entry a request as a caller does."""
         return call(get_address(entry, "http"), method, target, headers, body)
 
     def wait_reply(self, entry: Peer, target: str, status: int = 200) -> Reply:
-        """Ask an entry until it answers with this status."""
+        """Repeat a request until the entry responds with this status."""
 
         def poll() -> Reply | None:
             reply = self.http(entry, "GET", target)
@@ -168,12 +168,12 @@
         document: Any = None,
         headers: Mapping[str, str] | None = None,
     ) -> Reply:
-        """Make an operator's call to an entry."""
+        """Send an entry a request with the operator token."""
         token = {"authorization": f"Bearer {documents.TOKEN}", **(headers or {})}
         return call_json(get_address(entry, "http"), method, target, document, token)
 
     def define_profile(self, entry: Peer, name: str, **fields: Any) -> Reply:
-        """Define a profile, or revise the one of this name."""
+        """Create or replace the profile with this name."""
         return self._put(entry, f"/-/profiles/{name}", {"name": name, **fields})
 
     def assign(self, entry: Peer, service: str, profile: str) -> Reply:
@@ -183,7 +183,7 @@
     def submit_task(
         self, entry: Peer, key: str = "", payload: Any = None, **fields: Any
     ) -> Reply:
-        """Submit a task, half a second of work by default."""
+        """Submit a task, with half a second of work by default."""
         work = {"run_s": 0.5} if payload is None else payload
         document = documents.build_task(work, **fields)
         headers = {"idempotency-key": key} if key else {}
@@ -193,7 +193,7 @@
     def wait_task(
         self, entry: Peer, task_id: str, limit_s: float = LIMIT_S
     ) -> dict[str, Any]:
-        """Wait until a task is in a final state; return what the entry shows."""
+        """Wait until a task is in a final state; return the entry's status document."""
         last: Reply | None = None
 
         def poll() -> dict[str, Any] | None:
@@ -208,7 +208,7 @@
             raise NotReachedError(f"{error}, {last}") from None
 
     def faults(self, process: Process, **switches: Any) -> None:
-        """Set switches of a stand-in."""
+        """Set the fault switches of a stand-in."""
         self._control(process, "/faults", switches, "port")
 
     def set_relay(
@@ -223,12 +223,12 @@
         self._control(process, "/mode", asked, "control")
 
     def record(self, process: Process, label: str = "port") -> dict[str, Any]:
-        """Return a stand-in's record (of a relay: label ``control``)."""
+        """Return the record of a stand-in; a relay has it at label ``control``."""
         reply = call(process.address(label), "GET", "/record")
         return dict(reply.document())
 
     def read_events(self, *names: str) -> list[dict[str, Any]]:
-        """Return the events of stand-ins' record files, also of killed ones."""
+        """Return the events in the record files of stand-ins, including killed ones."""
         events: list[dict[str, Any]] = []
         for name in names:
             with self._record_path(name).open() as lines:
@@ -241,7 +241,7 @@
             process.clean_up()
 
     def describe(self) -> str:
-        """Return how each process stands, for a failed test's report."""
+        """Return exit status and last log lines of each process, for a failed test."""
         return "\n\n".join(process.describe_end() for process in self.processes)
 
     def _put(self, entry: Peer, target: str, document: Any) -> Reply:
@@ -280,7 +280,7 @@
         return process
 
     def _find_port(self, name: str, label: str) -> int:
-        """Return the port of a process, the same after a restart."""
+        """Return the port of a process, which stays the same after a restart."""
         if (name, label) not in self._ports:
             self._ports[name, label] = reserve_port()
         return self._ports[name, label]
@@ -294,7 +294,7 @@
 
 
 def get_address(peer: Peer, label: str = "port") -> str:
-    """Return the address of a peer; that of a relay is its ``port``."""
+    """Return the address of a peer; a relay always gives its ``port``."""
     if isinstance(peer, str):
         return peer
     return peer.address("port" if peer.module == RELAY else label)
@@ -302,7 +302,7 @@
 
 @contextmanager
 def run_cluster(directory: Path) -> Iterator[Cluster]:
-    """Yield an empty cluster; end all that it started at the end of the block."""
+    """Yield an empty cluster; kill all its processes at the end of the block."""
     cluster = Cluster(directory)
     try:
         yield cluster
--- a/tests/harness/documents.py
+++ b/tests/harness/documents.py
@@ -11,7 +11,7 @@
 
 Document = dict[str, Any]
 
-# With fewer, rendezvous hashing gives all of them to the entry e1.
+# With fewer partitions, rendezvous hashing assigns all of them to the entry e1.
 PARTITIONS = 4
 LINK: Document = {"ping_s": 0.2, "silent_s": 1.0, "handshake_s": 1.0}
 
@@ -29,7 +29,7 @@
 def build_task(payload: Any, **fields: Any) -> Document:
     """Return the body of a task's submission.
 
-    :param payload: what the stand-in of the worker is to do, see there.
+    :param payload: the work that the worker's stand-in does, see its module.
     """
     return {
         "kind": "press",
@@ -45,7 +45,7 @@
 
 
 def build_entry_settings(name: str, table: str, objects: str) -> Document:
-    """Return the settings of an entry; ports 0 are free ones."""
+    """Return the settings of an entry; port 0 means any free port."""
     return {
         "node": name,
         "data_centre": "dc1",
--- a/tests/harness/ports.py
+++ b/tests/harness/ports.py
@@ -1,8 +1,8 @@
-"""Ports that stay free while the process that uses them restarts.
+"""Reserves ports that stay free while the process that uses them restarts.
 
-A port that the kernel hands out (port 0) lies in the range from which it also
-serves outgoing connections: between a process's end and its restart another
-process's connection can take it, and the restart fails with "address in use".
+The kernel picks a port for port 0 from the ephemeral range, which outgoing connections
+use as well. While a process restarts, a connection of another process can take such a
+port, and the restart fails with "address in use".
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from tests.harness.processes import HOST
 
 MIN_PORT = 12_000
-MAX_PORT = 32_000  # below the range of outgoing connections
+MAX_PORT = 32_000  # below the ephemeral range of outgoing connections
 MAX_WORKERS = 16
 PORTS_PER_WORKER = (MAX_PORT - MIN_PORT) // MAX_WORKERS
 
@@ -22,10 +22,10 @@
 
 
 def reserve_port() -> int:
-    """Return a port that nothing uses, and that this process never gives again."""
+    """Return an unused port, which this process doesn't return a second time."""
     worker = int(os.environ.get("PYTEST_XDIST_WORKER", "gw0")[2:]) % MAX_WORKERS
     first = MIN_PORT + worker * PORTS_PER_WORKER
-    # Another run of the tests on this machine starts elsewhere in the span.
+    # A random offset keeps concurrent test runs on this machine apart.
     offset = random.SystemRandom().randrange(PORTS_PER_WORKER)
     for step in range(PORTS_PER_WORKER):
         port = first + (offset + step) % PORTS_PER_WORKER
@@ -35,18 +35,17 @@
 
 
 def release_ports() -> None:
-    """Give back all ports of this process, once nothing that uses them is left."""
+    """Release all ports of this process; no user of them may be left."""
     while _reserved:
         _reserved.popitem()[1].close()
 
 
 def _reserve(port: int) -> bool:
-    """Keep a port bound, without listening; False when anyone has it.
+    """Bind a port without listening; return False if it is in use.
 
-    Another run of the tests on this machine would otherwise find the same port
-    free before the process that it is meant for has bound it, and one of the two
-    processes end with "address in use". The programs allow the reuse of addresses,
-    so they can bind it beside this socket.
+    Without this, a concurrent test run on this machine could find the same port free
+    before its process has bound it, and one of the two processes would end with
+    "address in use". The programs set SO_REUSEADDR, so they can bind the port as well.
     """
     holder = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
--- a/tests/harness/processes.py
+++ b/tests/harness/processes.py
@@ -1,4 +1,4 @@
-"""One process of a cluster: started, watched by its lines, killed, frozen, ended."""
+"""One process of a cluster: starts it, reads its output, sends it signals."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
 
 class ProcessEndedError(AssertionError):
-    """A process ended while something was awaited of it."""
+    """A process ended while the test waited for its output."""
 
 
 class Process:
     """A module run by this interpreter; its output goes to files in ``directory``.
 
-    :ivar name: unique in the cluster; a restart of the same name appends.
+    :ivar name: unique in the cluster; a restart appends to the same error file.
     :ivar killed_at: when it was killed, on the host's monotonic clock.
     """
 
@@ -51,12 +51,12 @@
 
     @property
     def running(self) -> bool:
-        """Tell whether the process has not ended (it may be frozen)."""
+        """Return whether the process has not ended (it may be frozen)."""
         return self._child.poll() is None
 
     @property
     def errors(self) -> str:
-        """Return what it wrote on standard error, earlier runs included."""
+        """Return its standard error, including that of earlier runs."""
         return self._err.read_text(errors="replace")
 
     def wait_port(self, label: str = "port") -> int:
@@ -76,40 +76,40 @@
         return f"{HOST}:{self.wait_port(label)}"
 
     def wait_log(self, text: str, limit_s: float = LIMIT_S) -> None:
-        """Wait until standard error holds ``text``."""
+        """Wait until standard error contains ``text``."""
         wait_until(lambda: text in self.errors, f"{self.name} logs {text!r}", limit_s)
 
     def kill(self) -> None:
-        """End it at once (SIGKILL), as a crash does."""
+        """Kill it with SIGKILL, like a crash."""
         self.killed_at = time.monotonic()
         self._child.kill()
         self._child.wait()
 
     def freeze(self) -> None:
-        """Stop it where it stands (SIGSTOP), and wait until it stands."""
+        """Suspend it with SIGSTOP, and wait until it is suspended."""
         os.kill(self.pid, signal.SIGSTOP)
-        # The signal only counts once the kernel has stopped every thread.
+        # SIGSTOP takes effect only when the kernel has stopped every thread.
         os.waitid(os.P_PID, self.pid, os.WSTOPPED | os.WEXITED | os.WNOWAIT)
 
     def thaw(self) -> None:
-        """Let it go on (SIGCONT)."""
+        """Resume it with SIGCONT."""
         os.kill(self.pid, signal.SIGCONT)
 
     def terminate(self) -> None:
-        """Ask it to stop gracefully (SIGTERM); returns at once."""
+        """Request a graceful stop with SIGTERM, without waiting for it."""
         self._child.send_signal(signal.SIGTERM)
 
     def wait_end(self, limit_s: float = LIMIT_S) -> int:
-        """Wait until it has ended; return its exit status."""
+        """Wait until it has ended, and return its exit status."""
         return self._child.wait(limit_s)
 
     def clean_up(self) -> None:
-        """End it in whatever state it is."""
+        """Kill it if it is still running or frozen."""
         if self.running:
             self.kill()
 
     def describe_end(self) -> str:
-        """Return how it stands, with the last lines of its standard error."""
+        """Return its exit status and the last lines of its standard error."""
         lines = "\n".join(self.errors.splitlines()[-TAIL_LINES:])
         return f"{self.name} exit status {self._child.poll()}\n{lines}"
 
--- a/tests/harness/waiting.py
+++ b/tests/harness/waiting.py
@@ -1,4 +1,4 @@
-"""Waits on events: polls a condition, with a generous limit."""
+"""Polls a condition until it is true, with a time limit."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 
 class NotReachedError(AssertionError):
-    """What was waited for did not come about within the limit."""
+    """The condition did not become true within the limit."""
 
 
 def wait_until(
     condition: Callable[[], T | None], what: str, limit_s: float = LIMIT_S
 ) -> T:
-    """Return the first value of ``condition`` that is true.
+    """Poll ``condition`` and return its first true value.
 
-    :param what: what is waited for, for the error.
-    :raises NotReachedError: it did not come about; the last value is told.
+    :param what: description of the condition, for the error message.
+    :raises NotReachedError: the limit has passed; the message has the last value.
     """
     end = time.monotonic() + limit_s
     while True:
--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized soak: the real programs as processes, faults from outside them."""
+"""A randomized soak test: real programs as processes, with injected faults."""
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Plays seeds by hand: ``python -m tests.soak --first 1 --seeds 50``."""
+"""Runs soak seeds: ``python -m tests.soak --first 1 --seeds 50``."""
 
 from __future__ import annotations
 
@@ -13,11 +13,13 @@
 
 
 def main() -> None:
-    """Play seeds one after another; keep the logs of those that broke a promise."""
+    """Run seeds one after another; the exit status is 1 if any had a violation."""
     parser = argparse.ArgumentParser(prog="tests.soak")
     parser.add_argument("--first", type=int, default=1)
     parser.add_argument("--seeds", type=int, default=1)
-    parser.add_argument("--seconds", type=float, default=12.0, help="time of faults")
+    parser.add_argument(
+        "--seconds", type=float, default=12.0, help="duration of the faults"
+    )
     parser.add_argument("--folder", default="target/soak", help="for logs")
     options = parser.parse_args()
     failed = 0
@@ -25,12 +27,12 @@
         folder = Path(options.folder) / str(seed)
         folder.mkdir(parents=True, exist_ok=True)
         result = curio.run(lambda: run_seed(seed, folder, faults_s=options.seconds))  # noqa: B023
-        # Kept, the ports of many seeds leave none to other runs of the tests.
+        # The ports of many seeds would leave none for other test runs.
         release_ports()
         print(
             f"seed {seed}: {result.accepted} accepted, {result.refused} refused, "
             f"{result.completed} completed, {result.starts} starts, "
-            f"{len(result.faults)} faults, {len(result.violations)} broken",
+            f"{len(result.faults)} faults, {len(result.violations)} violations",
             flush=True,
         )
         if result.violations:
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers of the soak, and what they were promised."""
+"""Callers of the soak test, and the guarantees that they check."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from tests.soak.platform import TimedInvariantChecker
 
 CALL_TIMEOUT_S = 3.0
-# Promises of the pages, and a margin for a busy machine.
+# Documented limits, and a margin for a busy machine.
 VISIBLE_S = 3.0
 CANCEL_S = 3.0
 MARGIN_S = 1.5
@@ -28,10 +28,10 @@
 
 @dataclass
 class CalledJob:
-    """What a caller knows of its job.
+    """A caller's view of its job.
 
-    :param accepted_at: when it was answered with success, 0 before.
-    :param refused: whether it was told that the job never runs.
+    :param accepted_at: when its submission succeeded, 0 before.
+    :param refused: whether the answer said that the job never runs.
     """
 
     job_id: str
@@ -44,7 +44,7 @@
 
 @dataclass
 class Callers:
-    """All callers; ``violations`` has a line for each promise that was not kept."""
+    """All callers; ``violations`` has a line for each broken guarantee."""
 
     addresses: list[str]
     checker: TimedInvariantChecker
@@ -58,7 +58,7 @@
         ]
 
     async def submit(self, number: int) -> None:
-        """Hand one job in, until it is accepted or refused; maybe cancel it."""
+        """Submit a job until it is accepted or refused, and cancel some of them."""
         job = CalledJob(f"{number:016x}")
         self.jobs[job.job_id] = job
         cancels = self.rng.random() < CANCELLED_SHARE
@@ -72,7 +72,7 @@
             if status == 200:
                 job.accepted_at = time.monotonic()
             elif status in REFUSED:
-                # A try before it that got no answer may have been accepted.
+                # An earlier try without an answer may have been accepted.
                 job.refused = not unknown
             elif status not in UNKNOWN:
                 self.violations.append(f"answered {status}: {job.job_id}")
@@ -83,7 +83,7 @@
             await self._cancel(job)
 
     async def poll_state(self, job: CalledJob) -> bool:
-        """Ask for a job's state; tell whether it is final."""
+        """Query a job's state; return whether it is final."""
         asked_at = time.monotonic()
         status, body = await self._call("GET", job.job_id, b"")
         if status == GONE and asked_at - job.accepted_at > VISIBLE_S + MARGIN_S:
@@ -97,7 +97,7 @@
         return state in FINAL
 
     def check_end(self) -> None:
-        """Check what holds once all faults are over."""
+        """Check the guarantees that hold once all faults are over."""
         for job in self.jobs.values():
             starts = self._list_starts(job)
             if job.refused and starts:
@@ -115,7 +115,7 @@
     def _check_change(self, job: CalledJob, state: str) -> None:
         if job.state not in FINAL:
             return
-        # A cancellation is told by its row, and by the leader once it has seen the row.
+        # An entry answers "cancelled" by the row, the leader only after reading it.
         lag_s = time.monotonic() - job.state_at
         if job.state == "cancelled" and lag_s < VISIBLE_S:
             return
--- a/tests/soak/deployment.py
+++ b/tests/soak/deployment.py
@@ -1,4 +1,4 @@
-"""Entries and agents as processes, each on a loopback address of its own."""
+"""Entries and agents as processes, each on its own loopback address."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Node:
-    """One VM: its process, and the relays through which it sees the platform."""
+    """One VM: its process, and the relays between it and the platform."""
 
     def __init__(self, name: str, module: str, settings: dict[str, Any], folder: Path):
         self.name = name
@@ -39,23 +39,23 @@
 
     @property
     def up(self) -> bool:
-        """Tell whether its process has not ended."""
+        """Return whether its process has not ended."""
         return self.process is not None and self.process.running
 
     def start(self) -> None:
-        """Start its process again."""
+        """Start or restart its process."""
         self.process = Process(
             self.name, self.module, ["--settings", str(self._path)], self._folder
         )
 
     def stop(self) -> None:
-        """End its process, in whatever state it is."""
+        """Kill its process, whatever state it is in."""
         if self.process is not None:
             self.process.clean_up()
 
 
 class Deployment:
-    """The platform's stand-ins and all nodes."""
+    """The stand-ins for the platform, and all nodes."""
 
     def __init__(self, entries: int, agents: int, folder: Path, seed: int) -> None:
         self.state = RowsState()
@@ -86,13 +86,13 @@
         return [*self.entries, *self.agents]
 
     def list_caller_addresses(self) -> list[str]:
-        """Return where callers reach the entries."""
+        """Return the addresses at which callers reach the entries."""
         return [f"{host}:{self._ports['front']}" for host in self._hosts]
 
     def configure(self) -> None:
-        """Put the next version of the configuration into force."""
+        """Publish the next version of the configuration."""
         self._version += 1
-        # Callers name an entry by its address, so each has a queue of its own.
+        # Callers use an entry's address as the host, so each entry needs its own route.
         routes = [
             {
                 "name": f"queue-{number}",
@@ -133,7 +133,7 @@
             node.start()
 
     def stop(self) -> None:
-        """End all processes that were started here."""
+        """Kill the processes of all nodes."""
         for node in self.nodes:
             node.stop()
 
@@ -157,7 +157,7 @@
             "host": host,
             "data_centre": "dc",
             "peer_ports": [self._ports["peer"], self._ports["peer"]],
-            "seed_peers": [f"{one}:{self._ports['beat']}" for one in self._hosts],
+            "seed_peers": [f"{peer}:{self._ports['beat']}" for peer in self._hosts],
             "peer_secret": "soak",
             "listen": {
                 "callers": f"{host}:{self._ports['front']}",
--- a/tests/soak/driver.py
+++ b/tests/soak/driver.py
@@ -1,4 +1,4 @@
-"""Plays one seed: callers, faults, and the check of the promises."""
+"""Runs one seed: callers, faults, and the check of the guarantees."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 JOB_EVERY_S = 0.12
 START_S = 2.5
-# After the last fault: a lease and a take-over, and the work that waits.
+# Time after the last fault for a lease to expire, a take-over and the queued work.
 FINISH_S = 40.0
 WATCH_PAUSE_S = 0.25
 
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """What a seed showed."""
+    """The result of a seed."""
 
     seed: int
     accepted: int
@@ -36,7 +36,11 @@
 async def run_seed(
     seed: int, folder: Path, *, faults_s: float, entries: int = 3, agents: int = 4
 ) -> Result:
-    """Play a seed."""
+    """Run a seed.
+
+    :param folder: for settings and logs of the processes.
+    :param faults_s: for how many seconds faults are injected.
+    """
     rng = random.Random(seed)
     deployment = Deployment(entries, agents, folder, seed)
     callers = Callers(deployment.list_caller_addresses(), deployment.checker, rng)
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -1,4 +1,4 @@
-"""Faults of the soak: what may happen to processes, links, the store and runners."""
+"""Injects faults into processes, links, the store and runners of the soak test."""
 
 from __future__ import annotations
 
@@ -16,13 +16,14 @@
 MAX_FAULT_S = 4.0
 RESTART_S = 0.6
 STORE_MODES = ("silent", "cut", "refuse")
-# A runner listens on its agent's own VM, so only its end refuses connections; a runner
-# that refused and went on would be taken for gone, and its tasks would run twice.
+# A runner listens on its agent's own VM, so connections are refused only after it has
+# ended. A running runner that refuses them would be taken for gone, and its tasks would
+# run twice.
 RUNNER_MODES = ("silent", "cut")
 
 
 class FaultInjector:
-    """Makes one fault at a time of one kind; kinds overlap."""
+    """Injects random faults of all kinds, some of them at the same time."""
 
     def __init__(self, deployment: Deployment, rng: random.Random) -> None:
         self._deployment = deployment
@@ -31,7 +32,7 @@
         self.log: list[str] = []
 
     async def run(self, until: Callable[[], bool]) -> None:
-        """Make faults, a few of them overlapping, until told to end."""
+        """Start random faults until ``until`` returns true; some of them overlap."""
         async with curio.TaskGroup() as group:
             while not until():
                 fault = self._rng.choice(self._list_kinds())
@@ -39,7 +40,7 @@
                 await curio.sleep(self._rng.uniform(0.1, 1.5))
 
     async def clear_all(self) -> None:
-        """End everything that goes on, and start what is down."""
+        """End all faults, and start the processes that are down."""
         state = self._deployment.state
         state.faults = StoreFaults()
         for runner in self._deployment.runners:
@@ -71,7 +72,7 @@
         return self._rng.choice(free) if free else None
 
     async def _sustain(self, name: str, what: str) -> None:
-        """Let a fault last."""
+        """Log a fault, and wait for a random duration."""
         for_s = self._rng.uniform(0.3, MAX_FAULT_S)
         self.log.append(f"{what} {name} {for_s:.1f} s")
         await curio.sleep(for_s)
--- a/tests/soak/platform.py
+++ b/tests/soak/platform.py
@@ -1,4 +1,4 @@
-"""The platform over HTTP, inside the soak's own process: its store and its runners."""
+"""The platform's store and runners over HTTP, in the soak test's own process."""
 
 from __future__ import annotations
 
@@ -39,18 +39,18 @@
 
 @dataclass
 class TimedInvariantChecker(InvariantChecker):
-    """A witness that also knows when each task was started last."""
+    """An invariant checker that also records when each task was last started."""
 
     started_at: dict[str, float] = field(default_factory=dict)
 
     def record_start(self, task: str, run: int, worker: str) -> None:
-        """Note that a runner began a run."""
+        """Record that a runner has started a run."""
         super().record_start(task, run, worker)
         self.started_at[task] = time.monotonic()
 
 
 class StoreServer(base.StandIn):
-    """The store's calls on rows in memory."""
+    """Serves the store's calls from rows in memory."""
 
     def __init__(self, state: RowsState) -> None:
         super().__init__()
@@ -76,15 +76,15 @@
 
     async def _commit(self, document: dict[str, Any]) -> base.Answer:
         conditions = tuple(
-            RowCondition(one["table"], one["key"], one["schema_version"])
-            for one in document.get("expected_rev", ())
+            RowCondition(row["table"], row["key"], row["schema_version"])
+            for row in document.get("expected_rev", ())
         )
         writes = [
-            RowWrite(one["table"], one["key"], b64decode(one["value"]), one["part"])
-            for one in document.get("writes", ())
+            RowWrite(row["table"], row["key"], b64decode(row["value"]), row["part"])
+            for row in document.get("writes", ())
         ]
-        for one in document.get("remove", ()):
-            writes.append(RowWrite(one["table"], one["key"], None, one["part"]))
+        for row in document.get("remove", ()):
+            writes.append(RowWrite(row["table"], row["key"], None, row["part"]))
         result = await self._rows.commit(Transaction(conditions, tuple(writes)))
         if result.committed:
             return base.answer_json({"schema_version": result.version})
@@ -120,7 +120,7 @@
 
 
 class RunnerServer(base.StandIn):
-    """One runner: its calls, and its heartbeats to the agent beside it."""
+    """Serves one runner's calls, and sends its heartbeats to the agent beside it."""
 
     def __init__(self, runner: MemoryRunner, control: str) -> None:
         super().__init__()
@@ -128,7 +128,7 @@
         self._agent = create_client(control, connections=2)
 
     def connect(self) -> Callable[[base.Call], Awaitable[base.Answer]]:
-        """Return what answers a connection, which ends with this start."""
+        """Return the handler of a connection, which a restart of the runner ends."""
         worker = self.runner.worker
 
         async def answer(call: base.Call) -> base.Answer:
@@ -141,7 +141,7 @@
     async def handle(self, operation: str, call: base.Call) -> base.Answer:
         """Carry a call out."""
         document = call.document()
-        # The header says which runner is meant, and not which of its starts.
+        # The header identifies the runner, but not its incarnation.
         runner_id = call.headers.get("expect-instance", "")
         worker = self.runner.worker
         if get_runner(worker) != runner_id:
@@ -161,7 +161,7 @@
         return self._answer(await self.runner.pace(worker, token, task, run, percent))
 
     async def send_heartbeats(self) -> None:
-        """Send heartbeats for ever."""
+        """Send heartbeats until cancelled."""
         while True:
             beat = self.runner.build_heartbeat()
             runner_id = get_runner(beat.worker)
@@ -184,7 +184,7 @@
                     timeout=HEARTBEAT_TIMEOUT_S,
                 )
             except CallError:
-                # An agent that is down or stopped hears the next one.
+                # An agent that is down or frozen gets the next heartbeat.
                 await self._agent.close()
             await curio.sleep(HEARTBEAT_S)
 
@@ -199,12 +199,12 @@
         if listing.result is not CallResult.DONE:
             return self._answer(listing.result)
         running = [
-            [one.task, one.run, one.checkpoint, one.percent, one.figure]
-            for one in listing.running
+            [run.task, run.run, run.checkpoint, run.percent, run.figure]
+            for run in listing.running
         ]
         ended = [
-            [one.number, one.task, one.run, one.how, one.checkpoint]
-            for one in listing.ends
+            [end.number, end.task, end.run, end.how, end.checkpoint]
+            for end in listing.ends
         ]
         return base.answer_json(
             {
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -1,4 +1,4 @@
-"""Short seeded runs of the soak; longer ones by ``python -m tests.soak``."""
+"""Short soak runs with fixed seeds; ``python -m tests.soak`` runs longer ones."""
 
 from __future__ import annotations
 
@@ -9,21 +9,24 @@
 
 FAULTS_S = 6.0
 
-# Seeds that broke a promise once, and why.
+# Seeds that once found a fault, and its cause.
 FAILED_SEEDS = (
-    # A caller was told "cancelled" and then "active": the leader waited for its feed.
+    # A caller got "cancelled" and then "active": the leader waited for its feed.
     1,
-    # Six tasks ran twice: a relay refused connections to a runner that went on, which
-    # no runner of the platform does; the soak cuts such links without refusing since.
+    # Six tasks ran twice: a relay refused connections to a runner that kept running,
+    # which no runner of the platform does. Such links are now cut without refusing.
     13,
-    # Four jobs stayed active: an order met a restarted agent that knew no worker yet.
+    # Four jobs stayed active: an order reached a restarted agent that didn't know its
+    # worker yet.
     52,
 )
 
 
 @pytest.mark.parametrize("seed", FAILED_SEEDS)
-def test_no_promise_is_broken(seed, tmp_path):
-    """Real programs under kills, freezes, cuts, and a store and runners that fail."""
+def test_faults_break_no_guarantee(seed, tmp_path):
+    """Guards against faults that only kills, freezes, cut links, store and runner
+    failures in combination cause.
+    """
     result = curio.run(lambda: run_seed(seed, tmp_path, faults_s=FAULTS_S))
     assert result.violations == (), (result.violations, result.faults)
     assert result.completed > 0
--- a/tests/standins/base.py
+++ b/tests/standins/base.py
@@ -1,8 +1,8 @@
-"""What all stand-ins share: an HTTP server, faults and a record.
+"""Shared base of the stand-ins: an HTTP server, fault switches and a record.
 
-The server is not :mod:`pistachiodeal.web.server`: a stand-in has to break off in
-the middle of an answer, or give none, and its record has to stay independent of
-the code that is under test.
+The server is not :mod:`pistachiodeal.web.server`, because a stand-in has to cut a
+response short or send none, and its record has to be independent of the code under
+test.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """A request that was received whole."""
+    """A completely received request."""
 
     method: str
     path: str
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """An answer; ``cut`` sends this many bytes of the body, then closes."""
+    """A response; with ``cut``, only so many bytes of the body, then a close."""
 
     status: int = 200
     body: bytes = b""
@@ -55,22 +55,21 @@
 
 
 class AnswerLostError(Exception):
-    """Close the connection without an answer."""
+    """The connection closes without a response."""
 
 
 @dataclass(slots=True)
 class Faults:
-    """Switches set by ``POST /faults``.
-
-    :param down: answer 503 at once; nothing takes effect.
-    :param slow_s: seconds before a call takes effect.
-    :param lose_answers: the next calls take effect but get no answer.
-    :param frozen: accept, do and answer nothing until it is off again.
-    :param mute: do what is asked, but answer nothing until it is off again.
-    :param usage_lag_s: age of the measurements that a worker reports.
-    :param fail_all: a worker fails all that it is given from now on.
-    :param only: limits the faults to operations that begin with one of these;
-        empty means all.
+    """Fault switches, set by ``POST /faults``.
+
+    :param down: answer 503 at once, without executing the call.
+    :param slow_s: delay in seconds before a call is executed.
+    :param lose_answers: number of next calls that are executed but get no response.
+    :param frozen: neither execute nor answer calls until it is off again.
+    :param mute: execute calls, but answer none until it is off again.
+    :param usage_lag_s: age in seconds of the measurements that a worker reports.
+    :param fail_all: a worker fails every task that starts from now on.
+    :param only: prefixes of the operations that faults apply to; empty means all.
     """
 
     down: bool = False
@@ -92,7 +91,7 @@
 
 
 class Record:
-    """An append-only record, in memory (bounded) and in a file that outlives us."""
+    """An append-only log, bounded in memory, and in a file that survives a kill."""
 
     def __init__(self, path: str = "") -> None:
         self._file = open(path, "a", buffering=1) if path else None  # noqa: SIM115
@@ -106,7 +105,7 @@
 
 
 class StandIn:
-    """Base of the stand-ins: ``operation`` names a call, ``handle`` does it."""
+    """Base of the stand-ins: ``operation`` names a call, ``handle`` executes it."""
 
     lossy: frozenset[str] | None = None  # operations whose answers may be lost
 
@@ -117,23 +116,23 @@
         self._faulted: Counter[str] = Counter()
 
     def operation(self, call: Call) -> str:
-        """Return the name by which faults may be limited to a call."""
+        """Return the operation of a call, by which ``Faults.only`` selects calls."""
         return call.path.strip("/").partition("/")[0]
 
     async def handle(self, operation: str, call: Call) -> Answer:
-        """Carry a call out."""
+        """Execute a call."""
         raise NotImplementedError
 
     def build_record(self) -> dict[str, Any]:
-        """Return what ``GET /record`` shows."""
+        """Return the document for ``GET /record``."""
         return {"log": list(self.record.events)}
 
     def connect(self) -> Callable[[Call], Awaitable[Answer]]:
-        """Return what answers the calls of one new connection."""
+        """Return the handler for the calls of one new connection."""
         return self.answer
 
     async def answer(self, call: Call) -> Answer:
-        """Answer a call, with the faults that are set."""
+        """Answer a call under the current faults."""
         if call.path == "/record":
             shown = {
                 "held": sum(self._held.values()),
@@ -166,7 +165,7 @@
         return answer
 
     async def _hold_while(self, operation: str, switch: str) -> None:
-        """Keep a call while a switch is on; a call whose sender died stays, too."""
+        """Hold a call while a switch is on, even if its sender has died."""
         self._held[operation] += 1
         while getattr(self.faults, switch) and self._is_affected(operation):
             await curio.sleep(UNFREEZE_POLL_S)
@@ -182,12 +181,12 @@
 
 
 def answer_error(status: int, code: str) -> Answer:
-    """Return an error with a code."""
+    """Return an error response with a code."""
     return answer_json({"code": code}, status)
 
 
 async def serve_http(sock: Socket, answer: Callable[[Call], Awaitable[Answer]]) -> None:
-    """Answer the requests of one connection until either end closes it."""
+    """Serve the requests of one connection until either end closes it."""
     connection = h11.Connection(h11.SERVER)
     try:
         while call := await _read_call(connection, sock):
@@ -251,22 +250,24 @@
 
 
 def create_parser(name: str) -> argparse.ArgumentParser:
-    """Return a parser with the options of every stand-in."""
+    """Return a parser with the options that all stand-ins have."""
     parser = argparse.ArgumentParser(prog=f"tests.standins.{name}")
     parser.add_argument("--port", type=int, default=0)
-    parser.add_argument("--record-file", default="", help="record that outlives us")
+    parser.add_argument(
+        "--record-file", default="", help="record file that survives a kill"
+    )
     return parser
 
 
 def open_port(port: int, label: str = "port") -> Socket:
-    """Listen, and print the port."""
+    """Open a listening socket, and print its port."""
     sock = tcp_server_socket(HOST, port, backlog=1000)
     print(label, sock.getsockname()[1], flush=True)
     return sock
 
 
 async def serve(stand_in: StandIn, sock: Socket) -> None:
-    """Answer calls for ever."""
+    """Serve calls until cancelled."""
 
     async def serve_client(client: Socket, _address: Any) -> None:
         await serve_http(client, stand_in.connect())
@@ -275,15 +276,15 @@
 
 
 async def run_stand_in(stand_in: StandIn, port: int) -> None:
-    """Listen and answer calls for ever."""
+    """Listen and serve calls until cancelled."""
     await serve(stand_in, open_port(port))
 
 
 def create_counter(start: int = 1) -> Callable[[], int]:
-    """Return a function that counts up."""
+    """Return a function that returns the next integer at each call."""
     return itertools.count(start).__next__
 
 
 def now() -> float:
-    """Return the host's monotonic clock, which all stand-ins of a host share."""
+    """Return the host's monotonic clock, shared by all its processes, in seconds."""
     return time.monotonic()
--- a/tests/standins/job_cluster.py
+++ b/tests/standins/job_cluster.py
@@ -1,7 +1,7 @@
-"""Entries and agents of the product in one process, on the memory stand-ins.
+"""Runs entries and agents in one process, against the in-memory stand-ins.
 
-Links are real, over loopback; a "process" is a group of curio tasks, and killing it
-cancels them all at once.
+Links are real TCP connections over loopback. A "process" is a group of curio tasks;
+killing it cancels them all.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
 
 
 def build_job(number: int, *, count: int = 3, steps: int = 2) -> Job:
-    """Return a job of equal steps, each after the one before."""
+    """Return a job of equal steps, each of which depends on the previous one."""
     size = Resources(1_000, 1_000, 0)
     built = tuple(
         Step(count, size, 0.2, (index - 1,) if index else ()) for index in range(steps)
@@ -57,23 +57,23 @@
 
 @dataclass
 class Process:
-    """A group of tasks that live and die together."""
+    """A group of curio tasks that are started and cancelled together."""
 
     tasks: list[curio.Task] = field(default_factory=list)
 
     async def start(self, *children: Callable[[], Awaitable[None]]) -> None:
-        """Run children until killed."""
+        """Spawn the children, which run until the process is killed."""
         for child in children:
             self.tasks.append(await curio.spawn(child, daemon=True))
 
     async def kill(self) -> None:
-        """Cancel everything."""
+        """Cancel all tasks of the process."""
         while self.tasks:
             await self.tasks.pop().cancel()
 
 
 class EntryProcess(Process):
-    """An entry without its HTTP side."""
+    """An entry without its HTTP server."""
 
     def __init__(self, name: str, state: RowsState, addresses: list[str]) -> None:
         super().__init__()
@@ -85,7 +85,7 @@
         self.fitness = 1.0
 
     async def boot(self) -> None:
-        """Start a new life."""
+        """Start the process with a new incarnation."""
         self.incarnation += 1
         self.store = MemoryRows(self.state)
         self.events = events = create_quiet_log()
@@ -118,19 +118,19 @@
         )
 
     async def submit(self, job: Job) -> None:
-        """Accept a job."""
+        """Accept a job, as the entry's HTTP API does."""
         await self.acceptance.insert(job.job_id, encode_job(job), 3.0)
         await self.states.announce(job.job_id)
 
     async def cancel(self, job: Job) -> None:
-        """Cancel a job."""
+        """Cancel a job, as the entry's HTTP API does."""
         key = build_cancel_key(job.job_id)
         await self.acceptance.insert(key, CANCEL_VALUE, 3.0)
         await self.states.announce(key)
 
 
 class AgentProcess(Process):
-    """An agent beside a runner."""
+    """An agent and the runner beside it."""
 
     def __init__(
         self, name: str, state: RowsState, addresses: list[str], runner: MemoryRunner
@@ -144,7 +144,7 @@
         self.incarnation = 0
 
     async def boot(self) -> None:
-        """Start a new life; the runner goes on by itself."""
+        """Start the process with a new incarnation; the runner keeps running."""
         self.incarnation += 1
         events = create_quiet_log()
         signals = AgentSignals()
@@ -176,7 +176,7 @@
 
 @dataclass
 class JobCluster:
-    """All processes, and the witness."""
+    """All processes, the store's state and the invariant checker."""
 
     state: RowsState
     checker: InvariantChecker
@@ -184,7 +184,7 @@
     agents: list[AgentProcess]
 
     def find_leader(self) -> EntryProcess | None:
-        """Return the entry that leads."""
+        """Return the entry that leads and has loaded its state, or None."""
         for entry in self.entries:
             leadership = entry.seat.leadership if entry.tasks else None
             if leadership is not None and leadership.loaded:
@@ -192,15 +192,15 @@
         return None
 
     def close(self, data_centre: str) -> None:
-        """Close a data centre, as the operator does."""
+        """Close a data centre, as an operator does."""
         close_data_centre(self.state, data_centre)
 
     def reopen(self, data_centre: str) -> None:
-        """Take the closing of a data centre back."""
+        """Reopen a closed data centre."""
         close_data_centre(self.state, data_centre, value=None)
 
     async def submit_and_fail_first(self, jobs: list[Job], timeout: float) -> None:
-        """Hand jobs in; wait until the first has failed and the others are done."""
+        """Submit jobs; wait until the first has failed and the others are completed."""
         for job in jobs:
             await self.entries[0].submit(job)
         await self.wait_for_state(jobs[0], JobState.FAILED, timeout)
@@ -210,9 +210,10 @@
     async def wait_for_state(
         self, job: Job, state: JobState, timeout: float = 10.0
     ) -> None:
-        """Wait until any entry shows a job's state.
+        """Wait until any entry reports that a job is in this state.
 
-        :raises AssertionError: it is not shown in time.
+        :param timeout: limit in seconds.
+        :raises AssertionError: no entry reported the state in time.
         """
         deadline = time.monotonic() + timeout
         shown = None
@@ -229,7 +230,7 @@
 def close_data_centre(
     state: RowsState, data_centre: str, *, value: bytes | None = b"{}"
 ) -> None:
-    """Write the row that closes a data centre; no value removes it."""
+    """Write the row that closes a data centre; ``None`` removes the row."""
     write = RowWrite(CLOSURES_TABLE, CLOSURE_PREFIX + data_centre, value)
     state.apply(Transaction((), (write,)))
 
@@ -238,7 +239,10 @@
 async def run_cluster(
     *, entries: int = 2, agents: int = 2, work_s: float = 0.2, seed: int = 1
 ) -> AsyncIterator[JobCluster]:
-    """Run a cluster until the end of the block."""
+    """Run a cluster until the end of the block.
+
+    :param work_s: how long a task runs, in seconds.
+    """
     state, checker = RowsState(), InvariantChecker()
     state.rng.seed(seed)
     addresses = [f"127.0.0.1:{reserve_port()}" for _ in range(entries)]
@@ -267,7 +271,7 @@
 
 
 def create_quiet_log() -> EventLog:
-    """Return a log that nobody reads."""
+    """Return a log that writes to PISTACHIODEAL_TEST_EVENTS, by default nowhere."""
     path = os.environ.get("PISTACHIODEAL_TEST_EVENTS", os.devnull)
     flags = os.O_WRONLY | os.O_CREAT | os.O_APPEND
     return EventLog(os.open(path, flags, 0o644), "test")
--- a/tests/standins/job_runner.py
+++ b/tests/standins/job_runner.py
@@ -1,4 +1,4 @@
-"""A runner in memory: leases, fencing tokens, late orders; it sees what it is told."""
+"""An in-memory runner with leases, fencing tokens and late or lost orders."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from pistachiodeal.wire.job_messages import EndedTask, RunningTask
 
 CAPACITY = Resources(16_000, 64_000, 0)
-# What each task takes, as jobs of the stand-in cluster declare it.
+# Size that the jobs of the stand-in cluster declare for each task.
 TASK_SIZE = Resources(1_000, 1_000, 0)
-# A runner has told its agent of a smaller room by then.
+# By then, a heartbeat has reported a smaller capacity to the agent.
 CAPACITY_REPORT_S = 0.3
 CLOCK_STEP_MS = 3_600_000
 
 
 @dataclass
 class TaskHistory:
-    """What all runners together have seen of one task."""
+    """What all runners together have recorded of one task."""
 
     alive: dict[int, str] = field(default_factory=dict)
     done: bool = False
@@ -33,17 +33,20 @@
     starts_after_crashes: int = 0
 
 
-# What the platform allows of a task that crashes the runners that start it.
+# After this many crashes, the platform allows a task only this many more starts.
 ALLOWED_CRASHES = 3
 STARTS_AFTER_CRASHES = 2
 
 
 @dataclass
 class InvariantChecker:
-    """Watches all runners for a broken promise.
+    """Records what all runners do, and checks the invariants of task execution.
 
-    :ivar started_tasks: names of the tasks that each runner has begun, by incarnation.
-    :ivar violations: one line for each.
+    No task runs twice at once or again after its acknowledged end, and a task that
+    crashes runners isn't started too often.
+
+    :ivar started_tasks: names of the tasks started by each runner, by incarnation.
+    :ivar violations: one line for each violated invariant.
     """
 
     tasks: dict[str, TaskHistory] = field(default_factory=dict)
@@ -51,15 +54,17 @@
     violations: list[str] = field(default_factory=list)
 
     def record_start(self, task: str, run: int, worker: str) -> None:
-        """Note that a runner began a run."""
+        """Record that a runner has started a run."""
         self.started_tasks.setdefault(worker, []).append(task)
         history = self.tasks.setdefault(task, TaskHistory())
         if history.alive:
             self.violations.append(
-                f"twice: {task} run {run} on {worker}, {history.alive}"
+                f"runs twice: {task} run {run} on {worker}, {history.alive}"
             )
         if history.done_acknowledged:
-            self.violations.append(f"again after its noted end: {task} run {run}")
+            self.violations.append(
+                f"started again after its acknowledged end: {task} run {run}"
+            )
         history.starts += 1
         history.alive[run] = worker
         if history.crashes < ALLOWED_CRASHES:
@@ -71,24 +76,24 @@
             )
 
     def record_crash(self, task: str) -> None:
-        """Note that a run has ended its runner."""
+        """Record that a run has crashed its runner."""
         self.tasks[task].crashes += 1
 
     def record_end(self, task: str, run: int, how: str) -> None:
-        """Note that a run ended."""
+        """Record that a run has ended."""
         history = self.tasks[task]
         history.alive.pop(run, None)
         history.done |= how == "done"
 
     def record_acknowledged(self, task: str, how: str) -> None:
-        """Note that an end was acknowledged."""
+        """Record that the end of a run was acknowledged."""
         if how == "done":
             self.tasks[task].done_acknowledged = True
 
 
 @dataclass
 class ActiveRun:
-    """A run at work."""
+    """A run in progress."""
 
     task: str
     run: int
@@ -98,13 +103,13 @@
 
 @dataclass
 class RunnerFaults:
-    """What goes wrong at the moment.
+    """The faults in force.
 
-    :param late: share of the orders that are carried out ``late_s`` later.
-    :param lost: share of the orders that are carried out and not answered.
+    :param late: share of the orders that are executed ``late_s`` later, unanswered.
+    :param lost: share of the orders that are executed and not answered.
     :param crashing_tasks: tasks that crash the runner, ``crash_after_s`` after they
         start.
-    :param down_s: how long a crashed runner is away.
+    :param down_s: seconds for which a crashed runner is down.
     """
 
     late: float = 0.0
@@ -116,10 +121,11 @@
 
 
 class MemoryRunner:
-    """One runner's machine; :meth:`crash` gives it a new incarnation.
+    """One runner; :meth:`crash` gives it a new incarnation.
 
-    :ivar same_id_share: share of its crashes from which it comes back under its id.
-    :ivar reports_start: whether it says when it started.
+    :ivar same_id_share: share of its crashes after which it keeps its id.
+    :ivar reports_start: whether it reports when it started.
+    :ivar endless_tasks: tasks that don't end by themselves.
     """
 
     def __init__(
@@ -145,7 +151,7 @@
 
     @property
     def worker(self) -> str:
-        """Return the incarnation."""
+        """Return the name of the current incarnation."""
         runner = f"{self._name}-{self._ids}"
         if not self.reports_start:
             return runner
@@ -153,13 +159,13 @@
 
     @property
     def down(self) -> bool:
-        """Tell whether nothing listens at the runner's address."""
+        """Return whether nothing listens at the runner's address."""
         self._advance()
         return time.monotonic() < self._up_at
 
     @property
     def capacity(self) -> Resources:
-        """Return what the runner has; it starts what is over it all the same."""
+        """Return the runner's capacity, which it reports but doesn't enforce."""
         return self._capacity
 
     @capacity.setter
@@ -167,7 +173,7 @@
         self._capacity, self._capacity_set_at = capacity, time.monotonic()
 
     def crash(self) -> None:
-        """End everything and come back as another incarnation."""
+        """Lose all runs, and restart as another incarnation."""
         self._ids += self._start_rng.random() >= self.same_id_share
         for work in list(self._running.values()):
             self._checker.record_end(work.task, work.run, "lost")
@@ -264,11 +270,12 @@
 
     async def _execute_late(self, order, incarnation: int) -> None:
         await curio.sleep(self.faults.late_s)
-        # Nothing could tell a start that nobody has called yet that the order is old;
-        # the platform's runners hold nothing of before, orders included.
+        # A runner that no call has reached since its restart has no token yet and can't
+        # tell that the order is old. The platform's runners keep nothing from before
+        # a restart, including orders.
         if self.down or (incarnation != self._incarnation and not self._token):
             return
-        # The connection is gone by then, and an id is all that names the runner.
+        # The order's connection is gone, so only the id identifies the runner.
         self._late = True
         order()
         self._late = False
@@ -309,7 +316,9 @@
         if now - self._capacity_set_at > CAPACITY_REPORT_S and not used.fits(
             self._capacity
         ):
-            self._checker.violations.append(f"over the room: {task} on {self.worker}")
+            self._checker.violations.append(
+                f"over the capacity: {task} on {self.worker}"
+            )
 
     def _stop(self, worker: str, token: int, task: str, run: int) -> CallResult:
         result = self._admit(worker, token)
--- a/tests/standins/objects.py
+++ b/tests/standins/objects.py
@@ -23,11 +23,11 @@
         self._counts = {"put": 0, "get": 0, "delete": 0}
 
     def operation(self, call: base.Call) -> str:
-        """Name a call by its method."""
+        """Return the call's method as its operation."""
         return call.method.lower()
 
     async def handle(self, operation: str, call: base.Call) -> base.Answer:
-        """Carry a call out."""
+        """Execute a call."""
         if not call.path.startswith(PREFIX) or operation not in self._counts:
             return base.answer_error(404, "no_such_operation")
         key = unquote(call.path.removeprefix(PREFIX))
@@ -47,7 +47,7 @@
         return base.answer_json({})
 
     def build_record(self) -> dict[str, Any]:
-        """Return counts, the number of objects and the log of changes."""
+        """Return call counts, the number of objects and the log of changes."""
         return {**self._counts, "objects": len(self._objects), **super().build_record()}
 
 
--- a/tests/standins/paced_fleet.py
+++ b/tests/standins/paced_fleet.py
@@ -1,8 +1,8 @@
-"""A fleet in simulated time: workers that learn from each other, and what fills them.
+"""Simulates a fleet of workers whose serving tasks share cores with filling tasks.
 
-The leader's own model learns pairs of images and chooses workers. Besides wrong
-beliefs, serving tasks may be slow by themselves for a while, agents start anew, and
-paces get lost or come into force late.
+The leader's own model learns the interference of pairs of images and chooses workers.
+Besides wrong estimates, the faults are serving tasks that are slow by themselves for a
+while, restarts of agents, and paces that get lost or take effect late.
 """
 
 from __future__ import annotations
@@ -35,19 +35,20 @@
 
 FILLING_IMAGES = 18
 SERVING_IMAGES = 3
-# Tasks that save nothing and are far on are left where they are.
+# Share of the tasks that the leader never moves, since they have no checkpoint and are
+# nearly done.
 PINNED_SHARE = 0.15
 SLOWDOWN_S = 6.0
 
 
 @dataclass(frozen=True, slots=True)
 class FleetFaults:
-    """What goes wrong on each worker.
+    """Rates of the faults on each worker.
 
-    :param late: share of the paces that come into force late, without an answer.
-    :param lost: share of the paces that get no answer and never come into force.
-    :param slowdowns: how often a second a serving task turns slow by itself.
-    :param agent_restarts: how often a second the agent starts anew.
+    :param late: share of the paces that get no answer and take effect late.
+    :param lost: share of the paces that get no answer and never take effect.
+    :param slowdowns: how often a second a serving task becomes slow by itself.
+    :param agent_restarts: how often a second the agent restarts.
     """
 
     late: float = 0.0
@@ -60,9 +61,9 @@
 
 
 class PacedFleet:
-    """Workers that learn from each other, and filling work that finds its way there.
+    """Workers that share one interference model, and filling tasks placed by it.
 
-    :param estimates: what is believed of pairs for good; learnt where it is left out.
+    :param estimates: fixed interference estimates of pairs; None lets the model learn.
     """
 
     def __init__(
@@ -102,7 +103,7 @@
 
     @property
     def longest_over_s(self) -> float:
-        """Return the longest time for which neighbours kept a task over its aim."""
+        """Return the longest time for which neighbours kept a task over its target."""
         return max(
             serving.longest_over_s
             for worker in self.workers
@@ -111,20 +112,21 @@
 
     @property
     def over_share(self) -> float:
-        """Return the share of time that serving tasks were over by others' doing."""
+        """Return the share of time that neighbours kept serving tasks over target."""
         whole = sum(worker.time_s for worker in self.workers)
         return sum(worker.over_s for worker in self.workers) / whole
 
     @property
     def work_done(self) -> float:
-        """Return the filling work done, in tasks at full speed for each worker."""
+        """Return the filling work done, as tasks at full speed per worker."""
         whole = sum(worker.time_s for worker in self.workers)
         return sum(worker.done_s for worker in self.workers) / whole
 
     async def simulate(self, length_s: float, *, max_fillings: int = 6) -> None:
-        """Let time pass.
+        """Simulate a length of time.
 
-        :param max_fillings: filling tasks on a worker at a time.
+        :param length_s: simulated time in seconds.
+        :param max_fillings: limit of filling tasks on a worker.
         """
         until = self.now + length_s
         while self.now < until:
@@ -154,7 +156,7 @@
             described = (task, 1) in worker.ledger.described
             if latency_ratio < FIRST_STRAIN or not described:
                 continue
-            # Each image is one step here, so its tasks are siblings.
+            # Here, each image is one step, so all its tasks are siblings.
             name = f"{id(worker)}.{task}"
             step = (serving.image, 0, 0)
             self.model.observe(
@@ -164,8 +166,8 @@
             )
 
     def _send_interference(self, worker: PacedWorker) -> None:
-        for serving in {one.image for one in worker.servings.values()}:
-            for filling in {one.image for one in worker.fillings.values()}:
+        for serving in {task.image for task in worker.servings.values()}:
+            for filling in {task.image for task in worker.fillings.values()}:
                 press = self.model.get_press(filling, serving)
                 worker.ledger.presses[filling, serving] = press
 
@@ -186,8 +188,8 @@
     def _build_view(self, worker: PacedWorker, mix: dict[str, float]) -> WorkerView:
         room = Resources(64_000, 64_000, 0)
         view = WorkerView("n/w", "n", "r1", frozenset(), room)
-        view.serving = dict(Counter(one.image for one in worker.servings.values()))
-        view.filling = dict(Counter(one.image for one in worker.fillings.values()))
+        view.serving = dict(Counter(task.image for task in worker.servings.values()))
+        view.filling = dict(Counter(task.image for task in worker.fillings.values()))
         for task, serving in worker.servings.items():
             latency_ratio = worker.ledger.running[task, 1].figure / AIM_MS
             alone = 1 / max(latency_ratio, 0.2) + self.model.weigh(
@@ -199,9 +201,9 @@
 
 
 def draw_loads(rng: random.Random, harmful: float = 0.5) -> dict[Pair, float]:
-    """Return loads that one task of a filling image puts on a serving one.
+    """Return the load that one filling task puts on a serving task, by images.
 
-    :param harmful: share of the pairs that disturb each other.
+    :param harmful: share of the pairs that interfere.
     """
     loads = {}
     for filling in range(FILLING_IMAGES):
@@ -215,9 +217,9 @@
 def draw_estimates(
     loads: dict[Pair, float], rng: random.Random, wrong: float
 ) -> dict[Pair, float]:
-    """Return presses as they are believed, some of them harmless by mistake.
+    """Return interference estimates of pairs, some of them wrongly zero.
 
-    :param wrong: share of the pairs that disturb and are believed not to.
+    :param wrong: share of the pairs whose estimate is zero.
     """
     beliefs = {}
     for pair, load in loads.items():
--- a/tests/standins/paced_hunt.py
+++ b/tests/standins/paced_hunt.py
@@ -1,6 +1,8 @@
-"""Plays fleets by hand: ``python -m tests.standins.paced_hunt --first 1 --seeds 50``.
+"""Simulates fleets of many seeds, outside the test suite.
 
-A seed draws the beliefs, the time that the deployment allows and what goes wrong.
+Run it with ``python -m tests.standins.paced_hunt --first 1 --seeds 50``. A seed draws
+the interference estimates, the time over target that the deployment allows and the
+faults.
 """
 
 from __future__ import annotations
@@ -23,7 +25,7 @@
 
 
 def build_fleet(seed: int) -> tuple[PacedFleet, float]:
-    """Return a fleet, and for how long its serving tasks may be over their aim."""
+    """Return a fleet, and for how many seconds its tasks may be over their target."""
     rng = random.Random(seed)
     interference_s = rng.choice(INTERFERENCE_S)
     wrong = rng.choice(WRONG_BELIEFS)
@@ -45,7 +47,7 @@
 
 
 def main() -> None:
-    """Play seeds one after another."""
+    """Simulate seeds one after another; the exit status is 1 if any of them failed."""
     parser = argparse.ArgumentParser(prog="tests.standins.paced_hunt")
     parser.add_argument("--first", type=int, default=1)
     parser.add_argument("--seeds", type=int, default=1)
@@ -58,10 +60,10 @@
         exceeded = fleet.longest_over_s >= interference_s
         failed += exceeded
         print(
-            f"seed {seed}: over the aim for {fleet.longest_over_s:.2f} s of "
+            f"seed {seed}: over the target for {fleet.longest_over_s:.2f} s of "
             f"{interference_s} s allowed, {fleet.over_share:.4f} of the time; "
-            f"{fleet.work_done:.2f} tasks of filling work a worker"
-            + (", broken" if exceeded else ""),
+            f"{fleet.work_done:.2f} tasks of filling work per worker"
+            + (", limit exceeded" if exceeded else ""),
             flush=True,
         )
     sys.exit(1 if failed else 0)
--- a/tests/standins/paced_worker.py
+++ b/tests/standins/paced_worker.py
@@ -1,7 +1,7 @@
-"""Workers in simulated time: serving tasks that suffer from filling work beside them.
+"""Simulates a worker whose filling tasks slow down the serving tasks beside them.
 
-The agent's own ledger and paces decide. Figures follow late and are off, paces are in
-force late, and what is believed of pairs of images may be wrong.
+The agent's own ledger and pace controller decide. Measured figures lag and have errors,
+paces take effect late, and the estimates of pairs of images may be wrong.
 """
 
 from __future__ import annotations
@@ -24,42 +24,43 @@
 STEP_S = 0.02
 LISTING_INTERVAL_S = 0.4
 LISTING_JITTER_S = 0.05
-# An agent looks at its runner as soon as a start is answered.
+# An agent lists the runs of its runner as soon as a start is answered.
 FIRST_LISTING_S = 0.02
 PACE_DELAY_S = 0.1
 SMOOTHING_S = 0.5
-# A figure of processor time in use is this old.
+# Age of the figures for used processor time.
 USE_LAG_S = 0.3
 AIM_MS = 50
-# A tail grows as this part of the aim over what the load leaves; it stays within most.
+# A tail latency is this share of its target, divided by the headroom that the load
+# leaves. MIN_HEADROOM bounds it.
 IDLE_LATENCY_RATIO = 0.2
 MIN_HEADROOM = 0.02
 MEAN_LOAD = 0.45
 LOAD_AMPLITUDE = 0.6
 LOAD_PERIOD_S = 14.0
 FIGURE_ERROR = 0.08
-# Phases of filling tasks: share of the processor time they ask for, and how much of
-# their load on neighbours is left in it.
+# Phases of filling tasks: used share of the requested processor time, and share of
+# their load on neighbours in that phase.
 PHASES = ((2 / 3, 0.4), (1.0, 1.0))
 STALLED_MILLI = 250
 STALLED_S = 1.0
 STOP_S = 0.6
-# A new agent hears of the runs on its worker, and for how long after its start the
-# promise is not asked of it.
+# After its start, an agent receives the specs of its worker's runs with this delay, and
+# isn't held to the limit for a grace period.
 RUN_SPECS_DELAY_S = 1.0
 RESTART_GRACE_S = 4.0
 
 
 @dataclass(slots=True)
 class FillingTask:
-    """A filling task at work.
-
-    :ivar pinned: whether the leader leaves it there although it hardly works.
-    :ivar percent: its pace, as the runner has it.
-    :ivar due: paces that will be in force, with the time from which on.
-    :ivar used_milli: its processor time in use, as the runner would list it.
-    :ivar usage_history: what it has used lately, with the times.
-    :ivar stalled_since: since when it hardly works, as far as its agent knows.
+    """A running filling task.
+
+    :ivar pinned: whether the leader leaves it in place even if it is stalled.
+    :ivar percent: its pace in force at the runner.
+    :ivar due: paces that take effect later, with their times.
+    :ivar used_milli: its used processor time, as the runner lists it.
+    :ivar usage_history: its recent usage, with the times.
+    :ivar stalled_since: since when its agent sees it make hardly any progress.
     """
 
     image: str
@@ -83,12 +84,14 @@
 
 @dataclass(slots=True)
 class ServingTask:
-    """A serving task.
+    """A serving task, whose own load is a sine wave.
 
-    :ivar load: its own load in the mean, and by how much of that it swings.
-    :ivar figure: what the runner would list, without noise, as a share of the aim.
+    :ivar load_offset_s: time offset of the sine wave.
+    :ivar load: mean of its own load.
+    :ivar load_amplitude: amplitude of the wave, as a share of the mean.
+    :ivar figure: its tail latency as a share of its target, as listed without noise.
     :ivar slow_until: until when it is slow by itself.
-    :ivar current_over_s: how long its neighbours have kept it over its aim by now.
+    :ivar current_over_s: how long its neighbours have kept it over its target by now.
     :ivar longest_over_s: the longest such time.
     """
 
@@ -105,10 +108,10 @@
 
 @dataclass(slots=True)
 class PaceFaults:
-    """What goes wrong with calls that set a pace.
+    """Faults of the calls that set a pace.
 
-    :ivar late: share that get no answer and are in force ``late_s`` later.
-    :ivar lost: share that get no answer and are never in force.
+    :ivar late: share that get no answer and take effect ``late_s`` later.
+    :ivar lost: share that get no answer and never take effect.
     """
 
     late: float = 0.0
@@ -119,8 +122,8 @@
 class PacedWorker:
     """One worker with its agent.
 
-    :param loads: load that one filling task of an image puts on a serving image.
-    :param interference_s: serving tasks may be over their aim for this long.
+    :param loads: load that one filling task puts on a serving task, by images.
+    :param interference_s: limit in seconds for a serving task over its target.
     """
 
     def __init__(
@@ -146,7 +149,7 @@
         self._send_run_specs()
 
     def restart_agent(self, now: float) -> None:
-        """Begin a new life of the agent, which has to learn everything again."""
+        """Restart the agent, which loses all it has learned."""
         self._start_agent()
         self._run_specs_due_at = now + RUN_SPECS_DELAY_S
         self._grace_until = now + RESTART_GRACE_S
@@ -184,7 +187,7 @@
         return filling
 
     def advance(self, now: float) -> None:
-        """Let one step of time pass."""
+        """Simulate one step of time."""
         self._now = now
         self.time_s += STEP_S
         for task, filling in list(self.fillings.items()):
@@ -208,7 +211,7 @@
                 )
 
     def compute_latency_ratio(self, serving: ServingTask, now: float) -> float:
-        """Return a tail as a share of its aim."""
+        """Return a tail latency as a share of its target."""
         if now < serving.slow_until:
             return 1 / MIN_HEADROOM
         angle = 2 * math.pi * (now + serving.load_offset_s) / LOAD_PERIOD_S
@@ -218,7 +221,7 @@
         return IDLE_LATENCY_RATIO / max(MIN_HEADROOM, 1 - load)
 
     async def list(self, now: float) -> None:
-        """List what runs to the agent, which sets the paces."""
+        """Give the agent a listing of the runs, upon which it sets the paces."""
         ledger = self.ledger
         if self._run_specs_due_at and now >= self._run_specs_due_at:
             self._send_run_specs()
@@ -242,7 +245,7 @@
         )
 
     def measure_mix(self) -> dict[str, float]:
-        """Return the filling work at work, as the agent reports it."""
+        """Return the running filling work by image, as the agent reports it."""
         mix: dict[str, float] = {}
         for key in self.ledger.figures.histories:
             order = self.ledger.described.get(key)
@@ -261,7 +264,7 @@
         self._keeper = PaceKeeper(self.ledger, self, events, self._interference_s)
 
     def _send_run_specs(self) -> None:
-        """Tell the agent what runs on its worker, as the leader does."""
+        """Give the agent the specs of its worker's runs, as the leader does."""
         self._run_specs_due_at = 0.0
         for task, serving in self.servings.items():
             order = RunOrder(task, 1, "", "", False, AIM_MS, serving.image)
@@ -285,7 +288,7 @@
         self.done_s += STEP_S * share
 
     def _evict_stalled(self, task: str, one: FillingTask, now: float) -> None:
-        """Have a task leave that hardly works, as the leader does."""
+        """Evict a task that hardly makes progress, as the leader does."""
         seen = self.ledger.running.get((task, 1))
         if seen is None or seen.worked_milli > STALLED_MILLI:
             one.stalled_since = now
@@ -299,5 +302,5 @@
 
 
 def build_order(task: str, filling: FillingTask) -> RunOrder:
-    """Return what an agent is told of a filling task."""
+    """Return the spec of a filling task that its agent receives."""
     return RunOrder(task, 1, "", "", True, 0, filling.image, filling.cpu_milli)
--- a/tests/standins/relay.py
+++ b/tests/standins/relay.py
@@ -1,10 +1,10 @@
-"""A TCP relay that can lose connections the ways a network does.
+"""A TCP relay that makes connections fail as a network does.
 
-Control by HTTP on a second port: ``POST /mode {"mode": ..., "existing_only":
-false}`` with the modes ``pass``, ``silent`` (connections stay open, bytes
-vanish), ``cut`` (close all, then pass) and ``refuse`` (close all, refuse new
-ones). A connection that went silent stays so: part of its stream is lost.
-With ``oldest`` only so many of the existing connections go silent.
+It is controlled by HTTP on a second port: ``POST /mode {"mode": ..., "existing_only":
+false}``. The modes are ``pass``, ``silent`` (connections stay open, bytes are dropped),
+``cut`` (reset all connections, then pass) and ``refuse`` (reset all connections and
+refuse new ones). A silent connection stays silent, because part of its stream is lost.
+With ``oldest``, only so many of the oldest connections become silent.
 """
 
 from __future__ import annotations
@@ -52,7 +52,7 @@
 
     @property
     def port(self) -> int:
-        """Return the port that is relayed."""
+        """Return the port that the relay listens on."""
         return self._port
 
     async def handle(self, operation: str, call: base.Call) -> base.Answer:
@@ -66,7 +66,7 @@
         return base.answer_json({"mode": self._mode})
 
     def build_record(self) -> dict[str, Any]:
-        """Return the mode and the counts."""
+        """Return the mode, and the counts of connections and bytes."""
         silent = sum(pair.silent for pair in self._pairs)
         state = {"mode": self._mode, "open": len(self._pairs), "silent": silent}
         return {**state, **self._counts}
@@ -74,7 +74,7 @@
     async def set_mode(
         self, mode: str, existing_only: bool, oldest: int | None = None
     ) -> None:
-        """Change what becomes of connections."""
+        """Set the mode, and apply it to the existing connections."""
         if mode == "silent":
             for pair in islice(self._pairs, oldest):
                 pair.silent = True
@@ -102,8 +102,8 @@
         if self._listening is not None:
             await self._listening.cancel()
             self._listening = None
-            # Bound, but not listening: it refuses, and nobody else's outgoing
-            # connection is given this port meanwhile.
+            # A bound socket that doesn't listen refuses connections, and keeps the
+            # port from the outgoing connections of other processes.
             self._reserved = open_port(self._port)
 
     async def _close_all(self) -> None:
@@ -129,7 +129,7 @@
                     await group.spawn(self._pump, pair, near, far)
                     await group.spawn(self._pump, pair, far, near)
             finally:
-                # Only pairs with open sockets are listed, or closing all fails.
+                # _close_all fails on pairs whose sockets are closed.
                 del self._pairs[pair]
 
     async def _pump(self, pair: Pair, source: Socket, sink: Socket) -> None:
@@ -143,12 +143,12 @@
         except OSError:
             pass
         if pair.silent:
-            # A lost connection does not carry the other end's close either.
+            # A lost connection doesn't forward the other end's close either.
             await curio.Event().wait()
 
 
 def open_port(port: int) -> Socket:
-    """Return a socket that is bound and does not listen yet."""
+    """Return a bound socket that doesn't listen yet."""
     sock = Socket(socket.socket())
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.bind((base.HOST, port))
@@ -156,7 +156,7 @@
 
 
 async def run_relay(relay: Relay, control_port: int) -> None:
-    """Relay for ever, and serve the control port."""
+    """Relay and serve the control port until cancelled."""
     await relay.listen()
     print("port", relay.port, flush=True)
     await base.serve(relay, base.open_port(control_port, "control"))
--- a/tests/standins/rows.py
+++ b/tests/standins/rows.py
@@ -1,4 +1,4 @@
-"""A transactional row store in memory, with the faults of a real one."""
+"""An in-memory transactional row store with the faults of a real one."""
 
 from __future__ import annotations
 
@@ -19,24 +19,24 @@
 )
 
 Key = tuple[str, str]
-# The store refuses a transaction when more than this waits in its partition.
+# The store refuses a transaction if its partition's queue is longer than this.
 MAX_QUEUE_S = 1.0
 
 
 @dataclass
 class StoreFaults:
-    """What goes wrong at the moment.
-
-    :param down: every call is refused; nothing is done.
-    :param busy: transactions are refused, over their rate; reads are answered.
-    :param silent: no call is answered, or carried out.
-    :param lost: share of transactions that are done and not answered.
-    :param late: share that are not answered and done ``late_s`` later, if their
-        conditions still hold then.
-    :param slow_s: time of each call.
-    :param slow_reads: more time of each read, by table.
-    :param transaction_s: time of each transaction beside it; those of one partition
-        wait for each other.
+    """The faults in force.
+
+    :param down: every call is refused and not executed.
+    :param busy: transactions are refused as over their rate; reads are answered.
+    :param silent: no call is answered or executed.
+    :param lost: share of transactions that are applied and not answered.
+    :param late: share of transactions that are not answered and applied ``late_s``
+        later, if their conditions still hold then.
+    :param slow_s: duration of each call in seconds.
+    :param slow_reads: additional duration of each read in seconds, by table.
+    :param transaction_s: additional duration of each transaction in seconds; those of
+        one partition wait for each other.
     """
 
     down: bool = False
@@ -52,13 +52,14 @@
 
 @dataclass
 class RowsState:
-    """What the store keeps; shared by all its clients.
+    """The store's contents and counters, shared by all its clients.
 
-    :ivar transactions: how many were applied.
-    :ivar commits: calls to apply one, whatever became of them.
-    :ivar refused: calls refused because too much waited in their partition.
+    :ivar oldest: version up to which the history of changes was dropped.
+    :ivar transactions: number of applied transactions.
+    :ivar commits: number of calls to commit, whatever their result.
+    :ivar refused: number of calls refused because their partition's queue was too long.
     :ivar undivided: rows of the jobs table in their old partition.
-    :ivar busy_until: end of the last transaction that waits, by partition.
+    :ivar busy_until: when the last queued transaction ends, by partition.
     """
 
     version: int = 0
@@ -101,15 +102,15 @@
         return TransactionResult(True, self.version)
 
     def drop_history(self) -> None:
-        """Forget all changes, as after a compaction."""
+        """Drop the history of changes, as a compaction does."""
         self.changes.clear()
         self.oldest = self.version
 
 
 class MemoryRows:
-    """One process's client of the store; its own way there may be cut.
+    """The store client of one process.
 
-    :ivar cut: whether this client's calls get no answer.
+    :ivar cut: whether this client is cut off, so its calls get no answer.
     """
 
     def __init__(self, state: RowsState) -> None:
@@ -149,8 +150,8 @@
         source = state.undivided if wanted == UNDIVIDED_PARTITION else state.rows
         keys = sorted(
             key
-            for one, key in source
-            if one == table
+            for row_table, key in source
+            if row_table == table
             and key >= start
             and (not end or key < end)
             and wanted in (UNDIVIDED_PARTITION, find_partition(table, key))
@@ -169,8 +170,8 @@
                 raise HistoryLostError(step="follow")
             rows = tuple(
                 row
-                for one, row in state.changes
-                if one == table and row.version > after
+                for row_table, row in state.changes
+                if row_table == table and row.version > after
             )
             if rows or waited >= wait_s:
                 return RowPage(rows, state.version)
@@ -187,16 +188,17 @@
             raise StoreUnavailableError("down", step=step)
 
     async def _wait_for_earlier(self, transaction: Transaction) -> None:
-        """Wait for the transactions before it in its partition, and do it.
+        """Wait for the earlier transactions of the partition, and for this one.
 
-        It is done also if the caller gives up meanwhile, as at a real store.
+        The transaction keeps its place in the queue even if the caller gives up
+        meanwhile, as in a real store.
         """
         state, took_s = self._state, self._state.faults.transaction_s
         if not took_s:
             return
         parts = {
-            one.partition or find_partition(one.table, one.key)
-            for one in transaction.writes
+            write.partition or find_partition(write.table, write.key)
+            for write in transaction.writes
         }
         assert len(parts) == 1, f"a transaction over the partitions {parts}"
         [partition] = parts
@@ -204,7 +206,9 @@
         begins_at = max(now, state.busy_until.get(partition, 0.0))
         if begins_at - now > MAX_QUEUE_S:
             state.refused += 1
-            raise StoreUnavailableError("too much waits", step="commit")
+            raise StoreUnavailableError(
+                "the queue of the partition is too long", step="commit"
+            )
         state.busy_until[partition] = begins_at + took_s
         await curio.sleep(begins_at + took_s - now)
 
--- a/tests/standins/runner.py
+++ b/tests/standins/runner.py
@@ -1,7 +1,7 @@
-"""Stand-in for a runner: a process of a service that answers HTTP requests.
+"""Stand-in for a runner, a process of a service that answers HTTP requests.
 
-The query of a request steers the answer: ``work_s`` (seconds of work), ``size``
-(bytes of body), ``status``, ``die=1`` (close the connection in mid-body).
+The query of a request controls the response: ``work_s`` (seconds of work), ``size``
+(bytes of the body), ``status``, ``die=1`` (close the connection in mid-body).
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class RunnerStandIn(base.StandIn):
-    """Answers any request and records each execution, and whose it was."""
+    """Answers any request, and records each execution and its request."""
 
     def __init__(self, options: Namespace, record: base.Record) -> None:
         super().__init__(record)
@@ -33,7 +33,7 @@
         self.in_flight = 0
 
     def operation(self, call: base.Call) -> str:
-        """Name a call by its method."""
+        """Return the call's method as its operation."""
         return call.method.lower()
 
     async def handle(self, operation: str, call: base.Call) -> base.Answer:
@@ -88,7 +88,7 @@
 
 
 def send_word(options: Namespace, method: str, port: int) -> None:
-    """Announce the runner to its agent (PUT), or say that it leaves (DELETE)."""
+    """Announce the runner to its agent (PUT), or withdraw it (DELETE)."""
     document = {
         "service": options.service,
         "address": f"{base.HOST}:{port}",
@@ -103,20 +103,20 @@
         agent.request(method, f"/runners/{options.name}", body, headers)
         agent.getresponse().read()
     except (OSError, http.client.HTTPException):
-        return  # an agent that is away is told again in a second
+        return  # the next announcement, a second later, repeats it
     finally:
         agent.close()
 
 
 async def announce_forever(options: Namespace, port: int) -> None:
-    """Announce the runner each second."""
+    """Announce the runner once a second."""
     while True:
         await curio.run_in_thread(send_word, options, "PUT", port)
         await curio.sleep(ANNOUNCE_S)
 
 
 async def run_runner(options: Namespace, signals: SignalWatch) -> None:
-    """Serve until SIGTERM, then leave and finish what is in flight."""
+    """Serve until SIGTERM, then withdraw and finish the requests in flight."""
     runner = RunnerStandIn(options, base.Record(options.record_file))
     sock = base.open_port(options.port)
     port = sock.getsockname()[1]
--- a/tests/standins/table.py
+++ b/tests/standins/table.py
@@ -13,7 +13,7 @@
 
 
 class TableStandIn(base.StandIn):
-    """Rows in memory; a commit is one step of one process, hence atomic."""
+    """Rows in memory; a commit is atomic because it runs without a context switch."""
 
     lossy = frozenset({"commit"})
 
@@ -25,7 +25,7 @@
         self._counts = {"commits": 0, "conflicts": 0, "reads": 0, "scans": 0}
 
     def operation(self, call: base.Call) -> str:
-        """Name a commit by the first row that it writes: ``commit/journal``."""
+        """Name a commit by its first written row, for example ``commit/journal``."""
         name = super().operation(call)
         if name != "commit":
             return name
@@ -34,7 +34,7 @@
         return f"commit/{family}"
 
     async def handle(self, operation: str, call: base.Call) -> base.Answer:
-        """Carry a call out."""
+        """Execute a call."""
         if operation.startswith("commit"):
             return self._commit(call.document()["writes"])
         if operation == "read":
@@ -45,7 +45,7 @@
         return base.answer_error(404, "no_such_operation")
 
     def build_record(self) -> dict[str, Any]:
-        """Return counts, the number of rows and the log of commits."""
+        """Return call counts, the number of rows and the log of commits."""
         return {**self._counts, "rows": len(self._rows), **super().build_record()}
 
     def _commit(self, writes: list[dict[str, Any]]) -> base.Answer:
--- a/tests/standins/worker.py
+++ b/tests/standins/worker.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's worker runtime; its tasks are work done by time alone.
+"""Stand-in for the platform's worker runtime; its tasks make progress with time alone.
 
 The payload is JSON: ``{"run_s": 0.5, "fail": false, "result": "...", "use":
 {"cpu_milli": 500}, "never_checkpoint": false}``. ``GET /record`` and the record
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True)
 class Interval:
-    """When and how an attempt ran, and how far it came."""
+    """When an attempt ran, how it ended, and its progress."""
 
     task_id: str
     attempt: int
@@ -61,7 +61,7 @@
     throttle: float = 1.0
 
     def advance(self, at: float) -> str:
-        """Do the work up to ``at``, but none after the lease; return the state."""
+        """Advance the run to ``at``, at most to the lease's end; return its state."""
         if self.state != RUNNING:
             return self.state
         until = min(at, self.lease_until)
@@ -78,7 +78,7 @@
         return self.state
 
     def stop(self, at: float) -> None:
-        """Stop it, unless it ended by itself before."""
+        """Stop the run, unless it has ended by itself before."""
         if self.advance(at) == RUNNING:
             self._end("stopped", at, self.progress)
 
@@ -88,7 +88,7 @@
             self.result = str(self.work.get("result", state))
 
     def describe(self) -> dict[str, Any]:
-        """Return what ``/runs`` and ``/stop`` show."""
+        """Return the run as ``/runs`` and ``/stop`` show it."""
         names = ("task_id", "attempt", "kind", "size", "state", "result", "started_at")
         shown = {name: getattr(self, name) for name in names}
         return {**shown, "throttle": self.throttle, "tag": self.tag}
@@ -109,10 +109,10 @@
         self._samples: deque[tuple[float, list[dict[str, Any]]]] = deque(maxlen=SAMPLES)
 
     async def handle(self, operation: str, call: base.Call) -> base.Answer:
-        """Carry a call out."""
+        """Execute a call."""
         self._sweep()
         if operation == "attach":
-            # A restarted worker must not hand out a session of its earlier life.
+            # A restarted worker must not reuse a session from before its restart.
             self._session = max(self._session + 1, int(base.now() * 1e6))
             return base.answer_json(
                 {"session": self._session, "capacity": self._capacity}
@@ -135,7 +135,7 @@
         return operations[operation](call.document())
 
     def build_record(self) -> dict[str, Any]:
-        """Return the intervals, ended and open, and what went against the rules."""
+        """Return all intervals, and the starts over capacity and fenced calls."""
         self._sweep()
         return {
             "worker": self._worker,
@@ -147,7 +147,7 @@
         }
 
     async def sweep_forever(self) -> None:
-        """Enforce leases and take measurements, also when nobody calls."""
+        """Enforce leases and sample usage, also while no calls arrive."""
         while True:
             self._sweep()
             self._take_sample(base.now())
@@ -280,7 +280,7 @@
 
 
 def parse_work(payload: str) -> dict[str, Any]:
-    """Return what a payload asks for; anything else is half a second of work."""
+    """Return the work that a payload describes; other text means the defaults."""
     try:
         work = json.loads(payload)
     except ValueError:
@@ -289,12 +289,12 @@
 
 
 def parse_checkpoint(text: str | None) -> float:
-    """Return the progress that a checkpoint holds, 0 without one."""
+    """Return the progress in a checkpoint, or 0 without one."""
     return float(json.loads(b64decode(text))["progress"]) if text else 0.0
 
 
 async def run_worker(stand_in: WorkerStandIn, port: int) -> None:
-    """Serve for ever, and enforce leases."""
+    """Serve calls and enforce leases until cancelled."""
     await curio.spawn(stand_in.sweep_forever, daemon=True)
     await base.run_stand_in(stand_in, port)
 
--- a/tests/unit/test_bench.py
+++ b/tests/unit/test_bench.py
@@ -19,7 +19,7 @@
         assert run(policy) == run(policy)
 
 
-def test_all_rows_stand_side_by_side():
+def test_the_report_has_a_row_for_each_policy():
     rows = build_rows([run(policy) for policy in POLICIES])
     table = {row.policy: row for row in rows}
     assert list(table) == [policy.name for policy in POLICIES]
--- a/tests/unit/test_bench_budget.py
+++ b/tests/unit/test_bench_budget.py
@@ -1,4 +1,4 @@
-"""The budget of a played day adds up."""
+"""The budget of a simulated day: its losses, and the time parts of late jobs."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
     return f"{at} node-1 " + json.dumps(line)
 
 
-def test_the_losses_add_up_to_what_the_day_lacks():
+def test_the_losses_add_up_to_the_missing_score():
     losses = list_losses(REPORT)
-    assert sum(one.lost for one in losses) == pytest.approx(0.30)
-    assert [one.name for one in losses] == [
+    assert sum(loss.lost for loss in losses) == pytest.approx(0.30)
+    assert [loss.name for loss in losses] == [
         "part: whole day",
         "part: worst windows",
         "price: machine-seconds",
@@ -36,7 +36,7 @@
     return write_line(at, "run.place", **place)
 
 
-def test_a_late_job_is_told_by_the_task_that_took_longest(capsys):
+def test_a_late_job_is_explained_by_its_longest_task(capsys):
     lines = [
         "a line of another kind",
         write_line(1.0, "job.accepted", job="j", queue="q", steps=[(2, 1_000, "a")]),
--- a/tests/unit/test_crashing_tasks.py
+++ b/tests/unit/test_crashing_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that end the runner that starts them."""
+"""Tasks that crash the runner that starts them."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def set_crashing_task(cluster: JobCluster, *, crash_after_s: float = 0.0) -> None:
-    """Make one task end each runner that starts it."""
+    """Make one task crash each runner that starts it."""
     for agent in cluster.agents:
         faults = agent.runner.faults
         faults.crashing_tasks = frozenset((CRASHER,))
@@ -26,19 +26,20 @@
 
 
 async def wait_for_crashes(cluster: JobCluster, count: int) -> None:
-    """Wait until the task has ended so many runners."""
+    """Wait until the task has crashed so many runners."""
     tasks = cluster.checker.tasks
     await wait_for(lambda: CRASHER in tasks and tasks[CRASHER].crashes >= count)
 
 
-def test_a_task_that_ends_its_runners_is_given_up():
-    """Two tasks were started 88 and 137 times in a day, and each start took a runner
-    and the 8 to 21 runs on it down for three seconds; most serving tasks were away
-    again and again. A run that went down with its worker was queued again at no cost,
-    in front of all others. On six workers of three data centres the same two lines of
-    the agent settled it, 0.4 s apart: "run.started" of that task with "result":"done",
-    and "worker.dropped" with "why":"nothing listens at its address"; the runners had
-    ended 6 to 10 ms after the start.
+def test_a_task_that_crashes_its_runners_is_given_up():
+    """Guards against a task that is started without limit although it crashes runners.
+
+    Two tasks were started 88 and 137 times in a day. Each start took down a runner and
+    the 8 to 21 runs on it for three seconds, because a run lost with its worker was
+    queued again at no cost, ahead of all others. On six workers of three data centres
+    the agent logged, 0.4 s apart, "run.started" of that task with "result":"done" and
+    "worker.dropped" with "why":"nothing listens at its address"; the runners had ended
+    6 to 10 ms after the start.
     """
 
     async def main():
@@ -56,10 +57,11 @@
     curio.run(main)
 
 
-def test_what_a_task_has_crashed_outlives_leaders_and_agents():
-    """The same task went on under the next leaders after both entries that had led were
-    stopped and started. A count in the memory of a leader or of an agent would begin
-    anew with each of them.
+def test_the_count_of_crashes_survives_restarts_of_leaders_and_agents():
+    """Guards against a count that exists only in the memory of a leader or an agent.
+
+    It would start again at zero: the same task was started by the next leaders, after
+    both entries that had led were restarted.
     """
 
     async def main():
@@ -69,7 +71,7 @@
             await cluster.entries[0].submit(job)
             for crashes in (1, 2):
                 await wait_for_crashes(cluster, crashes)
-                # The crash is known, and its count written, after half a second.
+                # Within half a second, the crash is detected and its count written.
                 await curio.sleep(0.55)
                 for process in (cluster.find_leader(), *cluster.agents):
                     if process is not None:
@@ -82,16 +84,18 @@
 
 
 @pytest.mark.parametrize("crash_after_s", [0.05, 0.4])
-def test_a_task_that_ends_its_runner_a_moment_later_is_given_up(crash_after_s):
-    """As above, with a task that is seen at work before it ends its runner: what began
-    after it is innocent, and is done in the end.
+def test_a_task_that_crashes_its_runner_with_a_delay_is_given_up(crash_after_s):
+    """Guards against blame for tasks that started after the crashing one.
+
+    The task is reported as running before it crashes its runner. The tasks that started
+    after it must complete.
     """
 
     async def main():
         async with run_cluster(agents=3, work_s=0.3) as cluster:
             set_crashing_task(cluster, crash_after_s=crash_after_s)
             jobs = [build_job(number, steps=1) for number in range(1, 4)]
-            # The crasher works until it ends its runner; the others end before.
+            # The task runs until it crashes its runner; the others end before that.
             for agent in cluster.agents:
                 agent.runner.endless_tasks = frozenset((CRASHER,))
             await cluster.submit_and_fail_first(jobs, 20.0)
@@ -101,8 +105,9 @@
 
 
 def test_a_start_without_an_answer_is_counted():
-    """A start whose answer is lost with the runner that it ends was the usual case. A
-    count of starts that were answered would stay at nothing.
+    """Guards against a count of answered starts only, which would stay at zero.
+
+    Usually the answer to a start is lost with the runner that the start crashes.
     """
 
     async def main():
@@ -119,9 +124,10 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_runners_that_crash_by_themselves_cost_no_job(seed):
-    """Runners that go down and up by turns are nobody's fault: their tasks go on
-    elsewhere, and none of the jobs is shown as failed.
+def test_runners_that_crash_by_themselves_fail_no_job(seed):
+    """Guards against tasks blamed for runners that crash and restart by themselves.
+
+    The tasks have to continue elsewhere, and no job may fail.
     """
     rng = random.Random(seed)
 
@@ -143,7 +149,7 @@
 
 
 async def shrink_capacity(cluster: JobCluster, rng: random.Random) -> None:
-    """Let a runner's room shrink for a while."""
+    """Shrink a runner's capacity for a while."""
     runner = rng.choice(cluster.agents).runner
     runner.capacity = replace(CAPACITY, cpu_milli=rng.choice((0, 2_000, 5_000)))
     await curio.sleep(rng.uniform(1.0, 4.0) * CAPACITY_REPORT_S)
@@ -151,10 +157,10 @@
 
 
 def run_random_faults(seed: int) -> None:
-    """Submit jobs, some with tasks that end their runners, among random faults.
+    """Submit jobs, some with tasks that crash their runners, under random faults.
 
-    What is accepted ends as it should, no task runs twice or too often, and no runner
-    is brought over its room.
+    Accepted jobs end in the right state, no task runs twice or is started too often,
+    and no runner exceeds its capacity.
     """
     rng = random.Random(seed)
 
@@ -193,7 +199,9 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_random_faults_around_crashing_tasks(seed):
-    """A task was started too often, a job never ended, or a sound one failed, under
-    faults in series: the count got lost with a process, or fell on a bystander.
+    """Guards against crash counts that get lost or go to the wrong task under faults.
+
+    Then a task is started too often, a job never ends, or a job without crashing tasks
+    fails.
     """
     run_random_faults(seed)
--- a/tests/unit/test_harness_ports.py
+++ b/tests/unit/test_harness_ports.py
@@ -1,11 +1,11 @@
-"""Ports of the tests' processes."""
+"""Ports that the harness reserves for processes."""
 
 from __future__ import annotations
 
 import subprocess
 import sys
 
-# In a process of its own: the ports of this one are in use by other tests.
+# Runs in a separate process, since other tests use the ports of this one.
 SCRIPT = """
 from tests.harness import ports
 for _ in range(4):
@@ -15,6 +15,6 @@
 """
 
 
-def test_plays_one_after_another_leave_ports_to_others():
-    """Guards against many plays in one process that end with no free port."""
+def test_released_ports_can_be_reserved_again():
+    """Guards against many soak runs in one process that exhaust the ports."""
     subprocess.run([sys.executable, "-c", SCRIPT], check=True)
--- a/tests/unit/test_job_cluster.py
+++ b/tests/unit/test_job_cluster.py
@@ -1,4 +1,4 @@
-"""Jobs through entries, leader, agents and runners, under failure."""
+"""Runs jobs through entries, leader, agents and runners, under failures."""
 
 from __future__ import annotations
 
@@ -20,25 +20,27 @@
 
 
 async def wait_for(condition, timeout: float = 8.0):
-    """Return what ``condition`` returns as soon as it is true."""
+    """Poll ``condition`` and return its first true result."""
     deadline = time.monotonic() + timeout
     while time.monotonic() < deadline:
         result = condition()
         if result:
             return result
         await curio.sleep(0.01)
-    raise AssertionError("it did not come true in time")
+    raise AssertionError("the condition did not become true in time")
 
 
 async def wait_for_starts(cluster: JobCluster, starts: int = 1) -> None:
-    """Wait until runners have begun runs."""
+    """Wait until the runners have started so many runs in total."""
     await wait_for(
-        lambda: sum(one.starts for one in cluster.checker.tasks.values()) >= starts
+        lambda: (
+            sum(history.starts for history in cluster.checker.tasks.values()) >= starts
+        )
     )
 
 
 def check_invariants(cluster: JobCluster) -> None:
-    """Fail on any broken promise that the runners saw."""
+    """Fail if the runners have recorded a violated invariant."""
     assert cluster.checker.violations == []
 
 
@@ -49,14 +51,16 @@
             await cluster.entries[1].submit(job)
             await cluster.wait_for_state(job, JobState.COMPLETED)
             check_invariants(cluster)
-            assert {one.starts for one in cluster.checker.tasks.values()} == {1}
+            assert {history.starts for history in cluster.checker.tasks.values()} == {1}
 
     curio.run(main)
 
 
 def test_a_cancelled_job_stops_and_starts_nothing_more():
-    """Symptom: tasks of a cancelled job run on. Sequence: a job is cancelled at an
-    entry that does not lead, while its tasks run. Cause: the leader never heard.
+    """Guards against tasks of a cancelled job that keep running.
+
+    A job is cancelled at an entry that doesn't lead, while its tasks run, and the
+    leader doesn't learn of it.
     """
 
     async def main():
@@ -67,20 +71,19 @@
             await cluster.entries[1].cancel(job)
             await cluster.wait_for_state(job, JobState.CANCELLED)
             tasks = cluster.checker.tasks
-            await wait_for(lambda: not any(one.alive for one in tasks.values()))
-            starts = sum(one.starts for one in tasks.values())
+            await wait_for(lambda: not any(history.alive for history in tasks.values()))
+            starts = sum(history.starts for history in tasks.values())
             await curio.sleep(0.5)
-            assert sum(one.starts for one in tasks.values()) == starts
+            assert sum(history.starts for history in tasks.values()) == starts
 
     curio.run(main)
 
 
-def test_a_cancellation_that_an_entry_announces_counts_at_once():
-    """Symptom: a caller was told "cancelled", and then "active" by another entry.
+def test_an_announced_cancellation_takes_effect_at_once():
+    """Guards against "cancelled" from one entry, followed by "active" from another.
 
-    Sequence: the cancellation is durable; one entry asks the store, the other the
-    leader, whose feed shows the row only later.
-    Cause: an announced cancellation waited for the feed.
+    The cancellation is durable, but one entry asks the store and the other the leader,
+    whose feed shows the row only later. An announced cancellation must not wait for it.
     """
 
     async def main():
@@ -97,9 +100,10 @@
 
 
 def test_a_dead_leader_is_replaced_and_no_task_runs_twice():
-    """Symptom: a task runs in two places, or never again. Sequence: the leader is
-    killed while its orders are at work. Cause: the successor took running tasks for
-    waiting ones, or waited for nothing.
+    """Guards against a task that runs in two places, or never again.
+
+    The leader is killed while tasks that it ordered run, and its successor takes
+    running tasks for waiting ones, or waits for runs that don't exist.
     """
 
     async def main():
@@ -118,9 +122,10 @@
 
 
 def test_a_restarted_agent_finds_its_runs():
-    """Symptom: tasks run twice after an agent's restart. Sequence: the agent is killed
-    while its runner works, and comes back. Cause: its empty memory was taken for an
-    empty worker.
+    """Guards against tasks that run twice after an agent's restart.
+
+    The agent is killed while its runner works, and after the restart its empty memory
+    is taken for an empty worker.
     """
 
     async def main():
@@ -133,15 +138,17 @@
             await cluster.agents[0].boot()
             await cluster.wait_for_state(job, JobState.COMPLETED)
             check_invariants(cluster)
-            assert {one.starts for one in cluster.checker.tasks.values()} == {1}
+            assert {history.starts for history in cluster.checker.tasks.values()} == {1}
 
     curio.run(main)
 
 
 def test_an_order_that_comes_late_starts_nothing():
-    """Symptom: a task runs twice. Sequence: a start gets no answer, the task is given
-    to another worker, and the first order is carried out seconds later. Cause: the
-    unanswered start was not settled by a stop before the task was given away.
+    """Guards against a task that runs twice.
+
+    A start gets no answer, the task is placed on another worker, and the first order is
+    executed seconds later. A stop has to settle the unanswered start before the task is
+    placed elsewhere.
     """
 
     async def main():
@@ -160,10 +167,11 @@
     curio.run(main)
 
 
-def test_a_reborn_runner_is_not_taken_for_its_former_life():
-    """Symptom: tasks wait for a lease that nobody holds, or are taken for running.
-    Sequence: the runner crashes and comes back at its address under another
-    incarnation. Cause: orders and listings did not name the incarnation.
+def test_a_restarted_runner_is_not_taken_for_its_earlier_incarnation():
+    """Guards against tasks that wait for a lease without a holder, or pass for running.
+
+    The runner crashes and restarts at its address under another incarnation. Orders and
+    listings have to name the incarnation.
     """
 
     async def main():
@@ -179,9 +187,10 @@
 
 
 def test_a_lost_answer_of_the_store_does_not_bring_an_old_state_back():
-    """Symptom: a task runs again after its end was acknowledged. Sequence: a write of
-    the leader is carried out late, after a newer one. Cause: the write did not demand
-    the version of the row that it replaces.
+    """Guards against a task that runs again after its end was acknowledged.
+
+    The store applies a write of the leader late, after a newer one. A write has to
+    require the version of the row that it replaces.
     """
 
     async def main():
@@ -201,8 +210,10 @@
 
 
 def test_a_leader_that_was_replaced_writes_nothing():
-    """Symptom: two leaders place the same task. Sequence: another process takes the
-    leader's row while the leader is at work. Cause: its writes did not demand the row.
+    """Guards against two leaders that place the same task.
+
+    Another process takes over the leader's row while the leader works. The leader's
+    writes have to require that row.
     """
 
     async def main():
@@ -228,9 +239,11 @@
     curio.run(main)
 
 
-def test_a_store_that_refuses_gets_a_true_refusal():
-    """Symptom: a caller is told "not accepted", and the job runs. Sequence: the answer
-    to the insert is lost, and the next try is refused. Cause: only the last counted.
+def test_a_refusal_covers_all_tries_of_the_insert():
+    """Guards against a job that runs although its caller was told "not accepted".
+
+    The answer to the insert is lost and the next try is refused, and the answer to the
+    caller considers only the last try.
     """
 
     async def main():
@@ -252,9 +265,10 @@
 
 
 def test_a_dropped_history_loses_no_job():
-    """Symptom: an accepted job never starts. Sequence: the store drops its history
-    between the job's row and the leader's next poll. Cause: the leader went on from the
-    newest version without reading what it had missed.
+    """Guards against an accepted job that never starts.
+
+    The store drops its history between the job's row and the leader's next poll, and
+    the leader continues from the newest version without reading what it has missed.
     """
 
     async def main():
@@ -271,9 +285,10 @@
 
 
 def test_everything_down_at_once_loses_nothing():
-    """Symptom: an accepted job is unknown, or runs twice, after a power cut. Sequence:
-    all processes end right after an acceptance, and all start together. Cause: what
-    was answered was not durable.
+    """Guards against an accepted job that is unknown, or runs twice, after a power cut.
+
+    All processes end right after an acceptance and start together, and what was
+    answered isn't durable.
     """
 
     async def main():
@@ -294,13 +309,13 @@
 
 
 def return_under_same_ids_sometimes(cluster: JobCluster) -> None:
-    """Let half of the runners that crash come back under their ids."""
+    """Make runners keep their ids after half of their crashes."""
     for agent in cluster.agents:
         agent.runner.same_id_share = 0.5
 
 
 async def inject_random_fault(cluster: JobCluster, rng: random.Random) -> None:
-    """Do one harmful thing, and end it after a while."""
+    """Inject one random fault, and end it after a while."""
     kind = rng.choice(("entry", "agent", "runner", "late", "store", "history"))
     if kind in ("entry", "agent"):
         process = rng.choice(cluster.entries if kind == "entry" else cluster.agents)
@@ -327,7 +342,7 @@
 
 
 def run_random_faults(seed: int) -> None:
-    """Submit jobs among random faults; all accepted ones are done, none twice."""
+    """Submit jobs under random faults; accepted ones complete, no task runs twice."""
     rng = random.Random(seed)
 
     async def main():
@@ -354,6 +369,6 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4])
-def test_random_faults_break_no_promise(seed):
-    """Symptom: a task twice, or an accepted job never done, under faults in series."""
+def test_random_faults_violate_no_invariant(seed):
+    """Guards against tasks that run twice and accepted jobs that never complete."""
     run_random_faults(seed)
--- a/tests/unit/test_restarted_runners.py
+++ b/tests/unit/test_restarted_runners.py
@@ -1,4 +1,4 @@
-"""Runners that start again under the id that they had."""
+"""Runners that restart under the same id."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def return_under_same_ids(cluster: JobCluster, *, down_s: float) -> None:
-    """Let each runner that crashes come back under its id after a while."""
+    """Make each runner that crashes restart under its id, after ``down_s`` seconds."""
     for agent in cluster.agents:
         agent.runner.same_id_share = 1.0
         agent.runner.faults.down_s = down_s
@@ -27,7 +27,7 @@
 def crash_under_load(
     *, down_s: float, reports_start: bool = True, crashes: int = 1
 ) -> None:
-    """Let the only runner crash under a job, which is done all the same."""
+    """Crash the only runner during a job, which has to complete nevertheless."""
 
     async def main():
         async with run_cluster(agents=1, work_s=0.8) as cluster:
@@ -46,30 +46,35 @@
     curio.run(main)
 
 
-def test_a_runner_that_is_back_under_its_id_gets_work_again():
-    """Four of eleven runners ended and were back under their ids 0.7 s later, and none
-    of them got work for the rest of the day; the same happened after each further
-    crash, until serving tasks found no place. Agents kept the ids of runners that had
-    ended and dropped every heartbeat under one of them as one that was held up. After
-    "worker.dropped" with "cause":"crashed" each agent logged only "heartbeat.ignored"
-    with "sequence":1, 2, 3 and on, and "why":"its sender has ended".
+def test_a_runner_that_restarts_under_its_id_gets_work_again():
+    """Guards against a restarted runner whose heartbeats the agent ignores.
+
+    Agents kept the ids of ended runners, and dropped every heartbeat with such an id as
+    a delayed one. So four of eleven runners that restarted under their ids within 0.7 s
+    got no work for the rest of the day, and after further crashes serving tasks found
+    no place. After "worker.dropped" with "cause":"crashed" each agent logged only
+    "heartbeat.ignored" with "sequence":1, 2, 3 and so on, and "why":"its sender has
+    ended".
     """
     crash_under_load(down_s=0.6)
 
 
-def test_a_runner_that_tells_no_start_is_found_again_once_it_was_away():
-    """A runner that keeps its id and names no start gets no work for good."""
+def test_a_runner_that_reports_no_start_time_is_found_again_after_its_absence():
+    """Guards against a runner without a start time that never gets work again."""
     crash_under_load(down_s=0.6, reports_start=False)
 
 
-def test_a_restart_that_nobody_noticed_loses_no_task():
-    """Runs that ended in a restart faster than any silence are taken for running."""
+def test_an_unnoticed_restart_loses_no_task():
+    """Guards against lost runs that pass for running, as the restart was too short."""
     crash_under_load(down_s=0.0)
 
 
 @pytest.mark.parametrize("late_s", [0.3, 0.8])
-def test_an_order_that_the_next_start_carries_out_runs_no_task_twice(late_s):
-    """A task is placed anew, and its unanswered order begins at the next start."""
+def test_an_order_executed_after_a_restart_runs_no_task_twice(late_s):
+    """Guards against an unanswered order that the next incarnation executes.
+
+    By then, the task has been placed again.
+    """
 
     async def main():
         async with run_cluster(agents=2, work_s=2.0) as cluster:
@@ -92,8 +97,8 @@
 
 
 @pytest.mark.parametrize("away", ["agent", "leader", "both"])
-def test_a_restart_while_agent_or_leader_is_away_runs_nothing_twice(away):
-    """Whoever comes back takes the runs of the earlier start for those of the new."""
+def test_a_restart_while_agent_or_leader_is_down_runs_nothing_twice(away):
+    """Guards against runs of the earlier incarnation attributed to the new one."""
 
     async def main():
         async with run_cluster(agents=2, work_s=0.8) as cluster:
@@ -119,12 +124,12 @@
 
 
 def test_two_restarts_within_a_second_lose_no_task():
-    """The second start is taken for the first, or never known."""
+    """Guards against a second restart that is taken for the first, or missed."""
     crash_under_load(down_s=0.05, crashes=3)
 
 
-def test_a_heartbeat_of_an_earlier_start_changes_nothing():
-    """A heartbeat that was held up ends the start that is at work, and all its runs."""
+def test_a_heartbeat_of_an_earlier_incarnation_changes_nothing():
+    """Guards against a delayed heartbeat that ends the current incarnation's runs."""
 
     async def main():
         async with run_cluster(agents=1, work_s=1.0) as cluster:
@@ -142,19 +147,19 @@
                 assert agent.ledger.worker == agent.runner.worker
             await cluster.wait_for_state(job, JobState.COMPLETED, 6.0)
             check_invariants(cluster)
-            assert {one.starts for one in cluster.checker.tasks.values()} == {1}
+            assert {history.starts for history in cluster.checker.tasks.values()} == {1}
 
     curio.run(main)
 
 
 def build_deregistration(born: int | None) -> WebRequest:
-    """Return a runner's goodbye as the platform sends it."""
+    """Return a runner's deregistration as the platform sends it."""
     body = b"" if born is None else b'{"born":%d}' % born
     return WebRequest("POST", f"{LEAVE_PATH}w0-1", (), body)
 
 
-def test_a_goodbye_counts_only_for_the_start_that_sent_it():
-    """A goodbye that was held up ends the start that is at work."""
+def test_a_deregistration_applies_only_to_the_incarnation_that_sent_it():
+    """Guards against a delayed deregistration that ends the current incarnation."""
 
     async def main():
         async with run_cluster(agents=1) as cluster:
@@ -170,8 +175,8 @@
     curio.run(main)
 
 
-def test_a_goodbye_that_names_no_start_counts_while_its_runner_drains():
-    """A runner that has left is missed only once nothing answers there."""
+def test_a_deregistration_without_a_start_time_applies_to_a_draining_runner():
+    """Guards against a runner that is missed only when its address stops answering."""
 
     async def main():
         async with run_cluster(agents=1) as cluster:
@@ -185,13 +190,13 @@
 
 
 @pytest.mark.parametrize("seed", [101, 102, 103, 104, 1_030])
-def test_random_restarts_break_no_promise(seed):
-    """A task twice, or a job never done, among restarts and late orders in series."""
+def test_random_restarts_violate_no_invariant(seed):
+    """Guards against a task that runs twice, or a job that never completes."""
     run_random_restarts(seed)
 
 
 def run_random_restarts(seed: int) -> None:
-    """Restart runners all the time, and now and then an agent or entry beside them."""
+    """Restart runners continually, some together with an agent or the leader."""
     rng = random.Random(seed)
 
     async def main():
@@ -212,7 +217,7 @@
 
 
 async def inject_restarts(cluster: JobCluster, rng: random.Random) -> None:
-    """Crash a runner, perhaps again, and perhaps with its agent or the leader."""
+    """Crash a runner up to three times, perhaps with its agent or the leader down."""
     agent = rng.choice(cluster.agents)
     faults = agent.runner.faults
     faults.down_s = rng.choice((0.0, 0.05, 0.4, 0.7))
@@ -229,8 +234,8 @@
         await other.boot()
 
 
-def test_a_task_that_ends_its_runners_is_given_up_where_they_are_back_at_once():
-    """A crash that nobody noticed blames no task, which goes on for ever."""
+def test_a_task_that_crashes_runners_is_given_up_if_they_restart_at_once():
+    """Guards against an unnoticed crash that counts for no task, without end."""
 
     async def main():
         async with run_cluster(agents=3, work_s=0.3) as cluster:
