--- a/tests/scenarios/__init__.py
+++ b/tests/scenarios/__init__.py
@@ -1,1 +1,1 @@
-"""Scenarios: stories of failures, played by the real programs."""
+"""Failure scenarios, which run the real programs."""
--- a/tests/scenarios/conftest.py
+++ b/tests/scenarios/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures and steps of the scenarios."""
+"""Fixtures and step definitions of the scenarios."""
 
 from __future__ import annotations
 
--- a/tests/scenarios/features/at_most_once.feature
+++ b/tests/scenarios/features/at_most_once.feature
@@ -1,6 +1,7 @@
 Feature: A request that must not be repeated runs at most once
-  A matrix entry or a reply letter carries an idempotency key. Whatever fails, a
-  key is handed to a runner once; a repeat gets the recorded answer, or "unknown".
+  A request with an idempotency key, such as a matrix entry or a reply letter, is
+  dispatched to a runner at most once, whatever fails. A repeat gets the recorded
+  answer, or "unknown".
 
   Scenario: A repeat of an answered key gets the recorded answer
     Given 2 entries and 1 worker with 2 slots
@@ -17,10 +18,10 @@
     And at least one of them got status 200
     And the others got the same answer or outcome "unknown"
 
-  Scenario: The entry is killed after it handed the request on
+  Scenario: The entry is killed after it dispatched the request
     Given 2 entries and 1 worker with 2 slots
     When "first" is sent as POST "/orders/a?work_s=0.8" with key "k3" through "e1" in the background
-    And the runners have begun "first"
+    And the runners have started "first"
     And entry "e1" is killed
     And "again" is sent as POST "/orders/a?work_s=0.8" with key "k3" through "e2"
     Then "first" got no answer
@@ -36,7 +37,7 @@
     When the table is down
     And "first" is sent as POST "/orders/a" with key "k4"
     Then "first" ends with outcome "not_run"
-    And "first" says when to come back
+    And "first" has a Retry-After header
     And the runners never saw "first"
     When the table is up
     And "again" is sent as POST "/orders/a" with key "k4" until it runs
@@ -51,7 +52,7 @@
     Then "again" ends with status 200
     And the runners ran key "k5" once
 
-  Scenario: The store is slow, callers do not wait for it
+  Scenario: Callers do not wait for a slow store
     Given 1 entry and 1 worker with 2 slots
     When the table is slow by 20 s
     And "first" is sent as POST "/orders/a" with key "k6"
@@ -60,10 +61,10 @@
     When "plain" is sent as POST "/orders/b"
     Then "plain" ends with status 200
 
-  Scenario: A refused request gives its key free
+  Scenario: A refused request releases its key
     Given 1 entry and 1 worker with 1 slot
     When "slow" is sent as POST "/orders/a?work_s=1.0" in the background
-    And the runners have begun "slow"
+    And the runners have started "slow"
     And "first" is sent as POST "/orders/b" with key "k7" and a deadline of 150 ms
     Then "first" ends with outcome "not_run"
     And "slow" ends with status 200
@@ -75,9 +76,9 @@
     Given 2 entries and 1 worker with 2 slots
     When the table holds "commit/claim"
     And "first" is sent as POST "/orders/a" with key "k8" through "e1" in the background
-    And the table has met such a call
+    And the table has received such a call
     And entry "e1" is killed
-    And the table drops what it held
+    And the table drops the held calls
     Then "first" got no answer
     And the runners never saw "first"
     When "again" is sent as POST "/orders/a" with key "k8" through "e2" until the store answers
@@ -88,9 +89,9 @@
     Given 2 entries and 1 worker with 2 slots
     When the table <fault> "<calls>"
     And "first" is sent as POST "/orders/a" with key "k9" through "e1" in the background
-    And the table has met such a call
+    And the table has received such a call
     And entry "e1" is killed
-    And the table carries out what it held
+    And the table executes the held calls
     Then "first" got no answer
     When entry "e1" is started
     And key "k9" is sent again as POST "/orders/a" through every entry, 3 times
@@ -105,12 +106,12 @@
   Scenario Outline: The entry is killed after the answer, before it is recorded
     Given 2 entries and 1 worker with 2 slots
     When "first" is sent as POST "/orders/a?work_s=0.5" with key "k10" through "e1" in the background
-    And the runners have begun "first"
+    And the runners have started "first"
     And the table holds "commit/claim"
     Then "first" ends with status 200
-    When the table has met such a call
+    When the table has received such a call
     And entry "e1" is killed
-    And the table <then> what it held
+    And the table <then> the held calls
     And entry "e1" is started
     And key "k10" is sent again as POST "/orders/a?work_s=0.5" through every entry, 2 times
     Then every repeat of "k10" ends with <end>
@@ -119,28 +120,28 @@
     Examples:
       | then        | end                   |
       | drops       | outcome "unknown"     |
-      | carries out | the answer of "first" |
+      | executes    | the answer of "first" |
 
-  Scenario: A caller asks again and again after "unknown", through every entry
+  Scenario: A caller retries repeatedly after "unknown", through every entry
     Given 3 entries and 2 workers with 2 slots
     When "cut" is sent as POST "/orders/a?work_s=1.0" with key "k11" in the background
-    And the runners have begun "cut"
+    And the runners have started "cut"
     And the agent that serves "cut" is killed
     Then "cut" ends with outcome "unknown"
     When key "k11" is sent again as POST "/orders/a?work_s=1.0" through every entry, 5 times
     Then every repeat of "k11" ends with outcome "unknown"
     And the runners ran key "k11" once
 
-  Scenario Outline: The release of a refused request's key meets a fault
+  Scenario Outline: A fault hits the release of a refused request's key
     Given 2 entries and 1 worker with 1 slot
     When "slow" is sent as POST "/orders/a?work_s=2.0" in the background
-    And the runners have begun "slow"
+    And the runners have started "slow"
     And "first" is sent as POST "/orders/b" with key "k12" and a deadline of 800 ms in the background
     And the table has a claim
     And the table <fault> "commit/claim"
     Then "first" ends with outcome "not_run"
-    When the table has met such a call
-    And the table is well again
+    When the table has received such a call
+    And the table works again
     Then "slow" ends with status 200
     When "again" is sent as POST "/orders/b" with key "k12" through "e2" until it runs
     Then "again" ends with status 200
--- a/tests/scenarios/features/capacity.feature
+++ b/tests/scenarios/features/capacity.feature
@@ -1,10 +1,10 @@
-Feature: A worker is never given more work than it holds
+Feature: A worker is never given more work than its capacity
 
   Scenario: A burst of placements from several entries
     Given 3 entries and 2 workers of 4 cores with 1 slot
     When 30 tasks "b" of 0.3 s and 1500 millicores are submitted through all entries
     Then all tasks end as "finished"
-    And no worker was given more than it holds
+    And no worker was given more than its capacity
     And no task ran in two places at once
 
   Scenario: The agent is replaced while its worker is full
@@ -14,10 +14,10 @@
     And the agent of "w1" is killed
     And the agent of "w1" is started
     Then all tasks end as "finished"
-    And no worker was given more than it holds
+    And no worker was given more than its capacity
     And no task ran in two places at once
 
-  Scenario: A task that no worker can ever hold gets its reason
+  Scenario: A task that fits no worker fails with a reason
     Given 1 entry and 1 worker of 4 cores with 1 slot
     When task "huge" of 0.3 s and 64000 millicores is submitted
     Then task "huge" ends as "failed"
--- a/tests/scenarios/features/leaving.feature
+++ b/tests/scenarios/features/leaving.feature
@@ -1,31 +1,31 @@
 Feature: A target that is leaving receives no new work
 
-  Scenario: An agent says goodbye
+  Scenario: An agent announces that it stops
     Given 1 entry and 2 workers with 4 slots
     When callers send requests through all entries without pause
     And the agent of "w1" is asked to stop
-    Then the runners of "w1" are handed nothing more after 3 s
+    Then the runners of "w1" receive no requests after 3 s
     And every caller got the whole answer to their own request
 
-  Scenario: The goodbye is lost, the connection silent
+  Scenario: An agent stops answering without an announcement
     Given 1 entry and 2 workers with 4 slots
     When the agent of "w1" is frozen
-    Then entry "e1" gives "w1" up within 3 s
+    Then entry "e1" drops "w1" within 3 s
     And requests are answered again
 
   Scenario: A runner withdraws its announcement
     Given 1 entry and 2 workers with 4 slots
     When callers send requests through all entries without pause
     And the runner of "w1" is asked to stop
-    Then the runners of "w1" are handed nothing more after 3 s
+    Then the runners of "w1" receive no requests after 3 s
     And every caller got the whole answer to their own request
 
   Scenario: All links of an entry go silent both ways under load
     Given 2 entries and 2 workers with 4 slots, with relays to the entries
     When callers send requests through all entries without pause
     And the link between "e1" and the agents is silent
-    Then entry "e1" gives "w1" up within 3 s
-    And entry "e1" gives "w2" up within 3 s
+    Then entry "e1" drops "w1" within 3 s
+    And entry "e1" drops "w2" within 3 s
     When "none" is sent as POST "/orders/a" through "e1"
     And "other" is sent as POST "/orders/a" through "e2"
     Then "none" ends with outcome "not_run"
--- a/tests/scenarios/features/not_run.feature
+++ b/tests/scenarios/features/not_run.feature
@@ -1,14 +1,14 @@
-Feature: "Not run" means that it did not run
-  A caller who is told "not_run" may ask again without a second thought. So the
-  words are only used when no runner can have seen the request.
+Feature: The outcome "not_run" means that the request did not run
+  A caller may safely repeat a request with the outcome "not_run". So this outcome is
+  used only if no runner can have received the request.
 
   Scenario: The deadline passes while the request waits for a slot
     Given 1 entry and 1 worker with 1 slot
     When "slow" is sent as POST "/orders/a?work_s=1.0" in the background
-    And the runners have begun "slow"
+    And the runners have started "slow"
     And "late" is sent as POST "/orders/b" with a deadline of 150 ms
     Then "late" ends with outcome "not_run"
-    And "late" says when to come back
+    And "late" has a Retry-After header
     And the runners never saw "late"
     And "slow" ends with status 200
 
@@ -18,18 +18,18 @@
     Then "begun" ends with outcome "unknown"
     And the runners ran "begun" once
 
-  Scenario: The agent is killed between handing on and the answer
+  Scenario: The agent is killed between dispatch and answer
     Given 1 entry and 1 worker with 2 slots
     When "cut" is sent as POST "/orders/a?work_s=1.0" in the background
-    And the runners have begun "cut"
+    And the runners have started "cut"
     And the agent of "w1" is killed
     Then "cut" ends with outcome "unknown"
     And the runners ran "cut" once
 
-  Scenario: A read that may be repeated is answered by another worker
+  Scenario: A safe read is repeated on another worker
     Given 1 entry and 2 workers with 2 slots
     When "cut" is sent as GET "/orders/a?work_s=1.0" in the background
-    And the runners have begun "cut"
+    And the runners have started "cut"
     And the agent that serves "cut" is killed
     Then "cut" ends with status 200
 
@@ -37,7 +37,7 @@
     Given 1 entry and 1 worker with 1 slot
     When the table loses the answers of the next 1 commits on journals
     And task "t" of 0.3 s is submitted
-    Then task "t" is known after asking again with the same key
+    Then task "t" is known after a retry with the same key
     And task "t" ends as "finished"
     And task "t" was finished once
     And no task ran in two places at once
@@ -46,13 +46,13 @@
     Given 1 entry and 1 worker with 1 slot
     When the table is down
     And task "t" of 0.3 s is submitted
-    Then the submission of "t" was refused as "not_run" with a time to come back
+    Then the submission of "t" was refused as "not_run" with a Retry-After time
     When the table is up
-    Then task "t" is known after asking again with the same key
+    Then task "t" is known after a retry with the same key
     And task "t" ends as "finished"
     And task "t" was finished once
 
-  Scenario: A cancel meets a task that starts
+  Scenario: A task is cancelled while it starts
     Given 1 entry and 1 worker with 1 slot
     When 12 tasks "c" of 0.2 s are submitted and each is cancelled at once
     Then every task ends as its worker's record says
@@ -61,16 +61,16 @@
   Scenario: The answer is lost on a silent link
     Given 1 entry and 1 worker with 2 slots, with relays to the entries
     When "cut" is sent as POST "/orders/a?work_s=1.0" in the background
-    And the runners have begun "cut"
+    And the runners have started "cut"
     And the existing links go silent
     Then "cut" ends with outcome "unknown"
     And the runners ran "cut" once
 
-  Scenario: The answer to a read is lost on a silent link, another worker gives it
+  Scenario: The answer to a read is lost on a silent link, and another worker answers
     Given 1 entry and 2 workers with 2 slots, with relays to the entries
     When the agent of "w2" is killed
     And "cut" is sent as GET "/orders/a?work_s=5.0" with a deadline of 15000 ms in the background
-    And the runners have begun "cut"
+    And the runners have started "cut"
     And the agent of "w2" is started
     And entry "e1" sees 2 workers
     And the oldest link to "e1" goes silent
--- a/tests/scenarios/features/one_place.feature
+++ b/tests/scenarios/features/one_place.feature
@@ -1,6 +1,6 @@
 Feature: A batch task never runs in two places at once
-  Leases count from when the holder asked; who takes over waits until every lease
-  that may have been given has run out for certain.
+  A lease counts from its holder's request. A successor waits until every lease that
+  may have been granted has certainly expired.
 
   Scenario: The agent is killed and restarted while its task runs
     Given 1 entry and 1 worker with 1 slot
@@ -12,7 +12,7 @@
     And task "t" ran 1 times
     And no task ran in two places at once
 
-  Scenario: The agent of the worker is frozen past the lease, then woken
+  Scenario: The agent of the worker is frozen past the lease, then thawed
     Given 1 entry and 2 workers with 1 slot
     When task "t" of 3.0 s is submitted
     And task "t" runs
@@ -23,7 +23,7 @@
     And task "t" was finished once
     And no task ran in two places at once
 
-  Scenario: The worker is frozen with its agent, then woken
+  Scenario: The worker is frozen with its agent, then thawed
     Given 1 entry and 2 workers with 1 slot
     When task "t" of 3.0 s is submitted
     And task "t" runs
@@ -43,7 +43,7 @@
     And task "t" was finished once
     And no task ran in two places at once
 
-  Scenario: The owner is frozen, replaced, then woken
+  Scenario: The owner is frozen, replaced, then thawed
     Given 2 entries and 2 workers with 1 slot
     When task "t" of 4.0 s is submitted
     And task "t" runs
@@ -54,7 +54,7 @@
     And task "t" was finished once
     And no task ran in two places at once
 
-  Scenario: The owner is cut off from the store and believes it still owns
+  Scenario: The owner is cut off from the store and still considers itself the owner
     Given 2 entries and 2 workers with 1 slot, with relays to the table
     When task "t" of 4.0 s is submitted
     And task "t" runs
@@ -65,7 +65,7 @@
     And no task ran in two places at once
     When the cut entry reaches the table again
     And task "u" of 0.3 s is submitted
-    Then task "u" is known after asking again with the same key
+    Then task "u" is known after a retry with the same key
     And task "u" ends as "finished"
 
   Scenario: Two agents on one worker
@@ -78,7 +78,7 @@
     And task "t" ran 1 times
     And no task ran in two places at once
 
-  Scenario: The worker is lost for good
+  Scenario: The worker is lost permanently
     Given 1 entry and 2 workers with 1 slot
     When task "t" of 2.0 s is submitted
     And task "t" runs
@@ -87,7 +87,7 @@
     And task "t" was finished once
     And no task ran in two places at once
 
-  Scenario: Two owners in a row are cut off from the store, and both believe they own
+  Scenario: Two owners in a row are cut off from the store, and both still act as owner
     Given 2 entries and 2 workers with 1 slot, with relays to the table
     When task "t" of 6.0 s is submitted
     And task "t" runs
@@ -101,13 +101,13 @@
     And task "t" was finished once
     And no task ran in two places at once
 
-  Scenario: The agent is frozen between asking for the start and its answer
+  Scenario: The agent is frozen between the start request and its answer
     Given 1 entry and 2 workers with 1 slot
     When the runtime holds "start"
     And task "t" of 3.0 s is submitted
-    And the runtime has met such a call
-    And the agent that waits is frozen
-    And the runtime carries out what it held
+    And the runtime has received such a call
+    And the waiting agent is frozen
+    And the runtime executes the held calls
     And task "t" runs
     And task "t" runs elsewhere
     And the frozen agent is thawed
@@ -119,14 +119,14 @@
     Given 1 entry and 2 workers with 1 slot
     When task "t" of 1.0 s is submitted
     And the agents are frozen
-    Then entry "e1" gives "w1" up within 3 s
-    And entry "e1" gives "w2" up within 3 s
+    Then entry "e1" drops "w1" within 3 s
+    And entry "e1" drops "w2" within 3 s
     When the frozen agents are thawed
     Then task "t" ends as "finished"
     And task "t" was finished once
     And no task ran in two places at once
 
-  Scenario: The owner is cut off from the store, and it alone reaches the worker
+  Scenario: The owner is cut off from the store, and only it reaches the worker
     Given 2 entries and 2 workers with 1 slot, with relays to the table, each agent linked to one entry
     When task "t" of 9.0 s is submitted
     And task "t" runs
--- a/tests/scenarios/features/profiles.feature
+++ b/tests/scenarios/features/profiles.feature
@@ -1,12 +1,12 @@
 Feature: An accepted profile change is in force everywhere and never reverts
 
-  Scenario: Two operators race
+  Scenario: Two operators revise the same profile concurrently
     Given 2 entries and 1 worker with 1 slot
     When two operators revise the profile "counter" at the same version through both entries
     Then one of them wins and the other gets status 412
     And the winner's change is in force on every entry
 
-  Scenario: Assigning races retiring
+  Scenario: A profile is assigned and retired concurrently
     Given 2 entries and 1 worker with 1 slot
     When operators assign and retire the same profile at once, 10 times
     Then no service holds a profile that is gone
@@ -54,7 +54,7 @@
     And the link between "e2" and the agents is cut
     And the profile "counter" is revised to promise 777 ms through "e1"
     Then the change is in force on every agent
-    When the agents' promises are watched from now on
+    When the agents' promises are recorded from now on
     And the link between "e2" and the agents is back
     Then the change is in force on "e2" through agents
     When the link between "e2" and the table is back
--- a/tests/scenarios/features/whole_answer.feature
+++ b/tests/scenarios/features/whole_answer.feature
@@ -1,6 +1,6 @@
 Feature: A caller gets the whole answer to their own request
 
-  Scenario: Many callers at once, with answers that are late and out of order
+  Scenario: Many concurrent callers, with late and reordered answers
     Given 2 entries and 2 workers with 4 slots
     When 200 callers send requests of mixed length through all entries
     Then every caller got the whole answer to their own request
--- a/tests/scenarios/load.py
+++ b/tests/scenarios/load.py
@@ -1,4 +1,4 @@
-"""Callers that send requests without pause and check each answer."""
+"""Callers that send requests continuously and check each answer."""
 
 from __future__ import annotations
 
@@ -19,7 +19,12 @@
 
 @dataclass
 class Tally:
-    """What became of the requests of a load."""
+    """Results of the requests of a load.
+
+    :ivar complete: number of complete and correct answers.
+    :ivar problems: requests answered with another status than 200.
+    :ivar failures: requests with a broken connection or a wrong answer.
+    """
 
     complete: int = 0
     problems: list[str] = field(default_factory=list)
@@ -27,11 +32,11 @@
 
 
 class Caller:
-    """Sends requests on a kept-alive connection, as callers do.
+    """Sends requests on a keep-alive connection, as callers do.
 
-    A connection that the entry closed while it was idle, or that is refused
-    before a byte of the request was sent, is replaced, by one to the next
-    entry: that is what the balancer in front does.
+    If the entry closed the connection while it was idle, or refuses it before a byte of
+    the request was sent, a connection to the next entry replaces it, as the load
+    balancer in front does.
     """
 
     def __init__(self, number: int, addresses: list[str], tally: Tally) -> None:
@@ -98,7 +103,7 @@
         document = json.loads(reply.body)
         expected = hashlib.sha256(body).hexdigest()
         if document["case"] != case or document["sha"] != expected:
-            self._tally.failures.append(f"{case}: another's answer {document}")
+            self._tally.failures.append(f"{case}: answer to another request {document}")
         elif len(reply.body) < size:
             self._tally.failures.append(f"{case}: {len(reply.body)} of {size} bytes")
         else:
@@ -106,7 +111,7 @@
 
 
 class Load:
-    """Several callers at once, until they are stopped."""
+    """Several concurrent callers, until they are stopped."""
 
     def __init__(self, addresses: list[str], callers: int = CALLERS) -> None:
         self.tally = Tally()
@@ -119,7 +124,7 @@
             thread.start()
 
     def stop(self) -> Tally:
-        """End the load after the requests in flight; return its tally."""
+        """Stop after the requests in flight, and return the tally."""
         self._stop.set()
         for thread in self._threads:
             thread.join(TIMEOUT_S * 2)
--- a/tests/scenarios/steps/callers.py
+++ b/tests/scenarios/steps/callers.py
@@ -1,4 +1,4 @@
-"""Callers' requests, and what the runners' own records say of them."""
+"""Steps for callers' requests, checked against the runners' own records."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
 
 
 def must_retry(sent: SentRequest, how: str | None) -> bool:
-    """Tell whether a caller would ask again with the same key."""
+    """Return whether a caller would retry with the same key."""
     if not how:
         return False
     reply = sent.answer()
@@ -92,8 +92,8 @@
         check(world, name, wanted)
 
 
-@when(parsers.parse('the runners have begun "{name}"'))
-def wait_begun(world: World, name: str) -> None:
+@when(parsers.parse('the runners have started "{name}"'))
+def wait_started(world: World, name: str) -> None:
     wait_until(lambda: world.executions(case=name), f"{name} begins")
 
 
@@ -132,7 +132,7 @@
     assert world.sent[name].reply is None
 
 
-@then(parsers.parse('"{name}" says when to come back'))
+@then(parsers.parse('"{name}" has a Retry-After header'))
 def check_retry_after(world: World, name: str) -> None:
     reply = world.sent[name].answer()
     assert int(reply.headers["retry-after"]) >= 1, reply
@@ -174,8 +174,8 @@
     for number in range(count):
         entry = world.entries[number % len(world.entries)]
         world.send(f"same-{number}", "POST", target, entry, idempotency_key=key)
-    # Counted earlier, a first run that is slow to begin is missed, and so is a second
-    # one that should not be there.
+    # Wait for all answers, or the check would miss a first run that starts slowly, and
+    # a second run that must not happen.
     for sent in world.sent.values():
         sent.answer()
 
@@ -255,8 +255,8 @@
 
 @then("requests are answered without a failure until every lease has run out")
 def check_during_outage(world: World) -> None:
-    # Leases count from the agents' last renewed reports, so an owner's lease
-    # and a task's lease after now there can be none left.
+    # Leases count from the agents' last renewed reports, so all of them have expired
+    # after an owner's lease and a task's lease from now.
     end = time.monotonic() + TASK_LEASE_S + GRACE_S
     number = 0
     while time.monotonic() < end:
@@ -280,7 +280,7 @@
 
 
 def read_answer(sock: socket.socket) -> dict[str, str]:
-    # HTTPResponse reads ahead, so the bytes are taken one by one.
+    # HTTPResponse reads ahead into the next answer, so read byte by byte.
     head = b""
     while not head.endswith(b"\r\n\r\n"):
         head += sock.recv(1)
@@ -355,10 +355,8 @@
     assert answer["sha"] == hashlib.sha256(b"h" * HALF * 2).hexdigest()
 
 
-@then(
-    parsers.parse('the runners of "{worker}" are handed nothing more after {limit:d} s')
-)
-def check_nothing_handed(world: World, worker: str, limit: int) -> None:
+@then(parsers.parse('the runners of "{worker}" receive no requests after {limit:d} s'))
+def check_receives_nothing(world: World, worker: str, limit: int) -> None:
     left_at = time.monotonic()
     threading.Event().wait(limit + 1.0)
     late = [
@@ -369,13 +367,13 @@
     assert late == []
 
 
-@then(parsers.parse('entry "{entry}" gives "{worker}" up within {limit:d} s'))
-def check_given_up(world: World, entry: str, worker: str, limit: int) -> None:
+@then(parsers.parse('entry "{entry}" drops "{worker}" within {limit:d} s'))
+def check_dropped(world: World, entry: str, worker: str, limit: int) -> None:
     def poll() -> bool:
         status = world.cluster.operate(world.cluster[entry], "GET", "/-/status")
         seen = [agent["worker"] for agent in status.document()["agents"]]
         return worker not in seen
 
     started = time.monotonic()
-    wait_until(poll, f"{entry} gives {worker} up")
+    wait_until(poll, f"{entry} drops {worker}")
     assert time.monotonic() - started <= limit
--- a/tests/scenarios/steps/deployment.py
+++ b/tests/scenarios/steps/deployment.py
@@ -1,4 +1,4 @@
-"""Given: entries, workers, agents, runners and profiles."""
+"""Given steps: entries, workers, agents, runners and profiles."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     r"(?P<apart>, each agent linked to one entry)?"
 )
 TASK_LEASE_S = 2.0
-# More refusals than this are a fault of the set-up itself.
+# More refusals than this mean that the set-up itself is faulty.
 SETUP_TRIES = 10
 
 
@@ -64,8 +64,8 @@
         relay = cluster.start_relay(cluster["table"], name=f"relay-table-{name}")
         world.relays[f"table-{name}"] = relay
     if "entries" in relays and name not in world.relays:
-        # The relay's address is what the entry tells its peers, so the entry's
-        # own port has to be known first.
+        # The entry advertises the relay's address to its peers, and the relay needs the
+        # entry's port, so the entry is started once to learn its port.
         entry = cluster.start_entry(name)
         relay = cluster.start_relay(entry, "internal", name=f"relay-entry-{name}")
         world.relays[name] = relay
@@ -106,10 +106,10 @@
 
 
 def follow_retry_after(change: Callable[[], Reply]) -> None:
-    """Make a change of the set-up as an operator does: again after ``Retry-After``.
+    """Make a change of the set-up, and retry it after ``Retry-After`` as operators do.
 
-    Only an answer that says "not run" and when to come back is followed; any other
-    one but success fails the scenario at once.
+    Only an answer with the outcome "not_run" and a time for the retry is retried; any
+    other answer but success fails the scenario at once.
     """
     for _ in range(SETUP_TRIES):
         reply = change()
@@ -123,10 +123,10 @@
 
 
 def wait_owned(world: World) -> None:
-    """Wait until the partitions have gone to those that are to own them.
+    """Wait until each partition is with its intended owner.
 
-    The first entry takes them all and hands some over to the others a little later; a
-    task that comes in at that moment is refused.
+    The first entry takes all partitions and hands some over to the others a little
+    later. A task that arrives during the handover is refused.
     """
     cluster = world.cluster
 
@@ -137,10 +137,10 @@
             status = cluster.operate(cluster[name], "GET", "/-/status").document()
             versions.add(status["profiles_version"])
             held = status["batch"]["partitions"].values()
-            shares.append(sum(one["authority"] for one in held))
+            shares.append(sum(partition["authority"] for partition in held))
         return all(shares) and sum(shares) == PARTITIONS and len(versions) == 1
 
-    wait_until(poll, "the partitions are shared out")
+    wait_until(poll, "each entry owns its partitions")
     for name in world.entries:
         for partition in range(PARTITIONS):
             unknown = f"/tasks/{partition:04d}-{'0' * 32}"
--- a/tests/scenarios/steps/faults.py
+++ b/tests/scenarios/steps/faults.py
@@ -1,4 +1,4 @@
-"""When: processes are killed, frozen, stopped; stand-ins and relays misbehave."""
+"""When steps: killed, frozen and stopped processes, faulty stand-ins and relays."""
 
 from __future__ import annotations
 
@@ -72,8 +72,8 @@
 @when(parsers.parse('a second agent is started on "{worker}"'))
 def start_second_agent(world: World, worker: str) -> None:
     cluster = world.cluster
-    # Another node on the same worker's runtime: a replacement that was started
-    # while the first agent was believed dead.
+    # A second node on the same worker's runtime, like a replacement that was started
+    # while the first agent was considered dead.
     entries = [cluster[name] for name in world.entries]
     runtime = cluster[f"worker-{worker}"]
     cluster.start_agent(worker, runtime, entries, node=f"agent-{worker}-second")
@@ -147,8 +147,8 @@
 
 
 @when("the cut entry reaches the table again")
-def join_owner(world: World) -> None:
-    # Of several, the one that was cut off first.
+def reconnect_owner(world: World) -> None:
+    # If several entries are cut off, the one that was cut off first.
     owner = world.notes["cut"].pop(0)
     world.cluster.set_relay(world.relays[f"table-{owner}"], "pass")
     world.notes["halted"].discard(owner)
@@ -210,7 +210,7 @@
 
 
 @when("each entry and agent is stopped and started, one after the other")
-def roll_all(world: World) -> None:
+def restart_all(world: World) -> None:
     cluster = world.cluster
     for name in world.entries:
         cluster[name].terminate()
@@ -250,7 +250,7 @@
     world.cluster.faults(world.cluster[f"worker-{worker}"], fail_all=True)
 
 
-@when('the worker that runs task "t" leaves for good')
+@when('the worker that runs task "t" is decommissioned')
 def decommission_worker(world: World) -> None:
     run = world.wait_running("t")
     agent = world.cluster[f"agent-{run['worker']}"]
--- a/tests/scenarios/steps/operators.py
+++ b/tests/scenarios/steps/operators.py
@@ -1,4 +1,4 @@
-"""Operators' changes of profiles, and where they are in force."""
+"""Steps for operators' changes of profiles, and where they take effect."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def read_promise(world: World, entry: str) -> int:
-    """Return the promise that an entry applies to the service now."""
+    """Return the ``promised_ms`` that an entry applies to the service."""
     reply = world.cluster.operate(world.cluster[entry], "GET", "/-/status")
     in_force = reply.document()["policies"]
     return int(in_force.get(SERVICE, {}).get("promised_ms", 0))
@@ -63,7 +63,7 @@
 
 
 def revise_at_once(world: World, tag: str, profiles: list[str]) -> dict[int, Reply]:
-    """Revise one profile through each entry; return the replies by promise."""
+    """Revise one profile through each entry; return the replies by ``promised_ms``."""
     replies: dict[int, Reply] = {}
 
     def run(name: str, promise: int, profile: str) -> None:
@@ -107,9 +107,9 @@
             assert found == [600, 601], (name, shown)
 
 
-@when("the agents' promises are watched from now on")
+@when("the agents' promises are recorded from now on")
 def watch_agents(world: World) -> None:
-    """Note every promise that an agent applies, as fast as it can be asked."""
+    """Record every ``promised_ms`` that agents apply, polling without pause."""
     seen: set[int] = set()
     stop = threading.Event()
 
@@ -131,7 +131,7 @@
 
 
 def agent_promise(world: World, worker: str) -> int:
-    """Return the promise that an agent applies to the service now."""
+    """Return the ``promised_ms`` that an agent applies to the service."""
     agent = world.cluster[f"agent-{worker}"]
     shown = world.cluster.http(agent.address("announce"), "GET", "/status")
     in_force = shown.document()["policies"]
@@ -210,7 +210,7 @@
 
 
 @then("no service holds a profile that is gone")
-def check_no_dangling(world: World) -> None:
+def check_no_retired_profile_assigned(world: World) -> None:
     cluster = world.cluster
     entry = cluster[world.entries[0]]
     for name, replies in world.notes["outcomes"]:
--- a/tests/scenarios/steps/outages.py
+++ b/tests/scenarios/steps/outages.py
@@ -1,4 +1,4 @@
-"""What needs the store while it is down, and how the work comes back."""
+"""Steps for requests that need the store during an outage, and for the recovery."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 WAITING_S = 0.3
 WORK_ROWS = ("claim/", "journal/")
 WAITING_MILLI = 100
-# A task is accepted, started and finished; a key is claimed, and its answer kept.
+# A task is accepted, started and finished; a key is claimed and its answer recorded.
 CHANGES_A_TASK = 3
 CHANGES_A_KEY = 2
 
 
-def check_told_at_once(reply: Reply, took_s: float) -> None:
+def check_refused_quickly(reply: Reply, took_s: float) -> None:
     assert reply.status == 503, reply
     assert reply.outcome == "not_run", reply
     assert int(reply.headers["retry-after"]) >= 1, reply
@@ -33,12 +33,12 @@
 
 @then(
     "a key, a task and a profile change are each refused at once "
-    "with a time to come back"
+    "with a Retry-After time"
 )
 def check_refused_at_once(world: World) -> None:
     entry = world.live_entry()
     sent = world.send("outage", "POST", "/orders/a", entry, idempotency_key="outage")
-    check_told_at_once(sent.answer(), sent.took_s)
+    check_refused_quickly(sent.answer(), sent.took_s)
     assert world.executions(key="outage") == []
     process = world.cluster[entry]
     name = "outage-profile"
@@ -47,7 +47,7 @@
         lambda: world.cluster.define_profile(process, name),
     ):
         started = time.monotonic()
-        check_told_at_once(act(), time.monotonic() - started)
+        check_refused_quickly(act(), time.monotonic() - started)
 
 
 @when(
@@ -56,7 +56,7 @@
     )
 )
 def ask_until_up(world: World, count: int, keys: int) -> None:
-    """Let every caller ask at least once in vain, and go on asking."""
+    """Start callers that retry until they are served."""
 
     def ask_for_task(number: int) -> None:
         entry = world.entries[number % len(world.entries)]
@@ -106,7 +106,7 @@
         "half as many as changes, and at most {commits:d} in any {window:d} ms"
     )
 )
-def check_no_wave(world: World, commits: int, window: int) -> None:
+def check_no_burst(world: World, commits: int, window: int) -> None:
     _, count, keys = world.notes["asking"]
     log = world.cluster.record(world.cluster["table"])["log"]
     committed = [
@@ -125,7 +125,7 @@
 
 
 def describe_commits(committed: list[dict[str, Any]], since: float) -> str:
-    """Return how many commits each kind of row got in each second."""
+    """Return the number of commits by second and kind of row."""
     kinds = Counter(
         (int(event["at"] - since), "/".join(event["keys"][0].split("/")[:2]))
         for event in committed
@@ -134,7 +134,7 @@
 
 
 def count_most(moments: Iterable[float], window_s: float) -> int:
-    """Return the largest number of moments within any window."""
+    """Return the largest number of moments within any window of this length."""
     found = sorted(moments)
     return max(
         sum(first <= other < first + window_s for other in found) for first in found
--- a/tests/scenarios/steps/platform.py
+++ b/tests/scenarios/steps/platform.py
@@ -1,7 +1,7 @@
-"""When: the platform holds, refuses or does not answer calls of one kind.
+"""When steps: the platform holds, refuses or does not answer calls of one kind.
 
-A step waits until such a call has come in, so that what follows happens at that
-very point of the work, and not a while before or after it.
+A step waits until such a call has arrived, so that the next steps happen at exactly
+that point of the work.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 def find_stand_ins(world: World, place: str) -> list[Process]:
-    """Return the stand-ins of a place; the runtime is one on each worker."""
+    """Return the stand-ins of a place; the runtime has one on each worker."""
     if place == "runtime":
         return [world.cluster[f"worker-{worker}"] for worker in world.workers]
     return [world.cluster["table" if place == "table" else "objects"]]
@@ -39,7 +39,7 @@
 
 
 def count_met(world: World, process: Process) -> int:
-    """Count the spoilt calls of the operation that the scenario waits for."""
+    """Count the faulted calls of the operation that the scenario waits for."""
     met: dict[str, int] = world.cluster.record(process)["met"]
     awaited = world.notes["awaited"]
     return sum(count for name, count in met.items() if name.startswith(awaited))
@@ -47,10 +47,10 @@
 
 @when(parsers.re(PLACE + rf'(?P<fault>{"|".join(FAULTS)}) "(?P<calls>[^"]+)"'))
 def inject_call_faults(world: World, place: str, fault: str, calls: str) -> None:
-    """Spoil all calls whose operations begin with one of ``calls``.
+    """Inject a fault into all calls whose operations start with one of ``calls``.
 
-    The scenario goes on when the first of them is met: the others may be calls that
-    processes make all the time, such as their looks at the profiles.
+    The scenario waits for a call of the first operation only: the others may be calls
+    that processes make all the time, such as polls of the profiles.
     """
     operations = calls.split(", ")
     world.notes["awaited"] = operations[0]
@@ -59,7 +59,7 @@
     set_all(world, place, {**FAULTS[fault], "only": operations})
 
 
-@when(parsers.re(PLACE + "has met such a call"))
+@when(parsers.re(PLACE + "has received such a call"))
 def wait_met(world: World, place: str) -> None:
     before = world.notes["met"]
 
@@ -69,17 +69,17 @@
                 return process.name
         return ""
 
-    met = wait_until(poll, f"{place} meets a call")
+    met = wait_until(poll, f"{place} receives a call")
     if place == "runtime":
         world.notes["waits"] = f"agent-{met.removeprefix('worker-')}"
 
 
-@when(parsers.re(PLACE + "(?:is well again|carries out what it held)"))
+@when(parsers.re(PLACE + "(?:works again|executes the held calls)"))
 def clear_faults(world: World, place: str) -> None:
     set_all(world, place, CLEARED)
 
 
-@when(parsers.re(PLACE + "drops what it held"))
+@when(parsers.re(PLACE + "drops the held calls"))
 def drop_held(world: World, place: str) -> None:
     set_all(world, place, {"down": True, "frozen": False})
     for process in find_stand_ins(world, place):
@@ -87,7 +87,7 @@
         def poll(process: Process = process) -> bool:
             return not world.cluster.record(process)["held"]
 
-        wait_until(poll, f"{process.name} holds nothing")
+        wait_until(poll, f"{process.name} holds no calls")
     clear_faults(world, place)
 
 
@@ -97,25 +97,25 @@
         log = world.cluster.record(world.cluster["table"])["log"]
         return any(key.startswith("claim/") for event in log for key in event["keys"])
 
-    wait_until(poll, "a claim is in")
+    wait_until(poll, "the table has a claim")
 
 
 def waiting_agent(world: World) -> str:
-    """Return the agent whose call was met, or which is leaving."""
+    """Return the agent whose call is held, or which is being decommissioned."""
     return str(world.notes.get("waits") or world.notes["leaving"])
 
 
-@when("the agent that waits is killed")
+@when("the waiting agent is killed")
 def kill_waiting(world: World) -> None:
     kill(world, waiting_agent(world))
 
 
-@when("the agent that waits is started again")
+@when("the waiting agent is started again")
 def restart_waiting(world: World) -> None:
     start_agent(world, waiting_agent(world).removeprefix("agent-"))
 
 
-@when("the agent that waits is frozen")
+@when("the waiting agent is frozen")
 def freeze_waiting(world: World) -> None:
     world.notes["left"] = waiting_agent(world).removeprefix("agent-")
     freeze(world, waiting_agent(world))
--- a/tests/scenarios/steps/tasks.py
+++ b/tests/scenarios/steps/tasks.py
@@ -1,4 +1,4 @@
-"""Batch tasks, and what the workers' own records say of them."""
+"""Steps for batch tasks, checked against the workers' own records."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
     raise AssertionError(f"{task} was never admitted: {world.submissions[task]}")
 
 
-@then(parsers.parse('task "{task}" is known after asking again with the same key'))
+@then(parsers.parse('task "{task}" is known after a retry with the same key'))
 def check_known(world: World, task: str) -> None:
     run_s, milli = world.notes["submitted"][task]
     submit_until_known(world, task, run_s, milli, world.live_entry())
@@ -68,7 +68,7 @@
 
 @then(
     parsers.parse(
-        'the submission of "{task}" was refused as "{outcome}" with a time to come back'
+        'the submission of "{task}" was refused as "{outcome}" with a Retry-After time'
     )
 )
 def check_refused(world: World, task: str, outcome: str) -> None:
@@ -193,7 +193,7 @@
             assert earlier["end"] <= later["start"], (task_id, earlier, later)
 
 
-@then("no worker was given more than it holds")
+@then("no worker was given more than its capacity")
 def check_capacity(world: World) -> None:
     for worker in world.workers:
         record = world.cluster.record(world.cluster[f"worker-{worker}"])
@@ -211,7 +211,7 @@
 
 
 @then("every task ends as its worker's record says")
-def check_cancel_truth(world: World) -> None:
+def check_cancel_results(world: World) -> None:
     for task, told in world.notes["cancelled"].items():
         shown = wait_end(world, task)
         ends = [run["ended"] for run in world.intervals(world.tasks[task])]
--- a/tests/scenarios/test_scenarios.py
+++ b/tests/scenarios/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Binds the scenarios in ``features``, each the story of a failure."""
+"""Binds the failure scenarios in ``features``."""
 
 from pytest_bdd import scenarios
 
--- a/tests/scenarios/world.py
+++ b/tests/scenarios/world.py
@@ -1,4 +1,4 @@
-"""What a scenario keeps: the cluster, callers' answers, submitted tasks."""
+"""State that the steps of a scenario share: cluster, requests, submitted tasks."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @dataclass
 class SentRequest:
-    """A caller's request, sent in a thread of its own."""
+    """A caller's request, sent in its own thread."""
 
     name: str
     entry: str
@@ -38,13 +38,13 @@
     took_s: float = 0.0
 
     def finish(self) -> None:
-        """Wait until it has an answer, or the connection broke."""
+        """Wait until it has an answer, or its connection has failed."""
         assert self.thread is not None
         self.thread.join(CALL_LIMIT_S)
         assert not self.thread.is_alive(), f"{self.name} has no answer"
 
     def answer(self) -> Reply:
-        """Return the whole answer."""
+        """Return the complete answer."""
         self.finish()
         assert self.reply is not None, f"{self.name}: {self.error!r}"
         return self.reply
@@ -79,7 +79,7 @@
     def send(
         self, name: str, method: str, target: str, entry: str, **headers: str
     ) -> SentRequest:
-        """Send a request in a thread of its own."""
+        """Send a request in a new thread."""
         named = {key.replace("_", "-"): value for key, value in headers.items()}
         named.setdefault("pistachiodeal-deadline-ms", str(DEADLINE_MS))
         named["x-case"] = name
@@ -101,7 +101,7 @@
         return sent
 
     def executions(self, **wanted: str) -> list[dict[str, Any]]:
-        """Return the runners' records of begun executions, killed runners too."""
+        """Return the started executions that runners, also killed ones, recorded."""
         names = [f"{SERVICE}-{worker}" for worker in self.workers]
         events = self.cluster.read_events(*names)
         return [
@@ -112,10 +112,10 @@
         ]
 
     def intervals(self, task_id: str = "") -> list[dict[str, Any]]:
-        """Return the workers' records of runs, of killed workers too.
+        """Return the runs that workers recorded, including killed workers.
 
-        A run whose end was not recorded is open: of a worker that lives it
-        still runs, a worker that was killed ran it up to that moment at most.
+        A run without a recorded end is open. On a running worker it is still running;
+        on a killed worker it ended no later than the kill.
         """
         intervals: dict[tuple[str, str, int], dict[str, Any]] = {}
         names = [f"worker-{worker}" for worker in self.workers]
@@ -143,19 +143,19 @@
         return runs[0]
 
     def owner(self, task: str) -> str:
-        """Return the entry that owns a task's partition, as the table says."""
+        """Return the entry that owns a task's partition according to the table."""
         partition = self.tasks[task].partition("-")[0]
         row = self.table_row(f"partition/{partition}")
         return str(row.get("node", ""))
 
     def table_row(self, key: str) -> dict[str, Any]:
-        """Return a row of the table, empty when it is not there."""
+        """Return a row of the table, or an empty one if it doesn't exist."""
         address = self.cluster["table"].address()
         reply = call_json(address, "POST", "/read", {"keys": [key]})
         rows = reply.document()["rows"]
         return dict(json.loads(b64decode(rows[0]["value"]))) if rows else {}
 
     def clean_up(self) -> None:
-        """End the load, if there is one."""
+        """Stop the load, if there is one."""
         if self.load is not None:
             self.load.stop()
--- a/tests/soak/platform.py
+++ b/tests/soak/platform.py
@@ -76,15 +76,15 @@
 
     async def _commit(self, document: dict[str, Any]) -> base.Answer:
         conditions = tuple(
-            RowCondition(row["table"], row["key"], row["schema_version"])
-            for row in document.get("expected_rev", ())
+            RowCondition(one["table"], one["key"], one["schema_version"])
+            for one in document.get("expected_rev", ())
         )
         writes = [
-            RowWrite(row["table"], row["key"], b64decode(row["value"]), row["part"])
-            for row in document.get("writes", ())
+            RowWrite(one["table"], one["key"], b64decode(one["value"]), one["part"])
+            for one in document.get("writes", ())
         ]
-        for row in document.get("remove", ()):
-            writes.append(RowWrite(row["table"], row["key"], None, row["part"]))
+        for one in document.get("remove", ()):
+            writes.append(RowWrite(one["table"], one["key"], None, one["part"]))
         result = await self._rows.commit(Transaction(conditions, tuple(writes)))
         if result.committed:
             return base.answer_json({"schema_version": result.version})
--- a/tests/standins/paced_fleet.py
+++ b/tests/standins/paced_fleet.py
@@ -188,8 +188,8 @@
     def _build_view(self, worker: PacedWorker, mix: dict[str, float]) -> WorkerView:
         room = Resources(64_000, 64_000, 0)
         view = WorkerView("n/w", "n", "r1", frozenset(), room)
-        view.serving = dict(Counter(task.image for task in worker.servings.values()))
-        view.filling = dict(Counter(task.image for task in worker.fillings.values()))
+        view.serving = dict(Counter(one.image for one in worker.servings.values()))
+        view.filling = dict(Counter(one.image for one in worker.fillings.values()))
         for task, serving in worker.servings.items():
             latency_ratio = worker.ledger.running[task, 1].figure / AIM_MS
             alone = 1 / max(latency_ratio, 0.2) + self.model.weigh(
