--- a/tests/harness/waiting.py
+++ b/tests/harness/waiting.py
@@ -1,4 +1,4 @@
-"""Waits on events: polls a condition, with a generous limit."""
+"""Polls a condition until it is true, with a time limit."""
 
 from __future__ import annotations
 
@@ -13,18 +13,20 @@
 
 
 class NotReachedError(AssertionError):
-    """What was waited for did not come about within the limit."""
+    """The condition did not become true within the limit."""
 
 
-def wait_until(look: Callable[[], T | None], what: str, limit_s: float = LIMIT_S) -> T:
-    """Return the first value of ``look`` that is true.
+def wait_until(
+    condition: Callable[[], T | None], what: str, limit_s: float = LIMIT_S
+) -> T:
+    """Poll ``condition`` and return its first true value.
 
-    :param what: what is waited for, for the error.
-    :raises NotReachedError: it did not come about; the last value is told.
+    :param what: description of the condition, for the error message.
+    :raises NotReachedError: the limit has passed; the message has the last value.
     """
     end = time.monotonic() + limit_s
     while True:
-        value = look()
+        value = condition()
         if value:
             return value
         if time.monotonic() > end:
--- a/tests/scenarios/load.py
+++ b/tests/scenarios/load.py
@@ -1,4 +1,4 @@
-"""Callers that send requests without pause and check each answer."""
+"""Callers that send requests continuously and check each answer."""
 
 from __future__ import annotations
 
@@ -19,26 +19,31 @@
 
 @dataclass
 class Tally:
-    """What became of the requests of a load."""
+    """Results of the requests of a load.
 
-    whole: int = 0
+    :ivar complete: number of complete and correct answers.
+    :ivar problems: requests answered with another status than 200.
+    :ivar failures: requests with a broken connection or a wrong answer.
+    """
+
+    complete: int = 0
     problems: list[str] = field(default_factory=list)
-    broken: list[str] = field(default_factory=list)
+    failures: list[str] = field(default_factory=list)
 
 
 class Caller:
-    """Sends requests on a kept-alive connection, as callers do.
+    """Sends requests on a keep-alive connection, as callers do.
 
-    A connection that the entry closed while it was idle, or that is refused
-    before a byte of the request was sent, is replaced, by one to the next
-    entry: that is what the balancer in front does.
+    If the entry closed the connection while it was idle, or refuses it before a byte of
+    the request was sent, a connection to the next entry replaces it, as the load
+    balancer in front does.
     """
 
     def __init__(self, number: int, addresses: list[str], tally: Tally) -> None:
         self._number = number
         self._addresses = addresses
         self._tally = tally
-        self._turn = number
+        self._next_entry = number
         self._random = random.Random(number)
         self._connection: http.client.HTTPConnection | None = None
 
@@ -53,7 +58,7 @@
         try:
             reply = self._exchange(method, target, headers, body)
         except (OSError, http.client.HTTPException) as error:
-            self._tally.broken.append(f"{case}: {error!r}")
+            self._tally.failures.append(f"{case}: {error!r}")
             self._drop()
             return
         self._check(case, body, size, reply)
@@ -74,8 +79,8 @@
         if self._connection is not None:
             return self._connection
         for _ in range(50 * len(self._addresses)):
-            self._turn += 1
-            address = self._addresses[self._turn % len(self._addresses)]
+            self._next_entry += 1
+            address = self._addresses[self._next_entry % len(self._addresses)]
             connection = http.client.HTTPConnection(address, timeout=TIMEOUT_S)
             try:
                 connection.connect()
@@ -98,15 +103,15 @@
         document = json.loads(reply.body)
         expected = hashlib.sha256(body).hexdigest()
         if document["case"] != case or document["sha"] != expected:
-            self._tally.broken.append(f"{case}: another's answer {document}")
+            self._tally.failures.append(f"{case}: answer to another request {document}")
         elif len(reply.body) < size:
-            self._tally.broken.append(f"{case}: {len(reply.body)} of {size} bytes")
+            self._tally.failures.append(f"{case}: {len(reply.body)} of {size} bytes")
         else:
-            self._tally.whole += 1
+            self._tally.complete += 1
 
 
 class Load:
-    """Several callers at once, until they are stopped."""
+    """Several concurrent callers, until they are stopped."""
 
     def __init__(self, addresses: list[str], callers: int = CALLERS) -> None:
         self.tally = Tally()
@@ -119,7 +124,7 @@
             thread.start()
 
     def stop(self) -> Tally:
-        """End the load after the requests in flight; return its tally."""
+        """Stop after the requests in flight, and return the tally."""
         self._stop.set()
         for thread in self._threads:
             thread.join(TIMEOUT_S * 2)
--- a/tests/scenarios/steps/faults.py
+++ b/tests/scenarios/steps/faults.py
@@ -1,4 +1,4 @@
-"""When: processes are killed, frozen, stopped; stand-ins and relays misbehave."""
+"""When steps: killed, frozen and stopped processes, faulty stand-ins and relays."""
 
 from __future__ import annotations
 
@@ -20,21 +20,21 @@
 ROWS["profiles"] = "commit/profiles"
 
 
-def halt(world: World, *names: str) -> None:
+def mark_halted(world: World, *names: str) -> None:
     world.notes.setdefault("halted", set()).update(names)
 
 
 def freeze(world: World, *names: str) -> None:
     for name in names:
         world.cluster[name].freeze()
-    halt(world, *names)
+    mark_halted(world, *names)
     world.notes["frozen"] = names
 
 
 def kill(world: World, *names: str) -> None:
     for name in names:
         world.cluster[name].kill()
-    halt(world, *names)
+    mark_halted(world, *names)
 
 
 def thaw(world: World) -> None:
@@ -61,7 +61,7 @@
 @when(parsers.parse('the agent of "{worker}" is asked to stop'))
 def stop_agent(world: World, worker: str) -> None:
     world.cluster[f"agent-{worker}"].terminate()
-    halt(world, f"agent-{worker}")
+    mark_halted(world, f"agent-{worker}")
 
 
 @when(parsers.parse('the runner of "{worker}" is asked to stop'))
@@ -72,8 +72,8 @@
 @when(parsers.parse('a second agent is started on "{worker}"'))
 def start_second_agent(world: World, worker: str) -> None:
     cluster = world.cluster
-    # Another node on the same worker's runtime: a replacement that was started
-    # while the first agent was believed dead.
+    # A second node on the same worker's runtime, like a replacement that was started
+    # while the first agent was considered dead.
     entries = [cluster[name] for name in world.entries]
     runtime = cluster[f"worker-{worker}"]
     cluster.start_agent(worker, runtime, entries, node=f"agent-{worker}-second")
@@ -143,12 +143,12 @@
     world.notes["owner"] = owner
     world.notes.setdefault("cut", []).append(owner)
     world.cluster.set_relay(world.relays[f"table-{owner}"], "refuse")
-    halt(world, owner)
+    mark_halted(world, owner)
 
 
 @when("the cut entry reaches the table again")
-def join_owner(world: World) -> None:
-    # Of several, the one that was cut off first.
+def reconnect_owner(world: World) -> None:
+    # If several entries are cut off, the one that was cut off first.
     owner = world.notes["cut"].pop(0)
     world.cluster.set_relay(world.relays[f"table-{owner}"], "pass")
     world.notes["halted"].discard(owner)
@@ -180,7 +180,7 @@
 @when(parsers.parse('entry "{entry}" is asked to stop'))
 def stop_entry(world: World, entry: str) -> None:
     world.cluster[entry].terminate()
-    halt(world, entry)
+    mark_halted(world, entry)
 
 
 @when(parsers.parse('entry "{entry}" has ended with status {status:d}'))
@@ -210,7 +210,7 @@
 
 
 @when("each entry and agent is stopped and started, one after the other")
-def roll_all(world: World) -> None:
+def restart_all(world: World) -> None:
     cluster = world.cluster
     for name in world.entries:
         cluster[name].terminate()
@@ -250,8 +250,8 @@
     world.cluster.faults(world.cluster[f"worker-{worker}"], fail_all=True)
 
 
-@when('the worker that runs task "t" leaves for good')
-def leave_for_good(world: World) -> None:
+@when('the worker that runs task "t" is decommissioned')
+def decommission_worker(world: World) -> None:
     run = world.wait_running("t")
     agent = world.cluster[f"agent-{run['worker']}"]
     world.notes["leaving"] = f"agent-{run['worker']}"
@@ -268,10 +268,12 @@
 def cut_links(world: World, count: int) -> None:
     assert world.load is not None
     for _ in range(count):
-        whole = world.load.tally.whole
+        complete = world.load.tally.complete
         for name in world.entries:
             world.cluster.set_relay(world.relays[name], "cut")
-        wait_until(lambda w=whole: world.load.tally.whole > w + 20, "answers again")
+        wait_until(
+            lambda w=complete: world.load.tally.complete > w + 20, "answers again"
+        )
 
 
 @when(parsers.parse('the oldest link to "{entry}" goes silent'))
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Plays seeds by hand: ``python -m tests.soak --first 1 --seeds 50``."""
+"""Runs soak seeds: ``python -m tests.soak --first 1 --seeds 50``."""
 
 from __future__ import annotations
 
@@ -9,33 +9,35 @@
 import curio
 
 from tests.harness.ports import release_ports
-from tests.soak.driver import play
+from tests.soak.driver import run_seed
 
 
 def main() -> None:
-    """Play seeds one after another; keep the logs of those that broke a promise."""
+    """Run seeds one after another; the exit status is 1 if any had a violation."""
     parser = argparse.ArgumentParser(prog="tests.soak")
     parser.add_argument("--first", type=int, default=1)
     parser.add_argument("--seeds", type=int, default=1)
-    parser.add_argument("--seconds", type=float, default=12.0, help="time of faults")
+    parser.add_argument(
+        "--seconds", type=float, default=12.0, help="duration of the faults"
+    )
     parser.add_argument("--folder", default="target/soak", help="for logs")
     options = parser.parse_args()
     failed = 0
     for seed in range(options.first, options.first + options.seeds):
         folder = Path(options.folder) / str(seed)
         folder.mkdir(parents=True, exist_ok=True)
-        result = curio.run(lambda: play(seed, folder, faults_s=options.seconds))  # noqa: B023
-        # Kept, the ports of many seeds leave none to other runs of the tests.
+        result = curio.run(lambda: run_seed(seed, folder, faults_s=options.seconds))  # noqa: B023
+        # The ports of many seeds would leave none for other test runs.
         release_ports()
         print(
             f"seed {seed}: {result.accepted} accepted, {result.refused} refused, "
             f"{result.completed} completed, {result.starts} starts, "
-            f"{len(result.faults)} faults, {len(result.broken)} broken",
+            f"{len(result.faults)} faults, {len(result.violations)} violations",
             flush=True,
         )
-        if result.broken:
+        if result.violations:
             failed += 1
-            print("\n".join([*result.broken[:10], *result.faults]), flush=True)
+            print("\n".join([*result.violations[:10], *result.faults]), flush=True)
     sys.exit(1 if failed else 0)
 
 
--- a/tests/soak/deployment.py
+++ b/tests/soak/deployment.py
@@ -1,4 +1,4 @@
-"""Entries and agents as processes, each on a loopback address of its own."""
+"""Entries and agents as processes, each on its own loopback address."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from curio.io import Socket
 
 from pistachiodeal.web.server import bind_listener
-from tests.harness.ports import take_port
+from tests.harness.ports import reserve_port
 from tests.harness.processes import Process
-from tests.soak.platform import RunnerServer, StoreServer, TimedWitness
+from tests.soak.platform import RunnerServer, StoreServer, TimedInvariantChecker
 from tests.standins import base
 from tests.standins.job_runner import MemoryRunner
 from tests.standins.relay import Relay
@@ -26,7 +26,7 @@
 
 
 class Node:
-    """One VM: its process, and the relays through which it sees the platform."""
+    """One VM: its process, and the relays between it and the platform."""
 
     def __init__(self, name: str, module: str, settings: dict[str, Any], folder: Path):
         self.name = name
@@ -39,38 +39,42 @@
 
     @property
     def up(self) -> bool:
-        """Tell whether its process has not ended."""
+        """Return whether its process has not ended."""
         return self.process is not None and self.process.running
 
     def start(self) -> None:
-        """Start its process again."""
+        """Start or restart its process."""
         self.process = Process(
             self.name, self.module, ["--settings", str(self._path)], self._folder
         )
 
     def stop(self) -> None:
-        """End its process, in whatever state it is."""
+        """Kill its process, whatever state it is in."""
         if self.process is not None:
             self.process.clean_up()
 
 
 class Deployment:
-    """The platform's stand-ins and all nodes."""
+    """The stand-ins for the platform, and all nodes."""
 
     def __init__(self, entries: int, agents: int, folder: Path, seed: int) -> None:
         self.state = RowsState()
         self.state.rng.seed(seed)
-        self.witness = TimedWitness()
+        self.checker = TimedInvariantChecker()
         self.runners = [
-            MemoryRunner(f"w{number}", self.witness, 0.4, seed + number)
+            MemoryRunner(f"w{number}", self.checker, 0.4, seed + number)
             for number in range(agents)
         ]
         for runner in self.runners:
-            runner.keeps_id = 0.5
+            runner.same_id_share = 0.5
         self._folder = folder
-        self._ports = {name: take_port() for name in ("peer", "front", "ready", "beat")}
-        self._net = 2 + seed % 200
-        self._hosts = [f"127.{self._net}.0.{1 + number}" for number in range(entries)]
+        self._ports = {
+            name: reserve_port() for name in ("peer", "front", "ready", "beat")
+        }
+        self._subnet = 2 + seed % 200
+        self._hosts = [
+            f"127.{self._subnet}.0.{1 + number}" for number in range(entries)
+        ]
         self.entries: list[Node] = []
         self.agents: list[Node] = []
         self._version = 0
@@ -81,14 +85,14 @@
         """Return all nodes."""
         return [*self.entries, *self.agents]
 
-    def list_fronts(self) -> list[str]:
-        """Return where callers reach the entries."""
+    def list_caller_addresses(self) -> list[str]:
+        """Return the addresses at which callers reach the entries."""
         return [f"{host}:{self._ports['front']}" for host in self._hosts]
 
     def configure(self) -> None:
-        """Put the next version of the configuration into force."""
+        """Publish the next version of the configuration."""
         self._version += 1
-        # Callers name an entry by its address, so each has a queue of its own.
+        # Callers use an entry's address as the host, so each entry needs its own route.
         routes = [
             {
                 "name": f"queue-{number}",
@@ -110,26 +114,26 @@
 
     async def start(self) -> None:
         """Start the stand-ins and then all processes."""
-        store = await self._serve(StoreServer(self.state), base.HOST, take_port())
+        store = await self._serve(StoreServer(self.state), base.HOST, reserve_port())
         for number, host in enumerate(self._hosts):
             node = await self._build_node(
                 f"entry-{number}", ENTRY_MODULE, host, store, ""
             )
             self.entries.append(node)
         for number, runner in enumerate(self.runners):
-            host = f"127.{self._net}.1.{1 + number}"
+            host = f"127.{self._subnet}.1.{1 + number}"
             server = RunnerServer(runner, f"{host}:{self._ports['beat']}")
-            address = await self._serve(server, base.HOST, take_port())
+            address = await self._serve(server, base.HOST, reserve_port())
             node = await self._build_node(
                 f"agent-{number}", AGENT_MODULE, host, store, address
             )
-            await curio.spawn(server.beat, daemon=True)
+            await curio.spawn(server.send_heartbeats, daemon=True)
             self.agents.append(node)
         for node in self.nodes:
             node.start()
 
     def stop(self) -> None:
-        """End all processes that were started here."""
+        """Kill the processes of all nodes."""
         for node in self.nodes:
             node.stop()
 
@@ -144,7 +148,7 @@
         relays = []
         for target in (store, runner):
             if target:
-                relay = Relay(target, take_port())
+                relay = Relay(target, reserve_port())
                 await relay.listen()
                 relays.append(relay)
         seen = [f"{base.HOST}:{relay.port}" for relay in relays]
@@ -153,7 +157,7 @@
             "host": host,
             "data_centre": "dc",
             "peer_ports": [self._ports["peer"], self._ports["peer"]],
-            "seed_peers": [f"{one}:{self._ports['beat']}" for one in self._hosts],
+            "seed_peers": [f"{peer}:{self._ports['beat']}" for peer in self._hosts],
             "peer_secret": "soak",
             "listen": {
                 "callers": f"{host}:{self._ports['front']}",
--- a/tests/soak/platform.py
+++ b/tests/soak/platform.py
@@ -1,4 +1,4 @@
-"""The platform over HTTP, inside the soak's own process: its store and its runners."""
+"""The platform's store and runners over HTTP, in the soak test's own process."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 )
 from pistachiodeal.web.client import CallError, create_client
 from tests.standins import base
-from tests.standins.job_runner import MemoryRunner, Witness
+from tests.standins.job_runner import InvariantChecker, MemoryRunner
 from tests.standins.rows import MemoryRows, RowsState
 
-BEAT_S = 0.3
-BEAT_TIMEOUT_S = 1.0
-ROOM = {"cpu": 16_000, "mem_mb": 64_000, "gpu": 0}
+HEARTBEAT_S = 0.3
+HEARTBEAT_TIMEOUT_S = 1.0
+CAPACITY = {"cpu": 16_000, "mem_mb": 64_000, "gpu": 0}
 REASONS = {
     CallResult.FENCED: "fence",
     CallResult.SUPERSEDED: "old",
@@ -38,19 +38,19 @@
 
 
 @dataclass
-class TimedWitness(Witness):
-    """A witness that also knows when each task was started last."""
+class TimedInvariantChecker(InvariantChecker):
+    """An invariant checker that also records when each task was last started."""
 
     started_at: dict[str, float] = field(default_factory=dict)
 
-    def see_start(self, task: str, run: int, worker: str) -> None:
-        """Note that a runner began a run."""
-        super().see_start(task, run, worker)
+    def record_start(self, task: str, run: int, worker: str) -> None:
+        """Record that a runner has started a run."""
+        super().record_start(task, run, worker)
         self.started_at[task] = time.monotonic()
 
 
 class StoreServer(base.StandIn):
-    """The store's calls on rows in memory."""
+    """Serves the store's calls from rows in memory."""
 
     def __init__(self, state: RowsState) -> None:
         super().__init__()
@@ -120,7 +120,7 @@
 
 
 class RunnerServer(base.StandIn):
-    """One runner: its calls, and its heartbeats to the agent beside it."""
+    """Serves one runner's calls, and sends its heartbeats to the agent beside it."""
 
     def __init__(self, runner: MemoryRunner, control: str) -> None:
         super().__init__()
@@ -128,7 +128,7 @@
         self._agent = create_client(control, connections=2)
 
     def connect(self) -> Callable[[base.Call], Awaitable[base.Answer]]:
-        """Return what answers a connection, which ends with this start."""
+        """Return the handler of a connection, which a restart of the runner ends."""
         worker = self.runner.worker
 
         async def answer(call: base.Call) -> base.Answer:
@@ -141,7 +141,7 @@
     async def handle(self, operation: str, call: base.Call) -> base.Answer:
         """Carry a call out."""
         document = call.document()
-        # The header says which runner is meant, and not which of its starts.
+        # The header identifies the runner, but not its incarnation.
         runner_id = call.headers.get("expect-instance", "")
         worker = self.runner.worker
         if get_runner(worker) != runner_id:
@@ -160,10 +160,10 @@
         percent = document["percent"]
         return self._answer(await self.runner.pace(worker, token, task, run, percent))
 
-    async def beat(self) -> None:
-        """Send heartbeats for ever."""
+    async def send_heartbeats(self) -> None:
+        """Send heartbeats until cancelled."""
         while True:
-            beat = self.runner.build_beat()
+            beat = self.runner.build_heartbeat()
             runner_id = get_runner(beat.worker)
             document = {
                 "born": _read_born(beat.worker),
@@ -172,7 +172,7 @@
                 "state": "draining" if beat.draining else "ready",
                 "remaining_ms": beat.leaving_ms,
                 "seq": beat.sequence,
-                "capacity": ROOM,
+                "capacity": CAPACITY,
                 "labels": list(beat.labels),
             }
             try:
@@ -181,12 +181,12 @@
                     f"/api/Instances.Heartbeat/{runner_id}",
                     headers=(("content-type", "application/json"),),
                     body=json.dumps(document).encode(),
-                    timeout=BEAT_TIMEOUT_S,
+                    timeout=HEARTBEAT_TIMEOUT_S,
                 )
             except CallError:
-                # An agent that is down or stopped hears the next one.
+                # An agent that is down or frozen gets the next heartbeat.
                 await self._agent.close()
-            await curio.sleep(BEAT_S)
+            await curio.sleep(HEARTBEAT_S)
 
     async def _hold_lease(self, worker: str, document: dict[str, Any]) -> base.Answer:
         listing = await self.runner.renew(
@@ -199,12 +199,12 @@
         if listing.result is not CallResult.DONE:
             return self._answer(listing.result)
         running = [
-            [one.task, one.run, one.checkpoint, one.percent, one.figure]
-            for one in listing.running
+            [run.task, run.run, run.checkpoint, run.percent, run.figure]
+            for run in listing.running
         ]
         ended = [
-            [one.number, one.task, one.run, one.how, one.checkpoint]
-            for one in listing.ends
+            [end.number, end.task, end.run, end.how, end.checkpoint]
+            for end in listing.ends
         ]
         return base.answer_json(
             {
--- a/tests/standins/job_cluster.py
+++ b/tests/standins/job_cluster.py
@@ -1,7 +1,7 @@
-"""Entries and agents of the product in one process, on the memory stand-ins.
+"""Runs entries and agents in one process, against the in-memory stand-ins.
 
-Links are real, over loopback; a "process" is a group of curio tasks, and killing it
-cancels them all at once.
+Links are real TCP connections over loopback. A "process" is a group of curio tasks;
+killing it cancels them all.
 """
 
 from __future__ import annotations
@@ -37,17 +37,17 @@
 from pistachiodeal.platform.closures import CLOSURE_PREFIX, CLOSURES_TABLE
 from pistachiodeal.store.row_store import RowWrite, Transaction
 from pistachiodeal.wire.identity import AGENT_ROLE, ENTRY_ROLE, Identity
-from tests.harness.ports import take_port
-from tests.standins.job_runner import MemoryRunner, Witness
+from tests.harness.ports import reserve_port
+from tests.standins.job_runner import InvariantChecker, MemoryRunner
 from tests.standins.rows import MemoryRows, RowsState
 
 QUEUE = Queue("q", "host", "/q/", "svc", 0, 4, 2.0, 1.0)
 SECRET = "secret"
-BEAT_S = 0.1
+HEARTBEAT_S = 0.1
 
 
 def build_job(number: int, *, count: int = 3, steps: int = 2) -> Job:
-    """Return a job of equal steps, each after the one before."""
+    """Return a job of equal steps, each of which depends on the previous one."""
     size = Resources(1_000, 1_000, 0)
     built = tuple(
         Step(count, size, 0.2, (index - 1,) if index else ()) for index in range(steps)
@@ -57,23 +57,23 @@
 
 @dataclass
 class Process:
-    """A group of tasks that live and die together."""
+    """A group of curio tasks that are started and cancelled together."""
 
     tasks: list[curio.Task] = field(default_factory=list)
 
     async def start(self, *children: Callable[[], Awaitable[None]]) -> None:
-        """Run children until killed."""
+        """Spawn the children, which run until the process is killed."""
         for child in children:
             self.tasks.append(await curio.spawn(child, daemon=True))
 
     async def kill(self) -> None:
-        """Cancel everything."""
+        """Cancel all tasks of the process."""
         while self.tasks:
             await self.tasks.pop().cancel()
 
 
 class EntryProcess(Process):
-    """An entry without its HTTP side."""
+    """An entry without its HTTP server."""
 
     def __init__(self, name: str, state: RowsState, addresses: list[str]) -> None:
         super().__init__()
@@ -81,16 +81,16 @@
         self.state = state
         self.addresses = addresses
         self.address = addresses[int(name)]
-        self.lives = 0
+        self.incarnation = 0
         self.fitness = 1.0
 
     async def boot(self) -> None:
-        """Start a new life."""
-        self.lives += 1
+        """Start the process with a new incarnation."""
+        self.incarnation += 1
         self.store = MemoryRows(self.state)
         self.events = events = create_quiet_log()
         peers = PeerContext(
-            Identity(ENTRY_ROLE, f"entry-{self.name}", self.lives, "dc"),
+            Identity(ENTRY_ROLE, f"entry-{self.name}", self.incarnation, "dc"),
             self.address,
             SECRET,
             Directory(tuple(self.addresses)),
@@ -118,19 +118,19 @@
         )
 
     async def submit(self, job: Job) -> None:
-        """Accept a job."""
+        """Accept a job, as the entry's HTTP API does."""
         await self.acceptance.insert(job.job_id, encode_job(job), 3.0)
         await self.states.announce(job.job_id)
 
     async def cancel(self, job: Job) -> None:
-        """Cancel a job."""
+        """Cancel a job, as the entry's HTTP API does."""
         key = build_cancel_key(job.job_id)
         await self.acceptance.insert(key, CANCEL_VALUE, 3.0)
         await self.states.announce(key)
 
 
 class AgentProcess(Process):
-    """An agent beside a runner."""
+    """An agent and the runner beside it."""
 
     def __init__(
         self, name: str, state: RowsState, addresses: list[str], runner: MemoryRunner
@@ -141,11 +141,11 @@
         self.state = state
         self.addresses = addresses
         self.runner = runner
-        self.lives = 0
+        self.incarnation = 0
 
     async def boot(self) -> None:
-        """Start a new life; the runner goes on by itself."""
-        self.lives += 1
+        """Start the process with a new incarnation; the runner keeps running."""
+        self.incarnation += 1
         events = create_quiet_log()
         signals = AgentSignals()
         self.ledger = AgentLedger(events)
@@ -153,7 +153,9 @@
         renewal = Renewal(self.ledger, self.runner, paces, events, signals)
         executor = Executor(self.ledger, self.runner, events, signals)
         peers = PeerContext(
-            Identity(AGENT_ROLE, f"node-{self.name}", self.lives, self.data_centre),
+            Identity(
+                AGENT_ROLE, f"node-{self.name}", self.incarnation, self.data_centre
+            ),
             "",
             SECRET,
             Directory(tuple(self.addresses)),
@@ -161,26 +163,28 @@
         )
         link = LeaderLink(MemoryRows(self.state), peers, self.ledger, executor, signals)
         self.heartbeats = Heartbeats(self.ledger, renewal, events, signals.report)
-        await self.start(renewal.run, renewal.run_on_demand, link.run, self._beat)
+        await self.start(
+            renewal.run, renewal.run_on_demand, link.run, self._send_heartbeats
+        )
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
             if not self.runner.down:
-                await self.heartbeats.process_heartbeat(self.runner.build_beat())
-            await curio.sleep(BEAT_S)
+                await self.heartbeats.process_heartbeat(self.runner.build_heartbeat())
+            await curio.sleep(HEARTBEAT_S)
 
 
 @dataclass
 class JobCluster:
-    """All processes, and the witness."""
+    """All processes, the store's state and the invariant checker."""
 
     state: RowsState
-    witness: Witness
+    checker: InvariantChecker
     entries: list[EntryProcess]
     agents: list[AgentProcess]
 
     def find_leader(self) -> EntryProcess | None:
-        """Return the entry that leads."""
+        """Return the entry that leads and has loaded its state, or None."""
         for entry in self.entries:
             leadership = entry.seat.leadership if entry.tasks else None
             if leadership is not None and leadership.loaded:
@@ -188,15 +192,15 @@
         return None
 
     def close(self, data_centre: str) -> None:
-        """Close a data centre, as the operator does."""
+        """Close a data centre, as an operator does."""
         close_data_centre(self.state, data_centre)
 
     def reopen(self, data_centre: str) -> None:
-        """Take the closing of a data centre back."""
+        """Reopen a closed data centre."""
         close_data_centre(self.state, data_centre, value=None)
 
-    async def fail_first(self, jobs: list[Job], timeout: float) -> None:
-        """Hand jobs in; wait until the first has failed and the others are done."""
+    async def submit_and_fail_first(self, jobs: list[Job], timeout: float) -> None:
+        """Submit jobs; wait until the first has failed and the others are completed."""
         for job in jobs:
             await self.entries[0].submit(job)
         await self.wait_for_state(jobs[0], JobState.FAILED, timeout)
@@ -206,9 +210,10 @@
     async def wait_for_state(
         self, job: Job, state: JobState, timeout: float = 10.0
     ) -> None:
-        """Wait until any entry shows a job's state.
+        """Wait until any entry reports that a job is in this state.
 
-        :raises AssertionError: it is not shown in time.
+        :param timeout: limit in seconds.
+        :raises AssertionError: no entry reported the state in time.
         """
         deadline = time.monotonic() + timeout
         shown = None
@@ -225,7 +230,7 @@
 def close_data_centre(
     state: RowsState, data_centre: str, *, value: bytes | None = b"{}"
 ) -> None:
-    """Write the row that closes a data centre; no value removes it."""
+    """Write the row that closes a data centre; ``None`` removes the row."""
     write = RowWrite(CLOSURES_TABLE, CLOSURE_PREFIX + data_centre, value)
     state.apply(Transaction((), (write,)))
 
@@ -234,20 +239,23 @@
 async def run_cluster(
     *, entries: int = 2, agents: int = 2, work_s: float = 0.2, seed: int = 1
 ) -> AsyncIterator[JobCluster]:
-    """Run a cluster until the end of the block."""
-    state, witness = RowsState(), Witness()
+    """Run a cluster until the end of the block.
+
+    :param work_s: how long a task runs, in seconds.
+    """
+    state, checker = RowsState(), InvariantChecker()
     state.rng.seed(seed)
-    addresses = [f"127.0.0.1:{take_port()}" for _ in range(entries)]
+    addresses = [f"127.0.0.1:{reserve_port()}" for _ in range(entries)]
     cluster = JobCluster(
         state,
-        witness,
+        checker,
         [EntryProcess(str(number), state, addresses) for number in range(entries)],
         [
             AgentProcess(
                 str(number),
                 state,
                 addresses,
-                MemoryRunner(f"w{number}", witness, work_s, seed + number),
+                MemoryRunner(f"w{number}", checker, work_s, seed + number),
             )
             for number in range(agents)
         ],
@@ -263,7 +271,7 @@
 
 
 def create_quiet_log() -> EventLog:
-    """Return a log that nobody reads."""
+    """Return a log that writes to PISTACHIODEAL_TEST_EVENTS, by default nowhere."""
     path = os.environ.get("PISTACHIODEAL_TEST_EVENTS", os.devnull)
     flags = os.O_WRONLY | os.O_CREAT | os.O_APPEND
     return EventLog(os.open(path, flags, 0o644), "test")
--- a/tests/unit/test_harmed_neighbours.py
+++ b/tests/unit/test_harmed_neighbours.py
@@ -11,12 +11,17 @@
 from pistachiodeal.scheduling.tail_guard import TailGuard
 from pistachiodeal.scheduling.tails import ServingTail
 from tests.standins.paced_fleet import (
+    FleetFaults,
     PacedFleet,
-    Trouble,
-    draw_beliefs,
+    draw_estimates,
     draw_loads,
 )
-from tests.standins.paced_worker import LISTED_S, STEP_S, PacedWorker, Serving
+from tests.standins.paced_worker import (
+    LISTING_INTERVAL_S,
+    STEP_S,
+    PacedWorker,
+    ServingTask,
+)
 
 INTERFERENCE_S = 4.0
 PAIR = ("filling", "serving")
@@ -32,10 +37,10 @@
     """
 
     def __init__(
-        self, seed: int, load: float, interference: float, *others: Serving
+        self, seed: int, load: float, interference: float, *others: ServingTask
     ) -> None:
         self.now = 100.0
-        self.serving = Serving("serving", 0.0, swing=0.0)
+        self.serving = ServingTask("serving", 0.0, load_amplitude=0.0)
         self.worker = PacedWorker(
             [self.serving, *others], {PAIR: load}, random.Random(seed), INTERFERENCE_S
         )
@@ -57,11 +62,13 @@
     async def main() -> None:
         for number in range(10):
             simulation = Simulation(number, load=0.5, interference=0.0)
-            await simulation.advance(2.0 + number * LISTED_S / 10)
+            await simulation.advance(2.0 + number * LISTING_INTERVAL_S / 10)
             for _ in range(3):
-                simulation.worker.begin("filling", 60.0, simulation.now, stays=True)
+                simulation.worker.start_filling(
+                    "filling", 60.0, simulation.now, pinned=True
+                )
             await simulation.advance(8.0)
-            assert simulation.serving.longest_s < INTERFERENCE_S
+            assert simulation.serving.longest_over_s < INTERFERENCE_S
 
     curio.run(main)
 
@@ -72,12 +79,12 @@
     async def main() -> None:
         for number in range(60):
             simulation = Simulation(number, load=SLIGHT_OVERLOAD, interference=0.0)
-            filling = simulation.worker.begin(
-                "filling", 1_000.0, simulation.now, stays=True
+            filling = simulation.worker.start_filling(
+                "filling", 1_000.0, simulation.now, pinned=True
             )
             filling.phase_until = float("inf")
             await simulation.advance(60.0)
-            assert simulation.serving.longest_s < INTERFERENCE_S
+            assert simulation.serving.longest_over_s < INTERFERENCE_S
 
     curio.run(main)
 
@@ -87,12 +94,14 @@
 
     async def main() -> None:
         simulation = Simulation(1, load=0.5, interference=100.0)
-        filling = simulation.worker.begin("filling", 60.0, simulation.now, stays=True)
+        filling = simulation.worker.start_filling(
+            "filling", 60.0, simulation.now, pinned=True
+        )
         await simulation.advance(6.0)
         assert filling.percent == 0
         filling.due.append((simulation.now, 100))
         await simulation.advance(12.0)
-        assert simulation.serving.longest_s < INTERFERENCE_S
+        assert simulation.serving.longest_over_s < INTERFERENCE_S
 
     curio.run(main)
 
@@ -138,8 +147,8 @@
 
     async def main() -> None:
         simulation = Simulation(1, 0.0, 0.0)
-        simulation.serving.broken_until = float("inf")
-        simulation.worker.begin("filling", 60.0, simulation.now, stays=True)
+        simulation.serving.slow_until = float("inf")
+        simulation.worker.start_filling("filling", 60.0, simulation.now, pinned=True)
         await simulation.advance(30.0)
         assert simulation.worker.done_s > 10.0
 
@@ -150,11 +159,11 @@
     """Guards against a guard timer that the sibling of a slow task resets."""
 
     async def main() -> None:
-        calm = Serving("serving", 0.0, load=0.1, swing=0.0)
+        calm = ServingTask("serving", 0.0, load=0.1, load_amplitude=0.0)
         simulation = Simulation(1, 0.4, 0.0, calm)
-        simulation.worker.begin("filling", 60.0, simulation.now, stays=True)
+        simulation.worker.start_filling("filling", 60.0, simulation.now, pinned=True)
         await simulation.advance(30.0)
-        assert simulation.serving.longest_s < INTERFERENCE_S
+        assert simulation.serving.longest_over_s < INTERFERENCE_S
 
     curio.run(main)
 
@@ -186,16 +195,16 @@
     for seed in range(4):
         rng = random.Random(seed)
         loads = draw_loads(rng)
-        believed = None if wrong is None else draw_beliefs(loads, rng, wrong)
+        estimates = None if wrong is None else draw_estimates(loads, rng, wrong)
         fleet = PacedFleet(
             seed,
             loads=loads,
-            believed=believed,
+            estimates=estimates,
             interference_s=INTERFERENCE_S,
-            trouble=Trouble(late=late),
+            faults=FleetFaults(late=late),
         )
-        curio.run(fleet.play, 40.0)
-        assert fleet.longest_s < INTERFERENCE_S
+        curio.run(fleet.simulate, 40.0)
+        assert fleet.longest_over_s < INTERFERENCE_S
 
 
 def test_a_task_that_runs_on_while_it_should_be_paused_is_detected():
@@ -203,13 +212,15 @@
 
     async def main() -> None:
         simulation = Simulation(1, load=0.5, interference=0.0)
-        filling = simulation.worker.begin("filling", 60.0, simulation.now, stays=True)
+        filling = simulation.worker.start_filling(
+            "filling", 60.0, simulation.now, pinned=True
+        )
         while not any(percent == 0 for _, percent in filling.due):
             await simulation.advance(STEP_S)
         filling.phase_until = float("inf")
         # Carried out late, just after the order to pause.
         filling.due.append((filling.due[-1][0], 100))
         await simulation.advance(12.0)
-        assert simulation.serving.longest_s < INTERFERENCE_S
+        assert simulation.serving.longest_over_s < INTERFERENCE_S
 
     curio.run(main)
--- a/tests/unit/test_job_cluster.py
+++ b/tests/unit/test_job_cluster.py
@@ -1,4 +1,4 @@
-"""Jobs through entries, leader, agents and runners, under failure."""
+"""Runs jobs through entries, leader, agents and runners, under failures."""
 
 from __future__ import annotations
 
@@ -19,27 +19,29 @@
 from tests.standins.job_cluster import JobCluster, build_job, run_cluster
 
 
-async def wait_for(check, timeout: float = 8.0):
-    """Return what ``check`` returns as soon as it is true."""
+async def wait_for(condition, timeout: float = 8.0):
+    """Poll ``condition`` and return its first true result."""
     deadline = time.monotonic() + timeout
     while time.monotonic() < deadline:
-        result = check()
+        result = condition()
         if result:
             return result
         await curio.sleep(0.01)
-    raise AssertionError("it did not come true in time")
+    raise AssertionError("the condition did not become true in time")
 
 
-async def wait_until_begun(cluster: JobCluster, starts: int = 1) -> None:
-    """Wait until runners have begun runs."""
+async def wait_for_starts(cluster: JobCluster, starts: int = 1) -> None:
+    """Wait until the runners have started so many runs in total."""
     await wait_for(
-        lambda: sum(one.starts for one in cluster.witness.tasks.values()) >= starts
+        lambda: (
+            sum(history.starts for history in cluster.checker.tasks.values()) >= starts
+        )
     )
 
 
-def check(cluster: JobCluster) -> None:
-    """Fail on any broken promise that the runners saw."""
-    assert cluster.witness.broken == []
+def check_invariants(cluster: JobCluster) -> None:
+    """Fail if the runners have recorded a violated invariant."""
+    assert cluster.checker.violations == []
 
 
 def test_a_job_is_done_step_by_step():
@@ -48,46 +50,47 @@
             job = build_job(1)
             await cluster.entries[1].submit(job)
             await cluster.wait_for_state(job, JobState.COMPLETED)
-            check(cluster)
-            assert {one.starts for one in cluster.witness.tasks.values()} == {1}
+            check_invariants(cluster)
+            assert {history.starts for history in cluster.checker.tasks.values()} == {1}
 
     curio.run(main)
 
 
 def test_a_cancelled_job_stops_and_starts_nothing_more():
-    """Symptom: tasks of a cancelled job run on. Sequence: a job is cancelled at an
-    entry that does not lead, while its tasks run. Cause: the leader never heard.
+    """Guards against tasks of a cancelled job that keep running.
+
+    A job is cancelled at an entry that doesn't lead, while its tasks run, and the
+    leader doesn't learn of it.
     """
 
     async def main():
         async with run_cluster(work_s=5.0) as cluster:
             job = build_job(1)
             await cluster.entries[0].submit(job)
-            await wait_until_begun(cluster)
+            await wait_for_starts(cluster)
             await cluster.entries[1].cancel(job)
             await cluster.wait_for_state(job, JobState.CANCELLED)
-            tasks = cluster.witness.tasks
-            await wait_for(lambda: not any(one.alive for one in tasks.values()))
-            starts = sum(one.starts for one in tasks.values())
+            tasks = cluster.checker.tasks
+            await wait_for(lambda: not any(history.alive for history in tasks.values()))
+            starts = sum(history.starts for history in tasks.values())
             await curio.sleep(0.5)
-            assert sum(one.starts for one in tasks.values()) == starts
+            assert sum(history.starts for history in tasks.values()) == starts
 
     curio.run(main)
 
 
-def test_a_cancellation_that_an_entry_announces_counts_at_once():
-    """Symptom: a caller was told "cancelled", and then "active" by another entry.
+def test_an_announced_cancellation_takes_effect_at_once():
+    """Guards against "cancelled" from one entry, followed by "active" from another.
 
-    Sequence: the cancellation is durable; one entry asks the store, the other the
-    leader, whose feed shows the row only later.
-    Cause: an announced cancellation waited for the feed.
+    The cancellation is durable, but one entry asks the store and the other the leader,
+    whose feed shows the row only later. An announced cancellation must not wait for it.
     """
 
     async def main():
         async with run_cluster(work_s=5.0) as cluster:
             job = build_job(1)
             await cluster.entries[0].submit(job)
-            await wait_until_begun(cluster)
+            await wait_for_starts(cluster)
             leader = await wait_for(cluster.find_leader)
             leadership = leader.seat.leadership
             leadership.announce(build_cancel_key(job.job_id))
@@ -97,9 +100,10 @@
 
 
 def test_a_dead_leader_is_replaced_and_no_task_runs_twice():
-    """Symptom: a task runs in two places, or never again. Sequence: the leader is
-    killed while its orders are at work. Cause: the successor took running tasks for
-    waiting ones, or waited for nothing.
+    """Guards against a task that runs in two places, or never again.
+
+    The leader is killed while tasks that it ordered run, and its successor takes
+    running tasks for waiting ones, or waits for runs that don't exist.
     """
 
     async def main():
@@ -107,41 +111,44 @@
             jobs = [build_job(number) for number in range(1, 4)]
             for job in jobs:
                 await cluster.entries[0].submit(job)
-            await wait_until_begun(cluster, 3)
+            await wait_for_starts(cluster, 3)
             leader = await wait_for(cluster.find_leader)
             await leader.kill()
             for job in jobs:
                 await cluster.wait_for_state(job, JobState.COMPLETED, 15.0)
-            check(cluster)
+            check_invariants(cluster)
 
     curio.run(main)
 
 
 def test_a_restarted_agent_finds_its_runs():
-    """Symptom: tasks run twice after an agent's restart. Sequence: the agent is killed
-    while its runner works, and comes back. Cause: its empty memory was taken for an
-    empty worker.
+    """Guards against tasks that run twice after an agent's restart.
+
+    The agent is killed while its runner works, and after the restart its empty memory
+    is taken for an empty worker.
     """
 
     async def main():
         async with run_cluster(agents=1, work_s=1.5) as cluster:
             job = build_job(1, steps=1)
             await cluster.entries[0].submit(job)
-            await wait_until_begun(cluster, 3)
+            await wait_for_starts(cluster, 3)
             await cluster.agents[0].kill()
             await curio.sleep(0.3)
             await cluster.agents[0].boot()
             await cluster.wait_for_state(job, JobState.COMPLETED)
-            check(cluster)
-            assert {one.starts for one in cluster.witness.tasks.values()} == {1}
+            check_invariants(cluster)
+            assert {history.starts for history in cluster.checker.tasks.values()} == {1}
 
     curio.run(main)
 
 
 def test_an_order_that_comes_late_starts_nothing():
-    """Symptom: a task runs twice. Sequence: a start gets no answer, the task is given
-    to another worker, and the first order is carried out seconds later. Cause: the
-    unanswered start was not settled by a stop before the task was given away.
+    """Guards against a task that runs twice.
+
+    A start gets no answer, the task is placed on another worker, and the first order is
+    executed seconds later. A stop has to settle the unanswered start before the task is
+    placed elsewhere.
     """
 
     async def main():
@@ -155,33 +162,35 @@
             for job in jobs:
                 await cluster.wait_for_state(job, JobState.COMPLETED, 30.0)
             await curio.sleep(1.2)
-            check(cluster)
+            check_invariants(cluster)
 
     curio.run(main)
 
 
-def test_a_reborn_runner_is_not_taken_for_its_former_life():
-    """Symptom: tasks wait for a lease that nobody holds, or are taken for running.
-    Sequence: the runner crashes and comes back at its address under another
-    incarnation. Cause: orders and listings did not name the incarnation.
+def test_a_restarted_runner_is_not_taken_for_its_earlier_incarnation():
+    """Guards against tasks that wait for a lease without a holder, or pass for running.
+
+    The runner crashes and restarts at its address under another incarnation. Orders and
+    listings have to name the incarnation.
     """
 
     async def main():
         async with run_cluster(agents=1, work_s=0.8) as cluster:
             job = build_job(1, steps=1)
             await cluster.entries[0].submit(job)
-            await wait_until_begun(cluster, 3)
+            await wait_for_starts(cluster, 3)
             cluster.agents[0].runner.crash()
             await cluster.wait_for_state(job, JobState.COMPLETED, 6.0)
-            check(cluster)
+            check_invariants(cluster)
 
     curio.run(main)
 
 
 def test_a_lost_answer_of_the_store_does_not_bring_an_old_state_back():
-    """Symptom: a task runs again after its end was acknowledged. Sequence: a write of
-    the leader is carried out late, after a newer one. Cause: the write did not demand
-    the version of the row that it replaces.
+    """Guards against a task that runs again after its end was acknowledged.
+
+    The store applies a write of the leader late, after a newer one. A write has to
+    require the version of the row that it replaces.
     """
 
     async def main():
@@ -195,14 +204,16 @@
             cluster.state.faults.late = cluster.state.faults.lost = 0.0
             for job in jobs:
                 await cluster.wait_for_state(job, JobState.COMPLETED, 20.0)
-            check(cluster)
+            check_invariants(cluster)
 
     curio.run(main)
 
 
 def test_a_leader_that_was_replaced_writes_nothing():
-    """Symptom: two leaders place the same task. Sequence: another process takes the
-    leader's row while the leader is at work. Cause: its writes did not demand the row.
+    """Guards against two leaders that place the same task.
+
+    Another process takes over the leader's row while the leader works. The leader's
+    writes have to require that row.
     """
 
     async def main():
@@ -228,9 +239,11 @@
     curio.run(main)
 
 
-def test_a_store_that_refuses_gets_a_true_refusal():
-    """Symptom: a caller is told "not accepted", and the job runs. Sequence: the answer
-    to the insert is lost, and the next try is refused. Cause: only the last counted.
+def test_a_refusal_covers_all_tries_of_the_insert():
+    """Guards against a job that runs although its caller was told "not accepted".
+
+    The answer to the insert is lost and the next try is refused, and the answer to the
+    caller considers only the last try.
     """
 
     async def main():
@@ -252,9 +265,10 @@
 
 
 def test_a_dropped_history_loses_no_job():
-    """Symptom: an accepted job never starts. Sequence: the store drops its history
-    between the job's row and the leader's next poll. Cause: the leader went on from the
-    newest version without reading what it had missed.
+    """Guards against an accepted job that never starts.
+
+    The store drops its history between the job's row and the leader's next poll, and
+    the leader continues from the newest version without reading what it has missed.
     """
 
     async def main():
@@ -271,9 +285,10 @@
 
 
 def test_everything_down_at_once_loses_nothing():
-    """Symptom: an accepted job is unknown, or runs twice, after a power cut. Sequence:
-    all processes end right after an acceptance, and all start together. Cause: what
-    was answered was not durable.
+    """Guards against an accepted job that is unknown, or runs twice, after a power cut.
+
+    All processes end right after an acceptance and start together, and what was
+    answered isn't durable.
     """
 
     async def main():
@@ -288,19 +303,19 @@
                 await process.boot()
             for job in jobs:
                 await cluster.wait_for_state(job, JobState.COMPLETED, 20.0)
-            check(cluster)
+            check_invariants(cluster)
 
     curio.run(main)
 
 
-def keep_some_ids(cluster: JobCluster) -> None:
-    """Let half of the runners that crash come back under their ids."""
+def return_under_same_ids_sometimes(cluster: JobCluster) -> None:
+    """Make runners keep their ids after half of their crashes."""
     for agent in cluster.agents:
-        agent.runner.keeps_id = 0.5
+        agent.runner.same_id_share = 0.5
 
 
-async def disturb(cluster: JobCluster, rng: random.Random) -> None:
-    """Do one harmful thing, and end it after a while."""
+async def inject_random_fault(cluster: JobCluster, rng: random.Random) -> None:
+    """Inject one random fault, and end it after a while."""
     kind = rng.choice(("entry", "agent", "runner", "late", "store", "history"))
     if kind in ("entry", "agent"):
         process = rng.choice(cluster.entries if kind == "entry" else cluster.agents)
@@ -326,13 +341,13 @@
         cluster.state.drop_history()
 
 
-def play_random(seed: int) -> None:
-    """Submit jobs among random faults; all accepted ones are done, none twice."""
+def run_random_faults(seed: int) -> None:
+    """Submit jobs under random faults; accepted ones complete, no task runs twice."""
     rng = random.Random(seed)
 
     async def main():
         async with run_cluster(agents=3, work_s=0.25, seed=seed) as cluster:
-            keep_some_ids(cluster)
+            return_under_same_ids_sometimes(cluster)
             await wait_for(cluster.find_leader)
             accepted = []
             for number in range(1, 11):
@@ -345,15 +360,15 @@
                 except RequestError:
                     pass
                 if rng.random() < 0.6:
-                    await disturb(cluster, rng)
+                    await inject_random_fault(cluster, rng)
             for job in accepted:
                 await cluster.wait_for_state(job, JobState.COMPLETED, 30.0)
-            check(cluster)
+            check_invariants(cluster)
 
     curio.run(main)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4])
-def test_random_faults_break_no_promise(seed):
-    """Symptom: a task twice, or an accepted job never done, under faults in series."""
-    play_random(seed)
+def test_random_faults_violate_no_invariant(seed):
+    """Guards against tasks that run twice and accepted jobs that never complete."""
+    run_random_faults(seed)
