--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measures the decisions under load against simple ways of deciding."""
+"""Benchmarks: scheduling policies against baselines, faults and request cost."""
--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,4 +1,4 @@
-"""Run the decisions beside their baselines: ``python -m bench``."""
+"""Simulate the scheduling policies and their baselines: ``python -m bench``."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def main() -> int:
-    """Run all cases; the exit status says nothing of the aims."""
+    """Run all cases; the exit status does not depend on whether the aims are met."""
     arguments = parse_arguments()
     seeds = range(arguments.first_seed, arguments.first_seed + arguments.seeds)
     cases = [
--- a/bench/batch.py
+++ b/bench/batch.py
@@ -1,4 +1,7 @@
-"""The batch side of a run: queue, real placement and sizes, evictions, losses."""
+"""Simulated batch work: queue, evictions and worker losses.
+
+Placement and size estimates come from the product's own code.
+"""
 
 from __future__ import annotations
 
@@ -21,17 +24,17 @@
 
 @dataclass(slots=True)
 class BatchCounts:
-    """What became of batch work."""
+    """Totals of the batch work of one simulation."""
 
-    work: float = 0.0  # core seconds that count
+    work: float = 0.0  # core seconds that did not have to be repeated
     finished: int = 0
     evictions: int = 0
     throttles: int = 0
     killed: int = 0
 
 
-class BatchSide:
-    """Keeps workers supplied with tasks through the real planner."""
+class BatchSimulation:
+    """Places tasks on simulated workers with the product's planner."""
 
     def __init__(
         self,
@@ -53,8 +56,11 @@
         self.counts = BatchCounts()
 
     def place(self, now: float, wave: bool) -> None:
-        """Refill the queue and start what the planner chooses."""
-        if self._policy.batch_part == 0.0:
+        """Refill the queue and start the tasks that the planner places.
+
+        :param wave: whether new tasks come mostly of the first kind.
+        """
+        if self._policy.batch_share == 0.0:
             return
         while self._lost and self._lost[0][0] <= now:
             self._queue.append(self._lost.pop(0)[1])
@@ -65,10 +71,14 @@
             PendingTask(task.task_id, 0, TEAM, self._reserve(task))
             for task in self._queue
         ]
-        rooms = [self._room(worker, now) for worker in self._workers if worker.alive]
+        candidates = [
+            self._build_candidate(worker, now)
+            for worker in self._workers
+            if worker.alive
+        ]
         planner = Planner(lambda name: self._health.usable(name, now))
         by_name = {worker.name: worker for worker in self._workers}
-        for placement in planner.plan([{TEAM: pending}], rooms, {}, {}, now):
+        for placement in planner.plan([{TEAM: pending}], candidates, {}, {}, now):
             task = tasks.pop(placement.task.task_id)
             task.reserved = placement.task.size
             task.started_at = now
@@ -77,20 +87,20 @@
         self._queue = deque(tasks.values())
 
     def advance(self, worker: FakeWorker, now: float, step_s: float) -> None:
-        """Run a worker for a step and take in what ended."""
+        """Run a worker for one step and record the tasks that ended."""
         for task in worker.advance(step_s):
             self.counts.finished += 1
             self.counts.work += task.kind.run_s * task.kind.true.cpu_milli / 1000
-            self._learn(task, now)
+            self._observe_size(task, now)
             self._health.record(worker.name, task.kind.name, True, now)
         for task in worker.kill_over_memory(now, step_s):
             self.counts.killed += 1
-            self._learn(task, now)
+            self._observe_size(task, now)
             task.done_s = task.checkpoint_s
             self._queue.append(task)
 
     def evict(self, worker: FakeWorker, task_id: str) -> None:
-        """Checkpoint a task and put it back to the front of the queue."""
+        """Checkpoint a task and return it to the front of the queue."""
         task = worker.tasks.pop(task_id)
         task.evictions += 1
         task.done_s = max(0.0, task.done_s - RESUME_S)
@@ -98,18 +108,20 @@
         self.counts.evictions += 1
         self._queue.appendleft(task)
 
-    def lose(self, worker: FakeWorker, now: float) -> None:
-        """Lose a worker's tasks; they start again once their leases have run out."""
+    def fail_worker(self, worker: FakeWorker, now: float) -> None:
+        """Drop a worker's tasks; they are queued again once their leases expire."""
         for task in worker.tasks.values():
             task.done_s = task.checkpoint_s
             self._lost.append((now + LOST_AFTER_S, task))
         worker.tasks.clear()
 
     def count_unfinished(self) -> None:
-        """Count the work that tasks have behind them at the end."""
-        left = [task for worker in self._workers for task in worker.tasks.values()]
-        left += [*self._queue, *(task for _, task in self._lost)]
-        for task in left:
+        """Add the partial work of tasks that have not finished at the end."""
+        unfinished = [
+            task for worker in self._workers for task in worker.tasks.values()
+        ]
+        unfinished += [*self._queue, *(task for _, task in self._lost)]
+        for task in unfinished:
             self.counts.work += task.done_s * task.kind.true.cpu_milli / 1000
 
     def _reserve(self, task: FakeTask) -> Resources:
@@ -119,19 +131,19 @@
             return task.kind.declared
         return self._sizes.reserve(TEAM, task.kind.name, task.kind.declared)
 
-    def _learn(self, task: FakeTask, now: float) -> None:
+    def _observe_size(self, task: FakeTask, now: float) -> None:
         ran_s = now - task.started_at
         self._sizes.observe(TEAM, task.kind.name, task.kind.true, ran_s)
 
-    def _room(self, worker: FakeWorker, now: float) -> WorkerRoom:
-        room = worker.capacity - worker.reserved(now)
-        if self._policy.batch_part < 1.0:
-            kept = 1.0 - self._policy.batch_part
-            cpu = int(kept * worker.capacity.cpu_milli)
-            memory = int(kept * worker.capacity.memory_mib)
-            others = worker.base
-            room += others - others.enlarge(Resources(cpu, memory))
+    def _build_candidate(self, worker: FakeWorker, now: float) -> WorkerRoom:
+        free = worker.capacity - worker.reserved(now)
+        if self._policy.batch_share < 1.0:
+            service_share = 1.0 - self._policy.batch_share
+            cpu = int(service_share * worker.capacity.cpu_milli)
+            memory = int(service_share * worker.capacity.memory_mib)
+            base_size = worker.base
+            free += base_size - base_size.enlarge(Resources(cpu, memory))
         teams = Counter({TEAM: len(worker.tasks)})
         return WorkerRoom(
-            worker.name, worker.data_centre, worker.rack, worker.capacity, room, teams
+            worker.name, worker.data_centre, worker.rack, worker.capacity, free, teams
         )
--- a/bench/budget.py
+++ b/bench/budget.py
@@ -1,9 +1,9 @@
-"""Where the worth of a played day is lost: ``python -m bench.budget REPORT LOG``.
+"""Break down the worth lost on a benchmark day: ``bench.budget REPORT LOG``.
 
-REPORT is the figures of a played day as the users' tool writes them, LOG what all
-processes wrote (structured lines, each behind a time and a node's name). The first
-table adds up from 1 to the day's worth; the second says of the jobs that were not in
-time what the tasks that decided their end spent their time on.
+REPORT is the JSON report of a benchmark day, LOG the structured log lines of all
+processes, each prefixed with a time and a node name. The day's worth (``G``) is at
+most 1; the first table lists what reduced it. The second table shows, for the jobs that
+were late or failed, how the tasks that determined their end spent their time.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 from pistachiodeal.jobpath.summary import QueueSummary, summarise
 from pistachiodeal.jobpath.traces import Tracer
 
-# Prices below this are left to the rest.
-SMALL = 0.0005
+# Smaller losses by price are added to the row "rest".
+MIN_LISTED_LOSS = 0.0005
 
 
 @dataclass
 class Loss:
     """One row of the budget.
 
-    :param lost: share of a day's worth.
+    :param lost: share of the maximum worth of a day.
     """
 
     name: str
@@ -36,19 +36,19 @@
 
 
 def list_losses(report: dict[str, Any]) -> list[Loss]:
-    """Return what is lost by part and by price; the sum is one less the worth."""
+    """Return the losses by part and by price; they add up to 1 minus the worth."""
     losses = [
         Loss(f"part: {name}", weight * (1 - earned))
         for name, weight, earned in report["parts"]
     ]
     prices = [Loss(f"price: {name}", lost) for name, _, lost in report["prices"]]
-    losses += [one for one in prices if one.lost >= SMALL]
-    rest = 1 - report["G"] - sum(one.lost for one in losses)
+    losses += [loss for loss in prices if loss.lost >= MIN_LISTED_LOSS]
+    rest = 1 - report["G"] - sum(loss.lost for loss in losses)
     return [*losses, Loss("rest", rest)]
 
 
 def summarise_log(lines: Iterable[str]) -> list[QueueSummary]:
-    """Return where the jobs of each queue spent their time."""
+    """Return how the jobs of each queue spent their time."""
     tracer = Tracer()
     tracer.take(LineReader().read(lines))
     return summarise(tracer)
@@ -57,11 +57,11 @@
 def print_budget(report: dict[str, Any], queues: list[QueueSummary]) -> None:
     """Print both tables."""
     print(f"worth {report['G']:.3f}")
-    for loss in sorted(list_losses(report), key=lambda one: -one.lost):
+    for loss in sorted(list_losses(report), key=lambda loss: -loss.lost):
         print(f"  {loss.lost:7.4f}  {loss.name}")
-    for one in queues:
-        print(f"{one.queue}: {one.ended} ended, {one.late} late or failed")
-        for part in one.parts:
+    for summary in queues:
+        print(f"{summary.queue}: {summary.ended} ended, {summary.late} late or failed")
+        for part in summary.parts:
             if part.late_share > 0:
                 print(f"  {part.late_share:7.2f}  {part.part}")
 
--- a/bench/fakes.py
+++ b/bench/fakes.py
@@ -1,7 +1,8 @@
-"""A fake worker: pair-dependent slow-down, late readings, memory that runs out.
+"""A simulated worker: interference per task kind, delayed usage data, out of memory.
 
-Its law of interference is not the model's: it grows faster than the share of
-the worker that a kind uses, and with the load of the service.
+The simulated interference differs from the learned model on purpose: it grows faster
+than linearly with the share of the worker that a kind uses, and with the load of the
+service.
 """
 
 from __future__ import annotations
@@ -17,9 +18,9 @@
 from bench.shapes import SLOTS, Deployment, Kind, Service
 from pistachiodeal.model.resources import Resources
 
-HARM_POWER = 1.2
-RESUME_S = 3.0  # work done again after an eviction
-WAVE_PART = 0.7
+HARM_EXPONENT = 1.2
+RESUME_S = 3.0  # work repeated after an eviction
+WAVE_SHARE = 0.7
 MEMORY_GROWS_S = 5.0
 USAGE_LAG_S = 1.5
 _WINDOW_S = 5.0
@@ -45,7 +46,7 @@
 
 
 class FakeRunner:
-    """A service's slots on one worker: exact first-come-first-served waits."""
+    """A service's slots on one worker, served first come, first served."""
 
     def __init__(self, service: Service) -> None:
         self.service = service
@@ -59,19 +60,19 @@
         self._recent: deque[tuple[float, float, float]] = deque(maxlen=2000)
 
     def wait(self, now: float) -> float:
-        """Return the true wait for a slot, seconds."""
+        """Return the actual wait for a slot, seconds."""
         return max(0.0, min(self._free_at) - now)
 
     def estimate_wait(self, now: float) -> float:
-        """Return the wait as the agent's desk estimates it when all are busy."""
+        """Return the wait, seconds, as the agent estimates it at admission."""
         if min(self._free_at) <= now:
             return 0.0
         return (self.queued(now) + 1) * self.mean_s / SLOTS
 
     def serve(self, now: float, normal: float) -> float:
-        """Take a request in; return when it ends.
+        """Serve a request; return the time at which it ends.
 
-        :param normal: a standard normal draw, by which its length is set.
+        :param normal: a standard normal sample that determines its duration.
         """
         slot = self._free_at.index(min(self._free_at))
         start = max(now, self._free_at[slot])
@@ -87,20 +88,20 @@
         return end
 
     def close_step(self, step_s: float) -> None:
-        """Take the load of the step that ends."""
+        """Compute the load of the step that ends."""
         self.load = min(1.0, self._busy_s / (step_s * SLOTS))
         self._busy_s = 0.0
 
     def busy(self, now: float) -> int:
-        """Return slots in use."""
+        """Return the number of slots in use."""
         return sum(1 for free in self._free_at if free > now)
 
     def queued(self, now: float) -> int:
-        """Return requests that wait for a slot."""
+        """Return the number of requests that wait for a slot."""
         return sum(1 for start in self._starts if start > now)
 
     def measure(self, now: float) -> tuple[float, float]:
-        """Return what an agent measures over the last seconds.
+        """Return what an agent measures over the last ``_WINDOW_S`` seconds.
 
         :return: 99th percentile of latency, and mean time without waiting.
         """
@@ -115,13 +116,13 @@
         return totals[ceil(0.99 * len(totals)) - 1], mean_s
 
 
-def _hosts(index: int, service: Service, deployment: Deployment) -> bool:
-    """Tell whether a worker has a runner: every so many have one."""
+def _has_runner(index: int, service: Service, deployment: Deployment) -> bool:
+    """Return whether a worker has a runner; runners are spread evenly over workers."""
     return index * service.runners % deployment.workers < service.runners
 
 
 class FakeWorker:
-    """A worker with runners and tasks; true sizes are its own secret."""
+    """A worker with runners and tasks; the scheduler does not see their true sizes."""
 
     def __init__(self, index: int, deployment: Deployment) -> None:
         self.name = f"w{index}"
@@ -133,31 +134,31 @@
         self.runners = {
             service.name: FakeRunner(service)
             for service in deployment.services
-            if _hosts(index, service, deployment)
+            if _has_runner(index, service, deployment)
         }
         self.base = deployment.runner_size
         self.over_memory_s = 0.0
-        self.noisy = ""  # the kind whose harm is doubled now
+        self.noisy_kind = ""  # the kind whose harm is doubled at present
 
     def reserved(self, now: float) -> Resources:
-        """Return what the agent's ledger counts, the runners' part with it.
+        """Return the resources that the agent counts as reserved, runners included.
 
-        Its late measurements enlarge what was reserved too small.
+        Delayed usage measurements enlarge reservations that are too small.
         """
         total = self.base
         for task in self.tasks.values():
-            seen = self._memory_of(task, now - USAGE_LAG_S)
+            seen = self._compute_memory(task, now - USAGE_LAG_S)
             used = Resources(round(task.cores * 1000), seen)
             total += task.reserved.enlarge(used)
         return total
 
-    def _memory_of(self, task: FakeTask, now: float) -> int:
+    def _compute_memory(self, task: FakeTask, now: float) -> int:
         """Return a task's memory in use, which grows over its first seconds."""
         grown = min(1.0, max(0.0, now - task.started_at) / MEMORY_GROWS_S)
         return round(task.kind.true.memory_mib * grown)
 
     def shares(self) -> dict[str, float]:
-        """Return the part of the worker that each kind uses."""
+        """Return the share of the worker's cores that each kind uses."""
         cores = self.capacity.cpu_milli / 1000
         shares: dict[str, float] = {}
         for task in self.tasks.values():
@@ -166,17 +167,17 @@
         return shares
 
     def harm(self, kind: Kind, service: str) -> float:
-        """Return a kind's true harm to a service now; waves double the noisy one."""
+        """Return a kind's true harm to a service, doubled for the noisy kind."""
         strength = kind.harm[service]
-        return 2.0 * strength if self.noisy == kind.name else strength
+        return 2.0 * strength if self.noisy_kind == kind.name else strength
 
     def true_slowdown(self, service: str, shares: dict[str, float]) -> float:
-        """Return how much longer a request takes beside these kinds."""
+        """Return the factor by which these kinds lengthen a request."""
         kinds = {task.kind.name: task.kind for task in self.tasks.values()}
         excess = 0.0
         for name, share in shares.items():
-            excess += self.harm(kinds[name], service) * share**HARM_POWER
-        crowding = max(0.0, self._used(shares) - 1.0)
+            excess += self.harm(kinds[name], service) * share**HARM_EXPONENT
+        crowding = max(0.0, self._compute_cpu_demand(shares) - 1.0)
         load = self.runners[service].load
         return 1.0 + excess * (0.7 + 0.6 * load) + 2.0 * crowding
 
@@ -186,7 +187,7 @@
         for service, runner in self.runners.items():
             runner.close_step(step_s)
             runner.slowdown = self.true_slowdown(service, shares)
-        speed = min(1.0, 1.0 / self._used(shares))
+        speed = min(1.0, 1.0 / self._compute_cpu_demand(shares))
         finished = []
         for task in list(self.tasks.values()):
             task.done_s += task.share * speed * step_s
@@ -194,21 +195,24 @@
                 finished.append(self.tasks.pop(task.task_id))
         return finished
 
-    def _used(self, shares: dict[str, float]) -> float:
-        """Return the part of the processors asked for; runners use half of theirs."""
+    def _compute_cpu_demand(self, shares: dict[str, float]) -> float:
+        """Return the demanded share of the cores.
+
+        Runners use half of their reservation.
+        """
         runners = self.base.cpu_milli / self.capacity.cpu_milli / 2
         return sum(shares.values()) + runners
 
     def kill_over_memory(self, now: float, step_s: float) -> list[FakeTask]:
-        """Kill the newest tasks while memory is short, as a kernel would."""
+        """Kill the newest tasks while memory is short, as an OOM killer does."""
         killed = []
         used = self.base.memory_mib
-        used += sum(self._memory_of(task, now) for task in self.tasks.values())
+        used += sum(self._compute_memory(task, now) for task in self.tasks.values())
         if used > self.capacity.memory_mib:
             self.over_memory_s += step_s
         while used > self.capacity.memory_mib and self.tasks:
             newest = max(self.tasks.values(), key=lambda task: task.started_at)
-            used -= self._memory_of(newest, now)
+            used -= self._compute_memory(newest, now)
             killed.append(self.tasks.pop(newest.task_id))
         return killed
 
@@ -216,14 +220,14 @@
 def generate_tasks(
     deployment: Deployment, rng: np.random.Generator
 ) -> Generator[FakeTask, bool, None]:
-    """Return an endless queue of tasks, mixed by the kinds' weights.
+    """Return an endless stream of tasks, mixed by the kinds' weights.
 
-    Sending True into it while a wave is on makes most tasks of the first kind.
+    After ``send(True)``, during a wave, most tasks are of the first kind.
     """
     weights = np.array([kind.weight for kind in deployment.kinds])
     mix = weights / weights.sum()
     wave = False
     for number in count():
-        noisy = wave and rng.random() < WAVE_PART
+        noisy = wave and rng.random() < WAVE_SHARE
         index = 0 if noisy else rng.choice(len(mix), p=mix)
         wave = bool((yield FakeTask(f"t{number}", deployment.kinds[index])))
--- a/bench/interactive.py
+++ b/bench/interactive.py
@@ -1,4 +1,4 @@
-"""The interactive side of a run: entries that choose by the real routing code."""
+"""Simulated requests through entries that use the product's routing code."""
 
 from __future__ import annotations
 
@@ -20,22 +20,22 @@
     create_random,
 )
 
-SILENT_S = 2.0  # until a lost worker's link is given up
-BETWEEN_S = 0.0005  # one way between data centres
+LINK_TIMEOUT_S = 2.0  # until an entry drops the link of a lost worker
+CROSS_DATA_CENTRE_S = 0.0005  # one way between data centres
 RETRY_SHARE = 0.1
 ATTEMPTS = 3
 
 
 @dataclass(slots=True)
 class ServiceCounts:
-    """What became of a service's requests."""
+    """Outcomes of a service's requests."""
 
     times: list[float] = field(default_factory=list)
     latencies: list[float] = field(default_factory=list)
     refused: int = 0
     lost: int = 0
     late: int = 0
-    avoidable: int = 0  # refused after waiting, though the wait was too long at once
+    avoidable: int = 0  # refused after a wait that was too long from the start
 
 
 @dataclass(slots=True)
@@ -48,8 +48,8 @@
     targets: dict[str, Candidate] = field(default_factory=dict)
 
 
-class ServiceSide:
-    """Requests of one service through three entries."""
+class ServiceSimulation:
+    """Simulates the requests of one service through three entries."""
 
     def __init__(
         self,
@@ -72,12 +72,12 @@
         ]
 
     def report(self, now: float) -> None:
-        """Bring the agents' reports to the entries; a lost worker falls silent."""
+        """Deliver the agents' reports to the entries; a lost worker sends none."""
         self._now = now
         for name, worker in self._workers.items():
             if not worker.alive:
-                gone_s = now - self._lost_at.setdefault(name, now)
-                if gone_s >= SILENT_S:
+                silent_s = now - self._lost_at.setdefault(name, now)
+                if silent_s >= LINK_TIMEOUT_S:
                     for entry in self._entries:
                         entry.targets.pop(name, None)
                 continue
@@ -91,10 +91,10 @@
                     entry.targets[name] = target
                 target.apply_report(SLOTS, busy, runner.queued(now), mean_s, now)
                 if now < 1.0:
-                    target.joined_at = -1e9  # the script starts in the midst of things
+                    target.joined_at = -1e9  # no slow start: the system runs already
 
     def run_step(self, now: float, step_s: float, load: float) -> None:
-        """Send one step's requests."""
+        """Send the requests of one step."""
         count = self._rng.poisson(self._service.rate * load * step_s)
         times = now + np.sort(self._rng.random(count)) * step_s
         normals = self._rng.standard_normal(count)
@@ -103,10 +103,10 @@
             times.tolist(), normals.tolist(), entries.tolist(), strict=True
         ):
             self._now = at
-            self._settle_until(at)
+            self._complete_until(at)
             self._send(at, normal, self._entries[entry])
 
-    def _settle_until(self, now: float) -> None:
+    def _complete_until(self, now: float) -> None:
         while self._open and self._open[0][0] <= now:
             heapq.heappop(self._open)[2].outstanding -= 1
 
@@ -138,19 +138,21 @@
         target: Candidate,
         worker: FakeWorker,
     ) -> bool:
-        """Hand a request to a worker's agent; False when it refuses at once."""
+        """Pass a request to a worker's agent; return False if it refuses at once."""
         runner: FakeRunner = worker.runners[self._service.name]
         promised_s = self._service.promised_s
         if runner.estimate_wait(at) > promised_s:
             return False
         if runner.wait(at) > promised_s:
-            # The agent refuses it in the end, but only after it has waited.
+            # The agent refuses the request too, but only after it has waited.
             self.counts.refused += 1
             self.counts.avoidable += 1
             return True
         end = runner.serve(at, normal)
-        distance_s = 0.0 if target.data_centre == entry.data_centre else 2 * BETWEEN_S
-        latency_s = end - at + distance_s
+        network_s = (
+            0.0 if target.data_centre == entry.data_centre else 2 * CROSS_DATA_CENTRE_S
+        )
+        latency_s = end - at + network_s
         target.outstanding += 1
         target.note_answer()
         self._sequence += 1
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -1,4 +1,4 @@
-"""The ways of deciding that are measured side by side, and the baselines' code."""
+"""The policies that the benchmark compares, with the code of the baselines."""
 
 from __future__ import annotations
 
@@ -16,30 +16,30 @@
 from pistachiodeal.learning.timeline import Timeline, create_timeline
 
 OURS = "pistachiodeal"
-ALONE = "no-batch"
+NO_BATCH = "no-batch"
 ORACLE = "oracle"
-AIM_SLOWDOWN = 1.1
+MAX_SLOWDOWN = 1.1
 _EVICT_PAUSE_S = 2.0
 
 
 @dataclass(frozen=True, slots=True)
 class Policy:
-    """One row of the table; the fields name what is put in place of our parts."""
+    """One row of the table; the fields choose the implementation of each part."""
 
     name: str
     routing: str = "least-loaded"
     guard: str = "guard"
     sizes: str = "learnt"
-    batch_part: float = 1.0
+    batch_share: float = 1.0
 
 
 POLICIES = (
-    Policy(ALONE, guard="none", batch_part=0.0),
+    Policy(NO_BATCH, guard="none", batch_share=0.0),
     Policy(ORACLE, guard="oracle", sizes="true"),
     Policy(OURS),
     Policy("random-routing", routing="random"),
     Policy("least-connections", routing="least-connections"),
-    Policy("static-split", guard="none", sizes="declared", batch_part=0.5),
+    Policy("static-split", guard="none", sizes="declared", batch_share=0.5),
     Policy("no-guard", guard="none"),
     Policy("no-throttle", guard="evict-only"),
     Policy("evict-newest", guard="evict-newest"),
@@ -48,26 +48,26 @@
 
 
 class Decider(Protocol):
-    """What acts on one worker every half second."""
+    """Decides on throttles and evictions of one worker every half second."""
 
     def decide(
         self, now: float, readings: list[ServiceReading], runs: list[RunView]
     ) -> list[Throttle | Evict]:
-        """Return what to do."""
+        """Return the actions to carry out."""
 
 
-class _Nothing:
-    """Leaves batch work alone."""
+class _NoAction:
+    """Takes no action on batch work."""
 
     def decide(
         self, now: float, readings: list[ServiceReading], runs: list[RunView]
     ) -> list[Throttle | Evict]:
-        """Return nothing."""
+        """Return no actions."""
         return []
 
 
 class _EvictNewest:
-    """Evicts the newest task while a service is over the same mark as the guard."""
+    """Evicts the newest task while a service is over the guard's upper threshold."""
 
     def __init__(self, high: float) -> None:
         self._high = high
@@ -76,16 +76,16 @@
     def decide(
         self, now: float, readings: list[ServiceReading], runs: list[RunView]
     ) -> list[Throttle | Evict]:
-        """Return the newest task, at most every few seconds."""
-        hot = any(r.latency_s > self._high * r.promised_s for r in readings)
-        if not hot or not runs or now < self._acted_at + _EVICT_PAUSE_S:
+        """Return an eviction of the newest task, at most every ``_EVICT_PAUSE_S``."""
+        over_limit = any(r.latency_s > self._high * r.promised_s for r in readings)
+        if not over_limit or not runs or now < self._acted_at + _EVICT_PAUSE_S:
             return []
         self._acted_at = now
         return [Evict(max(runs, key=lambda run: run.started_at).task_id)]
 
 
 class _EvictOnly:
-    """The guard itself, told by the profile not to throttle."""
+    """The product's guard with throttling disabled by the profile."""
 
     def __init__(self, guard: Guard) -> None:
         self._guard = guard
@@ -93,17 +93,20 @@
     def decide(
         self, now: float, readings: list[ServiceReading], runs: list[RunView]
     ) -> list[Throttle | Evict]:
-        """Return evictions."""
-        untouchable = [replace(reading, throttle_batch=False) for reading in readings]
-        actions = self._guard.decide(now, untouchable, runs)
+        """Return the guard's evictions."""
+        without_throttle = [
+            replace(reading, throttle_batch=False) for reading in readings
+        ]
+        actions = self._guard.decide(now, without_throttle, runs)
         return [action for action in actions if isinstance(action, Evict)]
 
 
 class _Oracle:
-    """Knows true sizes, true harm and the present, and slows just enough.
+    """Throttles just enough, from true sizes, true harm and the current state.
 
-    Greedy: the kind that harms the tightest service most for each core goes down
-    by a tenth until all services are within the aim. Its placement is ours.
+    Greedy: the kind that harms the slowest service most per core is throttled in
+    steps of a tenth until all services are within ``MAX_SLOWDOWN``. Placement is
+    that of the product.
     """
 
     def __init__(self, worker: FakeWorker) -> None:
@@ -112,7 +115,7 @@
     def decide(
         self, now: float, readings: list[ServiceReading], runs: list[RunView]
     ) -> list[Throttle | Evict]:
-        """Set throttles outright, from the truth of this moment."""
+        """Set the throttles directly on the tasks; return no actions."""
         worker = self._worker
         for task in worker.tasks.values():
             task.share = 1.0
@@ -120,37 +123,41 @@
             shares = worker.shares()
             slowdowns = {s: worker.true_slowdown(s, shares) for s in worker.runners}
             worst = max(slowdowns, key=lambda name: slowdowns[name])
-            if slowdowns[worst] <= AIM_SLOWDOWN:
+            if slowdowns[worst] <= MAX_SLOWDOWN:
                 break
-            able = [t for t in worker.tasks.values() if t.share > 0.06]
-            if not able:
+            throttleable = [t for t in worker.tasks.values() if t.share > 0.06]
+            if not throttleable:
                 break
-            kind = max(able, key=lambda t: (worker.harm(t.kind, worst), t.kind.name))
-            for task in able:
-                if task.kind is kind.kind:
+            most_harmful = max(
+                throttleable, key=lambda t: (worker.harm(t.kind, worst), t.kind.name)
+            )
+            for task in throttleable:
+                if task.kind is most_harmful.kind:
                     task.share = max(0.05, task.share - 0.1)
         return []
 
 
 @dataclass(slots=True)
-class Brain:
-    """A worker's decider with what it learns by."""
+class WorkerController:
+    """A worker's decider with the state that it learns."""
 
     decider: Decider
     model: InterferenceModel
     timeline: Timeline
 
 
-def create_brain(policy: Policy, worker: FakeWorker, settings: GuardSettings) -> Brain:
-    """Create what decides for a worker under a policy."""
+def create_controller(
+    policy: Policy, worker: FakeWorker, settings: GuardSettings
+) -> WorkerController:
+    """Create the controller of a worker under a policy."""
     model = create_interference_model()
     timeline = create_timeline()
     guard = create_guard(settings, model, timeline)
     deciders: dict[str, Decider] = {
-        "none": _Nothing(),
+        "none": _NoAction(),
         "guard": guard,
         "evict-only": _EvictOnly(guard),
         "evict-newest": _EvictNewest(settings.high),
         "oracle": _Oracle(worker),
     }
-    return Brain(deciders[policy.guard], model, timeline)
+    return WorkerController(deciders[policy.guard], model, timeline)
--- a/bench/report.py
+++ b/bench/report.py
@@ -1,4 +1,4 @@
-"""Puts runs side by side: table, JSON and a plot of the tail over time."""
+"""Compares runs: table, JSON files and a plot of tail latency over time."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from statistics import fmean
 from typing import Any
 
-from bench.policies import ALONE, ORACLE, OURS, POLICIES
+from bench.policies import NO_BATCH, ORACLE, OURS, POLICIES
 from bench.simulation import BIN_S
 
 EVICT_NEWEST = "evict-newest"
-TAIL_AIM = 1.1
-THROUGHPUT_AIM = 0.9
-EVICTIONS_AIM = 0.25
+MAX_TAIL_RATIO = 1.1
+MIN_THROUGHPUT_SHARE = 0.9
+MAX_EVICTION_RATIO = 0.25
 
 Result = Mapping[str, Any]
 
@@ -24,10 +24,12 @@
 class Row:
     """One policy in one deployment and shape, over all seeds.
 
-    :param p99_ms: mean over seeds, for the service that lost most to batch work.
-    :param tail: its p99 against the same seed without batch work: mean and worst.
-    :param throughput: batch work done as a part of the oracle's, mean and least.
-    :param evictions: over all seeds; ``killed`` are tasks that ran out of memory.
+    :param p99_ms: mean over seeds, for the service that batch work slowed most.
+    :param tail: ratio of its p99 to that of the same seed without batch work, mean
+        over seeds; ``tail_worst`` is the largest.
+    :param throughput: batch work as a share of the oracle's, mean over seeds;
+        ``throughput_least`` is the smallest.
+    :param evictions: over all seeds; ``killed`` counts tasks that ran out of memory.
     """
 
     deployment: str
@@ -51,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Aim:
-    """Whether one aim was met by our row; never by leaving a seed out."""
+    """One aim, and whether the product's row meets it over all seeds."""
 
     deployment: str
     shape: str
@@ -68,35 +70,35 @@
         group = [
             r for r in results if (r["deployment"], r["shape"]) == (deployment, shape)
         ]
-        alone = {r["seed"]: r for r in group if r["policy"] == ALONE}
+        no_batch = {r["seed"]: r for r in group if r["policy"] == NO_BATCH}
         oracle = {r["seed"]: r for r in group if r["policy"] == ORACLE}
         for policy in POLICIES:
             runs = [r for r in group if r["policy"] == policy.name]
             if runs:
-                rows.append(_build_row(runs, alone, oracle))
+                rows.append(_build_row(runs, no_batch, oracle))
     return rows
 
 
 def _build_row(
-    runs: Sequence[Result], alone: Mapping[int, Result], oracle: Mapping[int, Result]
+    runs: Sequence[Result], no_batch: Mapping[int, Result], oracle: Mapping[int, Result]
 ) -> Row:
     first = runs[0]
 
     def ratios(service: str) -> list[float]:
         return [
             run["services"][service]["p99_s"]
-            / alone[run["seed"]]["services"][service]["p99_s"]
+            / no_batch[run["seed"]]["services"][service]["p99_s"]
             for run in runs
         ]
 
     service = max(first["services"], key=lambda name: fmean(ratios(name)))
     figures = [run["services"][service] for run in runs]
     batch = [run["batch"] for run in runs]
-    parts = [
+    throughputs = [
         run["batch"]["work"] / oracle[run["seed"]]["batch"]["work"] for run in runs
     ]
-    everything = [f for run in runs for f in run["services"].values()]
-    requests = sum(f["requests"] for f in everything)
+    service_figures = [f for run in runs for f in run["services"].values()]
+    requests = sum(f["requests"] for f in service_figures)
     return Row(
         first["deployment"],
         first["shape"],
@@ -105,12 +107,12 @@
         p99_ms=1000 * fmean(f["p99_s"] for f in figures),
         tail=fmean(ratios(service)),
         tail_worst=max(ratios(service)),
-        late=sum(f["late"] for f in everything) / requests,
-        refused=sum(f["refused"] for f in everything) / requests,
-        lost=sum(f["lost"] for f in everything) / requests,
-        avoidable=sum(f["avoidable"] for f in everything),
-        throughput=fmean(parts),
-        throughput_least=min(parts),
+        late=sum(f["late"] for f in service_figures) / requests,
+        refused=sum(f["refused"] for f in service_figures) / requests,
+        lost=sum(f["lost"] for f in service_figures) / requests,
+        avoidable=sum(f["avoidable"] for f in service_figures),
+        throughput=fmean(throughputs),
+        throughput_least=min(throughputs),
         evictions=sum(b["evictions"] for b in batch),
         throttles=sum(b["throttles"] for b in batch),
         killed=sum(b["killed"] for b in batch),
@@ -119,18 +121,18 @@
 
 
 def check_aims(rows: Sequence[Row]) -> list[Aim]:
-    """Return each aim for our rows, met or not."""
+    """Return each aim for the product's rows, met or not."""
     aims = []
     table = {(row.deployment, row.shape, row.policy): row for row in rows}
     for (deployment, shape, policy), row in table.items():
         if policy != OURS:
             continue
         newest = table[deployment, shape, EVICT_NEWEST].evictions
-        part = row.evictions / newest if newest else float(row.evictions > 0)
+        eviction_ratio = row.evictions / newest if newest else float(row.evictions > 0)
         values = (
-            ("worst p99 / alone", row.tail_worst, TAIL_AIM, True),
-            ("least work / oracle", row.throughput_least, THROUGHPUT_AIM, False),
-            ("evictions / evict-newest", part, EVICTIONS_AIM, True),
+            ("worst p99 / alone", row.tail_worst, MAX_TAIL_RATIO, True),
+            ("least work / oracle", row.throughput_least, MIN_THROUGHPUT_SHARE, False),
+            ("evictions / evict-newest", eviction_ratio, MAX_EVICTION_RATIO, True),
             ("refused late, not at once", float(row.avoidable), 0.0, True),
         )
         for name, measured, aim, below in values:
@@ -146,10 +148,10 @@
         f"{'late%':>6} {'refus%':>6} {'avoid':>6} {'work':>5} {'least':>5} "
         f"{'evict':>6} {'throt':>7} {'oom':>5}"
     )
-    for where in _unique((row.deployment, row.shape) for row in rows):
-        print(f"\n{where[0]}, load {where[1]}\n{head}")
+    for scenario in _unique((row.deployment, row.shape) for row in rows):
+        print(f"\n{scenario[0]}, load {scenario[1]}\n{head}")
         for row in rows:
-            if (row.deployment, row.shape) != where:
+            if (row.deployment, row.shape) != scenario:
                 continue
             print(
                 f"{row.policy:18} {row.service:16} {row.p99_ms:7.1f} {row.tail:6.2f} "
@@ -194,16 +196,16 @@
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
-    wheres = _unique((r["deployment"], r["shape"]) for r in results)
-    shown = (ALONE, OURS, "no-guard", EVICT_NEWEST, "static-split")
-    figure, axes = pyplot.subplots(len(wheres), 1, figsize=(10, 3 * len(wheres)))
+    scenarios = _unique((r["deployment"], r["shape"]) for r in results)
+    shown = (NO_BATCH, OURS, "no-guard", EVICT_NEWEST, "static-split")
+    figure, axes = pyplot.subplots(len(scenarios), 1, figsize=(10, 3 * len(scenarios)))
     for axis, (deployment, shape) in zip(
-        axes if len(wheres) > 1 else [axes], wheres, strict=True
+        axes if len(scenarios) > 1 else [axes], scenarios, strict=True
     ):
         seed = min(r["seed"] for r in results)
         for result in results:
-            here = (result["deployment"], result["shape"], result["seed"])
-            if here != (deployment, shape, seed) or result["policy"] not in shown:
+            run_key = (result["deployment"], result["shape"], result["seed"])
+            if run_key != (deployment, shape, seed) or result["policy"] not in shown:
                 continue
             name = next(iter(result["services"]))
             tail = result["services"][name]["tail_s"]
@@ -219,7 +221,7 @@
 
 
 def _shorten(result: Result) -> Result:
-    """Drop the tail over time, which only the plot needs."""
+    """Return a result without the tail over time, which only the plot needs."""
     services = {
         name: {key: value for key, value in figures.items() if key != "tail_s"}
         for name, figures in result["services"].items()
--- a/bench/shapes.py
+++ b/bench/shapes.py
@@ -1,4 +1,4 @@
-"""The two deployments at their size of today, and scripts of load and faults."""
+"""The two simulated deployments, and the scripts of load and faults."""
 
 from __future__ import annotations
 
@@ -13,12 +13,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Kind:
-    """A kind of batch task; the true figures are hidden from the decisions.
+    """A kind of batch task; the scheduler does not see the true figures.
 
     :param true: what a task really uses; ``declared`` is far from it.
-    :param run_s: length of a run at full speed, seconds.
-    :param harm: for each service, its extra latency if the kind filled a worker.
-    :param weight: how common it is.
+    :param run_s: duration of a run at full speed, seconds.
+    :param harm: by service, the extra latency, as a share of the latency without batch
+        work, if the kind filled a worker.
+    :param weight: relative frequency of the kind.
     """
 
     name: str
@@ -33,10 +34,10 @@
 class Service:
     """A service with ``runners`` runners, spread over the workers.
 
-    :param mean_s: mean time of a request alone, seconds.
-    :param sigma: spread of its logarithm.
-    :param promised_s: promised time at the 99th percentile.
-    :param rate: requests a second at load 1.
+    :param mean_s: mean duration of a request without batch work, seconds.
+    :param sigma: standard deviation of the logarithm of the duration.
+    :param promised_s: promised latency at the 99th percentile, seconds.
+    :param rate: requests per second at load 1.
     """
 
     name: str
@@ -61,39 +62,41 @@
 
 @dataclass(frozen=True, slots=True)
 class Window:
-    """Something that holds between two times, as parts of the whole script."""
+    """A time window; both ends are fractions of the whole script."""
 
     start: float
     end: float
 
-    def holds(self, part: float) -> bool:
-        """Tell whether ``part`` of the script lies within."""
-        return self.start <= part < self.end
+    def contains(self, fraction: float) -> bool:
+        """Return whether ``fraction`` of the script lies in the window."""
+        return self.start <= fraction < self.end
 
 
 @dataclass(frozen=True, slots=True)
 class Shape:
-    """How load and faults go over the script.
+    """A script of load and faults over time.
 
-    :param load: steps (part of the script, factor on the rates).
+    :param load: steps (fraction of the script, factor on the rates).
     :param waves: when the first kind comes in bursts and harms twice as much.
-    :param backlog: tasks waiting for each core all the time.
+    :param rack_lost: when the workers of one rack are down.
+    :param store_outage: when the store is down.
+    :param backlog: waiting tasks per core, at all times.
     """
 
     name: str
     load: tuple[tuple[float, float], ...]
     waves: tuple[Window, ...]
     rack_lost: Window
-    store_out: Window
+    store_outage: Window
     backlog: float = 0.5
 
-    def load_at(self, part: float) -> float:
-        """Return the factor on the rates."""
-        return [factor for start, factor in self.load if start <= part][-1]
+    def load_at(self, fraction: float) -> float:
+        """Return the factor on the request rates."""
+        return [factor for start, factor in self.load if start <= fraction][-1]
 
-    def wave_at(self, part: float) -> bool:
-        """Tell whether a wave of noisy tasks is on."""
-        return any(wave.holds(part) for wave in self.waves)
+    def wave_at(self, fraction: float) -> bool:
+        """Return whether a wave of noisy tasks is active."""
+        return any(wave.contains(fraction) for wave in self.waves)
 
 
 def _size(cores: float, gib: float) -> Resources:
@@ -195,14 +198,14 @@
     load=((0.0, 0.6), (0.25, 1.0), (0.5, 1.3), (0.75, 0.5)),
     waves=(Window(0.15, 0.3), Window(0.5, 0.65), Window(0.85, 0.95)),
     rack_lost=Window(0.6, 0.75),
-    store_out=Window(0.55, 0.65),
+    store_outage=Window(0.55, 0.65),
 )
 SPIKES = Shape(
     "spikes",
     load=((0.0, 0.8), (0.2, 1.4), (0.24, 0.7), (0.5, 1.4), (0.55, 0.9), (0.8, 0.4)),
     waves=(Window(0.05, 0.1), Window(0.35, 0.55), Window(0.7, 0.75)),
     rack_lost=Window(0.3, 0.4),
-    store_out=Window(0.38, 0.5),
+    store_outage=Window(0.38, 0.5),
 )
 
 DEPLOYMENTS = (LISOVNA, HSINYI)
--- a/bench/simulation.py
+++ b/bench/simulation.py
@@ -1,4 +1,4 @@
-"""A virtual-time loop: fakes on one side, the real decisions on the other."""
+"""Simulates workers and load in virtual time against the product's decision code."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 import numpy as np
 
-from bench.batch import BatchSide
+from bench.batch import BatchSimulation
 from bench.fakes import FakeWorker
-from bench.interactive import ServiceSide
-from bench.policies import Brain, Policy, create_brain
+from bench.interactive import ServiceSimulation
+from bench.policies import Policy, WorkerController, create_controller
 from bench.shapes import Deployment, Shape
 from pistachiodeal.config.agent import GuardSettings
 from pistachiodeal.control.views import Evict, RunView, ServiceReading
@@ -18,8 +18,8 @@
 from pistachiodeal.wire.messages import Evidence
 
 STEP_S = 0.5
-LAG_S = 1.5  # readings are this old when they reach the guard
-EXCHANGE_S = 10.0
+READING_LAG_S = 1.5  # age of readings when they reach the guard
+EVIDENCE_PERIOD_S = 10.0
 BIN_S = 5.0
 MIN_RUN_S = 10.0
 MAX_EVICTIONS = 3
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """One run: everything that it depends on."""
+    """Everything that one run depends on."""
 
     policy: Policy
     deployment: Deployment
@@ -37,7 +37,7 @@
 
 
 class Simulation:
-    """State of one run."""
+    """Runs one case step by step."""
 
     def __init__(self, case: Case) -> None:
         self._case = case
@@ -45,19 +45,19 @@
         streams = np.random.SeedSequence(case.seed).spawn(8)
         rngs = [np.random.default_rng(stream) for stream in streams]
         self._workers = [FakeWorker(n, deployment) for n in range(deployment.workers)]
-        self._batch = BatchSide(
+        self._batch = BatchSimulation(
             case.policy, deployment, case.shape, self._workers, rngs[0]
         )
         self._services = {
-            service.name: ServiceSide(case.policy, service, self._workers, rng)
+            service.name: ServiceSimulation(case.policy, service, self._workers, rng)
             for service, rng in zip(deployment.services, rngs[1:], strict=False)
         }
         settings = GuardSettings()
-        self._brains = {
-            worker.name: create_brain(case.policy, worker, settings)
+        self._controllers = {
+            worker.name: create_controller(case.policy, worker, settings)
             for worker in self._workers
         }
-        self._late: dict[str, deque[list[ServiceReading]]] = {
+        self._delayed_readings: dict[str, deque[list[ServiceReading]]] = {
             worker.name: deque() for worker in self._workers
         }
         self._now = 0.0
@@ -72,58 +72,60 @@
         self._batch.count_unfinished()
         return self._summarise()
 
-    def _step(self, part: float) -> None:
+    def _step(self, fraction: float) -> None:
         now, shape = self._now, self._case.shape
-        wave = shape.wave_at(part)
-        self._set_faults(part, wave)
+        wave = shape.wave_at(fraction)
+        self._set_faults(fraction, wave)
         for worker in self._workers:
             if worker.alive:
                 self._batch.advance(worker, now, STEP_S)
-        if not shape.store_out.holds(part):
+        if not shape.store_outage.contains(fraction):
             self._batch.place(now, wave)
-        for side in self._services.values():
-            side.report(now)
-            side.run_step(now, STEP_S, shape.load_at(part))
+        for simulation in self._services.values():
+            simulation.report(now)
+            simulation.run_step(now, STEP_S, shape.load_at(fraction))
         for worker in self._workers:
             if worker.alive:
-                self._decide(worker, store_out=shape.store_out.holds(part))
-        if now % EXCHANGE_S == 0:
-            self._exchange()
+                self._decide(worker, store_outage=shape.store_outage.contains(fraction))
+        if now % EVIDENCE_PERIOD_S == 0:
+            self._exchange_evidence()
 
-    def _set_faults(self, part: float, wave: bool) -> None:
-        lost = self._case.shape.rack_lost.holds(part)
+    def _set_faults(self, fraction: float, wave: bool) -> None:
+        lost = self._case.shape.rack_lost.contains(fraction)
         noisy = self._case.deployment.kinds[0].name if wave else ""
         for worker in self._workers:
-            worker.noisy = noisy
+            worker.noisy_kind = noisy
             if worker.rack != "rack-0":
                 continue
             if lost and worker.alive:
-                self._batch.lose(worker, self._now)
+                self._batch.fail_worker(worker, self._now)
                 worker.alive = False
             elif not lost and not worker.alive:
                 worker.alive = True
-                self._late[worker.name].clear()
+                self._delayed_readings[worker.name].clear()
                 settings = GuardSettings()
-                brain = create_brain(self._case.policy, worker, settings)
-                self._brains[worker.name] = brain
+                controller = create_controller(self._case.policy, worker, settings)
+                self._controllers[worker.name] = controller
 
-    def _decide(self, worker: FakeWorker, store_out: bool) -> None:
-        """Give late readings to what decides, and carry its answer out."""
+    def _decide(self, worker: FakeWorker, store_outage: bool) -> None:
+        """Pass delayed readings to the decider, and carry out its actions."""
         end = self._now + STEP_S
-        brain = self._brains[worker.name]
-        brain.timeline.note(self._now, _note_kinds(worker))
-        late = self._late[worker.name]
-        late.append(self._read(worker, end))
-        known = len(late) * STEP_S > LAG_S
-        readings = late.popleft() if known else []
-        for action in brain.decider.decide(end, readings, _view_runs(worker)):
+        controller = self._controllers[worker.name]
+        controller.timeline.note(self._now, _compute_kind_shares(worker))
+        delayed = self._delayed_readings[worker.name]
+        delayed.append(self._read_services(worker, end))
+        is_available = len(delayed) * STEP_S > READING_LAG_S
+        readings = delayed.popleft() if is_available else []
+        for action in controller.decider.decide(
+            end, readings, _build_run_views(worker)
+        ):
             if not isinstance(action, Evict):
                 worker.tasks[action.task_id].share = action.share
                 self._batch.counts.throttles += 1
-            elif not store_out:  # no checkpoint could be stored, so none is evicted
+            elif not store_outage:  # no checkpoint can be stored
                 self._batch.evict(worker, action.task_id)
 
-    def _read(self, worker: FakeWorker, at: float) -> list[ServiceReading]:
+    def _read_services(self, worker: FakeWorker, at: float) -> list[ServiceReading]:
         readings = []
         for name, runner in worker.runners.items():
             latency_s, service_s = runner.measure(at)
@@ -134,20 +136,20 @@
             readings.append(reading)
         return readings
 
-    def _exchange(self) -> None:
+    def _exchange_evidence(self) -> None:
         alive = [worker.name for worker in self._workers if worker.alive]
         for name in alive:
-            pairs = self._brains[name].model.take_evidence()
+            pairs = self._controllers[name].model.take_evidence()
             if pairs:
                 self._relay.accept(name, Evidence(pairs))
         for name in alive:
             evidence = self._relay.build_for(name)
             if evidence is not None:
-                self._merge(self._brains[name], evidence)
+                self._merge_evidence(self._controllers[name], evidence)
         self._relay.end_round()
 
-    def _merge(self, brain: Brain, evidence: Evidence) -> None:
-        brain.model.merge(evidence.pairs, self._now)
+    def _merge_evidence(self, controller: WorkerController, evidence: Evidence) -> None:
+        controller.model.merge(evidence.pairs, self._now)
 
     def _summarise(self) -> dict[str, object]:
         over_memory_s = sum(worker.over_memory_s for worker in self._workers)
@@ -158,23 +160,23 @@
             "seed": self._case.seed,
             "batch": {**asdict(self._batch.counts), "over_memory_s": over_memory_s},
             "services": {
-                name: _summarise_service(side, self._case.seconds)
-                for name, side in self._services.items()
+                name: _summarise_service(simulation, self._case.seconds)
+                for name, simulation in self._services.items()
             },
         }
 
 
-def _note_kinds(worker: FakeWorker) -> dict[str, float]:
-    """Return what an agent knows to run: measured use, within the throttle."""
+def _compute_kind_shares(worker: FakeWorker) -> dict[str, float]:
+    """Return the measured CPU share of each kind, bounded by its throttle."""
     shares: dict[str, float] = {}
     for task in worker.tasks.values():
         bound = task.reserved.cpu_milli * task.share
-        part = min(bound, task.cores * 1000) / worker.capacity.cpu_milli
-        shares[task.kind.name] = shares.get(task.kind.name, 0.0) + part
+        fraction = min(bound, task.cores * 1000) / worker.capacity.cpu_milli
+        shares[task.kind.name] = shares.get(task.kind.name, 0.0) + fraction
     return shares
 
 
-def _view_runs(worker: FakeWorker) -> list[RunView]:
+def _build_run_views(worker: FakeWorker) -> list[RunView]:
     return [
         RunView(
             task.task_id,
@@ -191,8 +193,10 @@
     ]
 
 
-def _summarise_service(side: ServiceSide, seconds: float) -> dict[str, object]:
-    counts = side.counts
+def _summarise_service(
+    simulation: ServiceSimulation, seconds: float
+) -> dict[str, object]:
+    counts = simulation.counts
     times, latencies = np.array(counts.times), np.array(counts.latencies)
     edges = np.arange(0.0, seconds, BIN_S)
     bins = np.digitize(times, edges) - 1
@@ -213,5 +217,5 @@
 
 
 def run_case(case: Case) -> dict[str, object]:
-    """Run one case; the same case gives the same figures."""
+    """Run one case; the same case always gives the same figures."""
     return Simulation(case).run()
