--- a/bench/fault_cases.py
+++ b/bench/fault_cases.py
@@ -1,4 +1,4 @@
-"""The faults: how each is brought about, and what ends it."""
+"""The fault cases: how each fault is injected and how it ends."""
 
 from __future__ import annotations
 
@@ -24,24 +24,24 @@
 class Case:
     """One fault.
 
-    :param strike: brings it about.
-    :param heal: ends it; without one it lasts, or is over by itself.
-    :param hold_s: from the strike to the heal, seconds.
-    :param relays: what has to stand behind relays, ``table`` or ``entries``.
-    :param drain_s: how long to wait for tasks after the load, seconds.
+    :param inject: causes the fault.
+    :param recover: ends the fault; None if it lasts or ends by itself.
+    :param duration_s: from injection to recovery, seconds.
+    :param relays: what is reached through relays, ``table`` or ``entries``.
+    :param drain_s: how long to wait for tasks after the load ends, seconds.
     """
 
     name: str
-    strike: Step
-    heal: Step | None = None
-    hold_s: float = 10.0
-    quick_hold_s: float = 3.0
+    inject: Step
+    recover: Step | None = None
+    duration_s: float = 10.0
+    quick_duration_s: float = 3.0
     relays: str = ""
     drain_s: float = 30.0
 
-    def get_hold(self, quick: bool) -> float:
-        """Return the time between strike and heal, seconds."""
-        return self.quick_hold_s if quick else self.hold_s
+    def get_duration(self, quick: bool) -> float:
+        """Return the time between injection and recovery, seconds."""
+        return self.quick_duration_s if quick else self.duration_s
 
 
 def kill(*names: str) -> Step:
@@ -60,12 +60,12 @@
 
 
 def thaw(name: str) -> Step:
-    """Return a step that lets a frozen process go on."""
+    """Return a step that resumes a frozen process."""
     return lambda deployment: deployment.cluster[name].thaw()
 
 
 def set_faults(name: str, **switches: object) -> Step:
-    """Return a step that sets switches of a stand-in."""
+    """Return a step that sets fault switches of a stand-in for the platform."""
 
     def step(deployment: Deployment) -> None:
         deployment.cluster.faults(deployment.cluster[name], **switches)
@@ -74,14 +74,14 @@
 
 
 def lose_answers_singly(deployment: Deployment) -> None:
-    """Let the table lose the answer of one commit, again and again."""
+    """Make the table lose the answer of one commit, repeatedly."""
     for _ in range(LOST_ANSWERS):
         deployment.cluster.faults(deployment.cluster["table"], lose_answers=1)
         time.sleep(LOSS_PERIOD_S)
 
 
 def silence_links(deployment: Deployment) -> None:
-    """Let the links that are open lose all bytes; new ones work."""
+    """Make the open links drop all bytes; new links work."""
     for name in ENTRIES:
         deployment.cluster.set_relay(
             deployment.relays[name], "silent", existing_only=True
@@ -89,7 +89,7 @@
 
 
 def set_table_relay(mode: str) -> Step:
-    """Return a step that sets the relay between one entry and the table."""
+    """Return a step that sets the mode of the relay between an entry and the table."""
 
     def step(deployment: Deployment) -> None:
         deployment.cluster.set_relay(deployment.relays[f"table-{ENTRY}"], mode)
@@ -98,7 +98,7 @@
 
 
 def roll_everything(deployment: Deployment) -> None:
-    """Stop and start each entry, agent and runner, one after the other."""
+    """Restart each entry, agent and runner, one after the other."""
     for name in ENTRIES:
         stop(deployment, name)
         deployment.start_entry(name)
@@ -114,7 +114,7 @@
 
 
 def stop(deployment: Deployment, name: str) -> None:
-    """Ask a process to stop, and wait until it has."""
+    """Terminate a process and wait until it has exited with status 0."""
     process = deployment.cluster[name]
     process.terminate()
     status = process.wait_end(EXIT_LIMIT_S)
--- a/bench/fault_deployment.py
+++ b/bench/fault_deployment.py
@@ -1,4 +1,4 @@
-"""The deployment that faults are tried on: two entries, three workers, stand-ins."""
+"""The deployment under test: two entries, three workers, and platform stand-ins."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 WORK_S = 0.01
 QUICK_TASK_LEASE_S = 2.0
 PARTITIONS = BatchSettings().partitions  # both entries own some
-COUNTER = re.compile(r"^([^.]+)\.(.+):(-?\d+)\|c$")
-DATAGRAM = 65_536
+COUNTER_LINE = re.compile(r"^([^.]+)\.(.+):(-?\d+)\|c$")
+MAX_DATAGRAM_BYTES = 65_536
 POLL_S = 0.2
 
 
 class StatsdSink:
-    """Adds up the counters that entries and agents send; they outlive a kill."""
+    """Sums the counters that entries and agents send; they survive a killed process."""
 
     def __init__(self) -> None:
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -46,11 +46,11 @@
 
     @property
     def address(self) -> str:
-        """Return where to send to."""
+        """Return the address of the sink."""
         return f"127.0.0.1:{self._socket.getsockname()[1]}"
 
     def counts(self) -> Counter[str]:
-        """Return the counters of all processes together, by name."""
+        """Return the counters summed over all processes, by name."""
         return Counter(self._counts)
 
     def close(self) -> None:
@@ -62,21 +62,21 @@
     def _run(self) -> None:
         while not self._stop.is_set():
             try:
-                data = self._socket.recv(DATAGRAM)
+                data = self._socket.recv(MAX_DATAGRAM_BYTES)
             except TimeoutError:
                 continue
             for line in data.decode().splitlines():
-                if found := COUNTER.match(line):
+                if found := COUNTER_LINE.match(line):
                     self._counts[found[2]] += int(found[3])
 
 
 @dataclass(frozen=True, slots=True)
 class Timings:
-    """Which times the deployment runs with.
+    """Time settings of the deployment.
 
-    :param quick: short ones, as in tests, in place of the product's defaults.
-    :param silent_s: in place of ``link.silent_s``; pings are four times as frequent.
-    :param task_lease_s: in place of the profile's default.
+    :param quick: use the short times of the tests instead of the product's defaults.
+    :param silent_s: overrides ``link.silent_s``; pings are four times as frequent.
+    :param task_lease_s: overrides the profile's default.
     """
 
     quick: bool = False
@@ -86,7 +86,7 @@
 
 @dataclass
 class Deployment:
-    """Processes by name, and how they are started again."""
+    """The processes of the deployment and how to restart them."""
 
     cluster: Cluster
     sink: StatsdSink
@@ -95,13 +95,13 @@
 
     @property
     def addresses(self) -> list[str]:
-        """Return the entries' addresses for callers."""
+        """Return the HTTP addresses of the entries."""
         return [get_address(self.cluster[name], "http") for name in ENTRIES]
 
     def start(self, relays: str) -> None:
-        """Start everything and wait until callers are served.
+        """Start all processes and wait until callers are served.
 
-        :param relays: ``table`` or ``entries``: what relays stand in front of.
+        :param relays: what is reached through relays, ``table`` or ``entries``.
         """
         self.cluster.start_table()
         self.cluster.start_objects()
@@ -117,26 +117,26 @@
         self._wait_partitions()
 
     def start_entry(self, name: str) -> None:
-        """Start an entry, or start it again."""
+        """Start or restart an entry."""
         overrides = self._entry_overrides(name)
         table = self.relays.get(f"table-{name}")
         self.cluster.start_entry(name, table, **overrides)
 
     def start_agent(self, worker: str) -> None:
-        """Start a worker's agent, or start it again."""
+        """Start or restart a worker's agent."""
         entries = [self.relays.get(name, self.cluster[name]) for name in ENTRIES]
         runtime = self.cluster[f"worker-{worker}"]
         overrides = self._agent_overrides(worker)
         self.cluster.start_agent(worker, runtime, entries, **overrides)
 
     def start_runner(self, worker: str) -> None:
-        """Start a worker's runner, or start it again."""
+        """Start or restart a worker's runner."""
         agent = self.cluster[f"agent-{worker}"]
         name = f"{SERVICE}-{worker}"
         self.cluster.start_runner(SERVICE, agent, name, slots=SLOTS, work_s=WORK_S)
 
     def wait_served(self) -> None:
-        """Wait until each entry sees all workers, each with its runner."""
+        """Wait until each entry lists all workers with their runners."""
         for name in ENTRIES:
             wait_until(partial(self._sees_all, name), f"{name} sees all workers")
 
@@ -151,7 +151,7 @@
         return list(reply.document()["histograms"])
 
     def read_table(self) -> dict[str, int]:
-        """Return how many commits, reads and scans the table has carried out."""
+        """Return the number of commits, reads and scans that the table has executed."""
         record = self.cluster.record(self.cluster["table"])
         return {name: record[name] for name in ("commits", "reads", "scans")}
 
@@ -160,19 +160,22 @@
         return sum(bool(agent["services"]) for agent in agents) >= len(WORKERS)
 
     def _wait_partitions(self) -> None:
-        """Wait until the entries have shared the partitions, so that the calm is one.
+        """Wait until each partition is at its preferred owner.
 
-        The entry that starts first takes them all, and hands over later.
+        The entry that starts first owns all partitions at first and hands some over
+        later; a handover would disturb the baseline measurement.
         """
 
-        def look() -> bool:
+        def is_distributed() -> bool:
             owned = {name: self._list_owned(name) for name in ENTRIES}
             return all(
                 str(partition) in owned[choose_winner(partition, ENTRIES)]
                 for partition in range(PARTITIONS)
             )
 
-        wait_until(look, "each partition is owned by its rightful entry", 60.0)
+        wait_until(
+            is_distributed, "each partition is owned by its preferred entry", 60.0
+        )
 
     def _list_owned(self, name: str) -> set[str]:
         return set(self.read_status(name)["batch"]["partitions"])
@@ -195,8 +198,8 @@
             )
             self.relays[f"table-{name}"] = relay
         if relays == "entries":
-            # The relay's address is what the entry tells its peers, so the
-            # entry's own port has to be known first.
+            # The entry advertises the relay's address to its peers, so the
+            # relay has to start first, which needs the entry's port.
             entry = self.cluster.start_entry(name, **self._entry_overrides(name))
             relay = self.cluster.start_relay(
                 entry, "internal", name=f"relay-entry-{name}"
@@ -205,34 +208,34 @@
             entry.kill()
 
     def _entry_overrides(self, name: str) -> dict[str, Any]:
-        overrides: dict[str, Any] = {"statsd": self._statsd(name)}
+        overrides: dict[str, Any] = {"statsd": self._build_statsd(name)}
         if name in self.relays:
             overrides["internal"] = {"advertise": get_address(self.relays[name])}
         if self.timings.quick:
             overrides["batch"] = {"partitions": PARTITIONS}
         else:
             overrides |= build_entry_defaults()
-        return overrides | self._link()
+        return overrides | self._build_link()
 
     def _agent_overrides(self, worker: str) -> dict[str, Any]:
-        overrides: dict[str, Any] = {"statsd": self._statsd(f"agent-{worker}")}
+        overrides: dict[str, Any] = {"statsd": self._build_statsd(f"agent-{worker}")}
         if not self.timings.quick:
             overrides |= build_agent_defaults()
-        return overrides | self._link()
+        return overrides | self._build_link()
 
-    def _link(self) -> dict[str, Any]:
+    def _build_link(self) -> dict[str, Any]:
         silent_s = self.timings.silent_s
         if silent_s is None:
             return {}
         link = LinkSettings(ping_s=silent_s / 4, silent_s=silent_s)
         return {"link": link.model_dump()}
 
-    def _statsd(self, node: str) -> dict[str, str]:
+    def _build_statsd(self, node: str) -> dict[str, str]:
         return {"address": self.sink.address, "prefix": node}
 
 
 def build_entry_defaults() -> dict[str, Any]:
-    """Return the product's own times of an entry, in place of the harness's."""
+    """Return an entry's default times, which replace the harness's short ones."""
     fields = EntrySettings.model_fields
     return {
         "store": {"timeout_s": StoreSettings.model_fields["timeout_s"].default},
@@ -244,7 +247,7 @@
 
 
 def build_agent_defaults() -> dict[str, Any]:
-    """Return the product's own times of an agent, in place of the harness's."""
+    """Return an agent's default times, which replace the harness's short ones."""
     fields = AgentSettings.model_fields
     names = ("timeout_s", "poll_s", "usage_s")
     runtime = {name: RuntimeSettings.model_fields[name].default for name in names}
--- a/bench/fault_load.py
+++ b/bench/fault_load.py
@@ -1,4 +1,4 @@
-"""Callers at a steady rate, with a balancer in front, and a note of each request."""
+"""Callers that send requests at a steady rate through a load balancer."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sent:
-    """One request and what its caller was told.
+class SentRequest:
+    """One request and the outcome that its caller received.
 
     :param outcome: ``answered``, ``not_run``, ``ran``, ``unknown`` or ``broken``
         (the connection ended, or gave no answer in time).
@@ -39,12 +39,16 @@
 
     @property
     def failed(self) -> bool:
-        """Tell whether the caller got no answer of a runner."""
+        """Return whether the caller got no answer from a runner."""
         return self.outcome != ANSWERED
 
 
 class Balancer:
-    """Knows which entries answer: out after two checks in a row, in after one."""
+    """Health-checks the entries.
+
+    An entry is removed after two failed checks in a row, and used again after one
+    that succeeds.
+    """
 
     def __init__(self, addresses: list[str]) -> None:
         self._addresses = addresses
@@ -57,18 +61,18 @@
         for thread in self._threads:
             thread.start()
 
-    def is_in(self, address: str) -> bool:
-        """Tell whether requests may go to an entry."""
+    def is_healthy(self, address: str) -> bool:
+        """Return whether requests may go to an entry."""
         return self._failed[address] < CHECKS_FAILED
 
     def choose(self, turn: int) -> str:
-        """Return the entry for this turn, any when none is in."""
-        usable = [one for one in self._addresses if self.is_in(one)]
+        """Return the entry for this turn; of all entries if none is healthy."""
+        usable = [address for address in self._addresses if self.is_healthy(address)]
         usable = usable or self._addresses
         return usable[turn % len(usable)]
 
     def stop(self) -> None:
-        """End the checks."""
+        """Stop the health checks."""
         self._stop.set()
         for thread in self._threads:
             thread.join()
@@ -83,7 +87,7 @@
     def _check(self, address: str) -> bool:
         connection = http.client.HTTPConnection(address, timeout=CHECK_TIMEOUT_S)
         try:
-            connection.request("GET", "/-/status")  # 401 is an answer
+            connection.request("GET", "/-/status")  # 401 counts as healthy
             connection.getresponse().read()
         except (OSError, http.client.HTTPException):
             return False
@@ -93,30 +97,33 @@
 
 
 @dataclass
-class Tally:
-    """The requests of a load, in the order of their ends."""
+class RequestLog:
+    """The requests of a load in the order in which they ended.
+
+    :ivar skipped: sending times that callers missed.
+    """
 
-    sent: list[Sent] = field(default_factory=list)
+    sent: list[SentRequest] = field(default_factory=list)
     skipped: int = 0
 
 
 class Caller:
-    """Sends requests of all kinds at random on a kept-alive connection."""
+    """Sends requests of randomly chosen kinds on a keep-alive connection."""
 
     def __init__(
-        self, number: int, service: str, balancer: Balancer, tally: Tally
+        self, number: int, service: str, balancer: Balancer, request_log: RequestLog
     ) -> None:
         self._number = number
         self._service = service
         self._balancer = balancer
-        self._tally = tally
+        self._request_log = request_log
         self._turn = number
         self._random = random.Random(number)
         self._address = ""
         self._connection: http.client.HTTPConnection | None = None
 
     def run(self, stop: threading.Event) -> None:
-        """Send at the rate until stopped; a slot that was missed is skipped."""
+        """Send at the fixed rate until stopped; missed sending times are skipped."""
         period = 1.0 / RATE_PER_CALLER
         due = time.monotonic() + period * self._number / CALLERS
         count = 0
@@ -125,9 +132,9 @@
             count += 1
             due += period
             late = int(max(0.0, time.monotonic() - due) / period)
-            self._tally.skipped += late
+            self._request_log.skipped += late
             due += late * period
-        self._drop()
+        self._disconnect()
 
     def _send(self, count: int) -> None:
         kind = self._random.choice(KINDS)
@@ -139,10 +146,12 @@
         try:
             outcome, code = self._exchange(kind.partition("+")[0], headers)
         except (OSError, http.client.HTTPException) as error:
-            self._drop()
+            self._disconnect()
             outcome, code = BROKEN, type(error).__name__
         now = time.monotonic()
-        self._tally.sent.append(Sent(case, kind, sent_at, now, outcome, code))
+        self._request_log.sent.append(
+            SentRequest(case, kind, sent_at, now, outcome, code)
+        )
 
     def _exchange(self, method: str, headers: dict[str, str]) -> tuple[str, str]:
         connection = self._connect()
@@ -152,17 +161,17 @@
         response = connection.getresponse()
         content = response.read()
         if response.getheader("connection") == "close":
-            self._drop()
+            self._disconnect()
         if response.getheader("content-type") != "application/problem+json":
             return ANSWERED, ""
         problem = json.loads(content)
         return str(problem["outcome"]), str(problem["code"])
 
     def _connect(self) -> http.client.HTTPConnection:
-        """Return the open connection, or one to the entry that the balancer names."""
+        """Return the open connection, or one to the entry that the balancer chooses."""
         if self._connection is not None and self._is_usable():
             return self._connection
-        self._drop()
+        self._disconnect()
         until = time.monotonic() + TIMEOUT_S
         while True:
             self._turn += 1
@@ -179,35 +188,35 @@
             return connection
 
     def _is_usable(self) -> bool:
-        """Tell whether the entry is in and has not closed the connection."""
+        """Return whether the entry is healthy and has not closed the connection."""
         assert self._connection is not None
-        if not self._balancer.is_in(self._address):
+        if not self._balancer.is_healthy(self._address):
             return False
         readable, _, _ = select.select([self._connection.sock], [], [], 0)
         return not readable
 
-    def _drop(self) -> None:
+    def _disconnect(self) -> None:
         if self._connection is not None:
             self._connection.close()
         self._connection = None
 
 
 class Load:
-    """All callers at once, until stopped."""
+    """Runs all callers at once until stopped."""
 
     def __init__(self, balancer: Balancer, service: str) -> None:
-        self.tally = Tally()
+        self.request_log = RequestLog()
         self._stop = threading.Event()
         self._threads = []
         for number in range(CALLERS):
-            caller = Caller(number, service, balancer, self.tally)
+            caller = Caller(number, service, balancer, self.request_log)
             run = threading.Thread(target=caller.run, args=(self._stop,), daemon=True)
             self._threads.append(run)
             run.start()
 
-    def stop(self) -> Tally:
-        """End the load after the requests in flight; return its tally."""
+    def stop(self) -> RequestLog:
+        """End the load after the requests in flight; return its requests."""
         self._stop.set()
         for thread in self._threads:
             thread.join(3 * TIMEOUT_S)
-        return self.tally
+        return self.request_log
--- a/bench/fault_tasks.py
+++ b/bench/fault_tasks.py
@@ -1,4 +1,4 @@
-"""A trickle of batch tasks, and what became of them by the workers' records."""
+"""Submits batch tasks at a low rate and evaluates them by the workers' records."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 TIMEOUT_S = 5.0
 ADMIT_S = 60.0
 RETRY_S = 0.5
-LOOK_S = 0.2
+POLL_S = 0.2
 
 
 @dataclass
 class Task:
-    """One task, from its first submission."""
+    """One task and the state of its submission."""
 
     key: str
     submitted_at: float
@@ -34,8 +34,8 @@
     state: str = ""
 
 
-class Trickle:
-    """Submits a task each period, again with the same key until it is admitted."""
+class TaskFeeder:
+    """Submits one task per period, retrying with the same key until it is admitted."""
 
     def __init__(self, balancer: Balancer, addresses: list[str]) -> None:
         self.tasks: list[Task] = []
@@ -43,23 +43,23 @@
         self._addresses = addresses
         self._stop = threading.Event()
         self._threads: list[threading.Thread] = []
-        self._feeder = threading.Thread(target=self._feed, daemon=True)
-        self._feeder.start()
+        self._feed_thread = threading.Thread(target=self._feed, daemon=True)
+        self._feed_thread.start()
 
     def stop(self) -> None:
-        """Submit nothing new; wait until what was submitted is admitted."""
+        """Stop submitting; wait until the submitted tasks are admitted."""
         self._stop.set()
-        self._feeder.join()
+        self._feed_thread.join()
         for thread in self._threads:
             thread.join(ADMIT_S)
 
     def wait_ends(self, limit_s: float) -> None:
-        """Wait until every admitted task is in a final state, or the limit."""
+        """Wait until every admitted task is in a final state, or the time limit."""
         until = time.monotonic() + limit_s
         waiting = [task for task in self.tasks if task.task_id]
         while waiting and time.monotonic() < until:
-            waiting = [task for task in waiting if not self._look(task)]
-            time.sleep(LOOK_S)
+            waiting = [task for task in waiting if not self._is_final(task)]
+            time.sleep(POLL_S)
 
     def _feed(self) -> None:
         number = 0
@@ -90,7 +90,7 @@
             task.refusals[f"{problem['outcome']} {problem['code']}"] += 1
             time.sleep(float(reply.headers.get("retry-after", RETRY_S)))
 
-    def _look(self, task: Task) -> bool:
+    def _is_final(self, task: Task) -> bool:
         for address in self._addresses:
             try:
                 target = f"/tasks/{task.task_id}"
@@ -104,17 +104,17 @@
 
 
 def submit(address: str, key: str) -> Reply:
-    """Submit one task under a key."""
+    """Submit one task with an idempotency key."""
     document = documents.build_task({"run_s": RUN_S})
     return call_json(address, "POST", "/tasks", document, {"idempotency-key": key})
 
 
 def describe_tasks(
-    tasks: list[Task], events: list[dict[str, Any]], calm_at: float, fault_at: float
+    tasks: list[Task], events: list[dict[str, Any]], baseline_at: float, fault_at: float
 ) -> dict[str, Any]:
-    """Return the figures of the tasks; those of the warm-up count only as lost.
+    """Return the figures of the tasks; times leave out those of the warm-up.
 
-    :param events: the workers' records; one end for each run that ended.
+    :param events: the workers' records, with one ``end`` for each run that ended.
     """
     ends = [event for event in events if event["event"] == "end"]
     finished = [end for end in ends if end["ended"] == "finished"]
@@ -132,10 +132,12 @@
             if task.task_id in finished_at
         )
 
-    # A task that ran when the fault came does not belong to the calm.
-    known = [task for task in admitted if task.submitted_at >= calm_at]
-    calm = [task for task in known if finished_at.get(task.task_id, 1e99) < fault_at]
-    hit = [task for task in known if task not in calm]
+    # A task that was running when the fault began counts as affected.
+    known = [task for task in admitted if task.submitted_at >= baseline_at]
+    baseline = [
+        task for task in known if finished_at.get(task.task_id, 1e99) < fault_at
+    ]
+    affected = [task for task in known if task not in baseline]
     return {
         "submitted": len(tasks),
         "admitted": len(admitted),
@@ -146,15 +148,15 @@
         "runs": sum(event["event"] == "start" for event in events),
         "ends": dict(Counter(end["ended"] for end in ends)),
         "refusals": dict(refusals),
-        "calm_s": summarise(measure(calm)),
-        "hit_s": summarise(measure(hit)),
+        "calm_s": summarise(measure(baseline)),
+        "hit_s": summarise(measure(affected)),
     }
 
 
 def count_overlaps(events: list[dict[str, Any]]) -> int:
-    """Return how many tasks ran in two places at once.
+    """Return how many tasks had two runs at the same time.
 
-    A run without a recorded end was on a worker that was killed, which ended it.
+    A run without a recorded end was on a worker that was killed; the kill ended it.
     """
     runs: dict[str, dict[int, dict[str, Any]]] = {}
     for event in events:
@@ -171,7 +173,7 @@
 
 
 def summarise(values: list[float]) -> dict[str, float | int]:
-    """Return number, median and largest of sorted values."""
+    """Return count, median and maximum of sorted values."""
     if not values:
         return {"n": 0}
     middle = values[len(values) // 2]
--- a/bench/faults.py
+++ b/bench/faults.py
@@ -35,26 +35,27 @@
     print_table,
     shorten_log,
 )
-from bench.fault_tasks import PERIOD_S, RUN_S, Trickle, describe_tasks
+from bench.fault_tasks import PERIOD_S, RUN_S, TaskFeeder, describe_tasks
 from pistachiodeal.histograms import DIGITS, HIGHEST_US, LOWEST_US, PERCENTILES
 from tests.harness import Cluster, run_cluster
 
 ROOT = Path(__file__).parent.parent
 RESULTS = ROOT / "bench" / "results" / "faults.json"
 WARM_UP_S = 5.0
-CALM_S = 8.0
+BASELINE_S = 8.0
 AFTER_S = 12.0
-QUICK_CALM_S = 4.0
+QUICK_BASELINE_S = 4.0
 QUICK_AFTER_S = 6.0
 
 
 def run_case(case: Case, timings: Timings, logs: str) -> Figures:
-    """Try one fault on a deployment of its own."""
+    """Measure one fault on a deployment of its own."""
     with tempfile.TemporaryDirectory() as scratch:
         directory = Path(scratch)
         if logs:
             directory = Path(logs) / case.name.replace(" ", "-")
-            # Records are appended to: those of an earlier run would be counted.
+            # mkdir fails if the directory exists: records are appended to, so those
+            # of an earlier run would be counted too.
             directory.mkdir(parents=True)
         sink = StatsdSink()
         try:
@@ -67,48 +68,48 @@
 
 
 def measure(deployment: Deployment, case: Case) -> Figures:
-    """Load the deployment, bring the fault about and take the figures."""
+    """Put load on the deployment, inject the fault and return the figures."""
     quick = deployment.timings.quick
     balancer = Balancer(deployment.addresses)
     load = Load(balancer, SERVICE)
-    trickle = Trickle(balancer, deployment.addresses)
+    feeder = TaskFeeder(balancer, deployment.addresses)
     time.sleep(WARM_UP_S)
-    marks = [read_mark(deployment)]
-    time.sleep(QUICK_CALM_S if quick else CALM_S)
+    samples = [read_sample(deployment)]
+    time.sleep(QUICK_BASELINE_S if quick else BASELINE_S)
     logs_before = read_logs(deployment.cluster)
-    marks.append(read_mark(deployment))
+    samples.append(read_sample(deployment))
     counts_before = deployment.sink.counts()
     histogram_before = read_histogram(deployment)
     fault_at = time.monotonic()
-    case.strike(deployment)
-    time.sleep(max(0.0, fault_at + case.get_hold(quick) - time.monotonic()))
-    healed_at = time.monotonic()
-    if case.heal is not None:
-        case.heal(deployment)
-    marks.append(read_mark(deployment))
+    case.inject(deployment)
+    time.sleep(max(0.0, fault_at + case.get_duration(quick) - time.monotonic()))
+    recovered_at = time.monotonic()
+    if case.recover is not None:
+        case.recover(deployment)
+    samples.append(read_sample(deployment))
     time.sleep(QUICK_AFTER_S if quick else AFTER_S)
     end = time.monotonic()
-    tally = load.stop()
-    marks.append(read_mark(deployment))
+    request_log = load.stop()
+    samples.append(read_sample(deployment))
     counts = deployment.sink.counts() - counts_before
-    trickle.stop()
-    trickle.wait_ends(case.drain_s)
+    feeder.stop()
+    feeder.wait_ends(case.drain_s)
     balancer.stop()
-    sent = list(tally.sent)
+    sent = list(request_log.sent)
     executions = describe_executions(sent, read_starts(deployment.cluster), fault_at)
-    requests = describe_requests(sent, fault_at, healed_at, end)
+    requests = describe_requests(sent, fault_at, recovered_at, end)
     retries = counts["entry.retries"]
     return {
         "fault": case.name,
-        "held_s": round(healed_at - fault_at, 2),
+        "held_s": round(recovered_at - fault_at, 2),
         "requests": requests,
-        "skipped": tally.skipped,
+        "skipped": request_log.skipped,
         **executions,
         "retries": retries,
         "handed_over": round(1 + retries / max(1, requests["requests"]), 4),
-        "table": describe_table(marks, deployment.cluster.read_events("table")),
+        "table": describe_table(samples, deployment.cluster.read_events("table")),
         "tasks": describe_tasks(
-            trickle.tasks, read_runs(deployment.cluster), marks[0][0], fault_at
+            feeder.tasks, read_runs(deployment.cluster), samples[0][0], fault_at
         ),
         "histogram_us": {"calm": histogram_before, "end": read_histogram(deployment)},
         "counters": dict(sorted(counts.items())),
@@ -117,25 +118,25 @@
     }
 
 
-def read_mark(deployment: Deployment) -> tuple[float, dict[str, int]]:
-    """Return the time and the table's counts."""
+def read_sample(deployment: Deployment) -> tuple[float, dict[str, int]]:
+    """Return the current time and the table's counts."""
     counts = deployment.read_table()
     return time.monotonic(), counts
 
 
 def read_starts(cluster: Cluster) -> list[dict[str, Any]]:
-    """Return the executions that the runners began."""
+    """Return the executions that the runners started."""
     events = cluster.read_events(*(f"{SERVICE}-{worker}" for worker in WORKERS))
     return [event for event in events if event["event"] == "start"]
 
 
 def read_runs(cluster: Cluster) -> list[dict[str, Any]]:
-    """Return the workers' records of runs."""
+    """Return the records of runs that the workers wrote."""
     return cluster.read_events(*(f"worker-{worker}" for worker in WORKERS))
 
 
 def read_counts(deployment: Deployment) -> dict[str, dict[str, int]]:
-    """Return the counters that the entries' status shows, since their starts."""
+    """Return the counters in the entries' status, counted since each start."""
     return {
         name: deployment.read_status(name)["counts"]
         for name in ENTRIES
@@ -144,7 +145,7 @@
 
 
 def read_histogram(deployment: Deployment) -> dict[str, int]:
-    """Return what operators see of all callers, since the entries' starts."""
+    """Return latency percentiles of all callers from the entries' histograms."""
     whole = HdrHistogram(LOWEST_US, HIGHEST_US, DIGITS)
     for name in ENTRIES:
         if deployment.cluster[name].running:
@@ -156,13 +157,13 @@
 
 
 def read_logs(cluster: Cluster) -> dict[str, str]:
-    """Return what entries and agents have logged so far."""
+    """Return the log output of entries and agents so far."""
     names = [*ENTRIES, *(f"agent-{worker}" for worker in WORKERS)]
     return {name: cluster[name].errors for name in names}
 
 
 def read_new_logs(cluster: Cluster, before: dict[str, str]) -> dict[str, Any]:
-    """Return the lines since ``before`` of entries and of agents, shortened."""
+    """Return the log lines written after ``before``, shortened and counted."""
     new: dict[str, Counter[str]] = {"entry": Counter(), "agent": Counter()}
     for name, text in read_logs(cluster).items():
         program = "entry" if name in ENTRIES else "agent"
@@ -184,7 +185,7 @@
 
 
 def main() -> int:
-    """Try the faults; the exit status is 1 if one could not be tried."""
+    """Measure the faults; the exit status is 1 if one could not be measured."""
     arguments = parse_arguments()
     timings = Timings(arguments.quick, arguments.silent_s, arguments.task_lease_s)
     names = arguments.only or [case.name for case in CASES]
@@ -215,13 +216,13 @@
 
 
 def run_named(name: str, timings: Timings, logs: str) -> Figures:
-    """Try the fault of this name (in a process of the pool)."""
+    """Measure the fault of this name; runs in a process of the pool."""
     case = next(case for case in CASES if case.name == name)
     return run_case(case, timings, logs)
 
 
 def read_revision() -> str:
-    """Return the commit that is checked out, and whether the product differs."""
+    """Return the commit that is checked out, marked if the tree has changes."""
     command = ["git", "describe", "--always", "--abbrev=10", "--dirty"]
     return subprocess.run(
         command, capture_output=True, text=True, check=False, cwd=ROOT
@@ -229,7 +230,7 @@
 
 
 def describe_conditions(arguments: argparse.Namespace) -> Figures:
-    """Return what the figures depend on."""
+    """Return the conditions that the figures depend on."""
     return {
         "revision": read_revision(),
         "timings": "short" if arguments.quick else "default",
