--- a/bench/floor_programs.py
+++ b/bench/floor_programs.py
@@ -1,11 +1,11 @@
-"""The least that an entry and an agent must do for one request, as two programs.
-
-``entry PORT AGENT`` parses a caller's request by h11, sends one pycapnp message to
-the agent, awaits the answer and writes it by h11. ``agent RUNNER`` does the same
-towards a runner. No routing, no limits, no heartbeats, no errors: the floor
-against which the processor time of the real programs is set. The messages are
-written and read field by field, so that what the product's codec adds to pycapnp
-counts as the product's cost; only what a runner needs is carried.
+"""Minimal entry and agent: a lower bound for the CPU time of one request.
+
+``entry AGENT`` parses a caller's request with h11, sends one pycapnp message to the
+agent, awaits the answer and writes it with h11. ``agent RUNNER`` does the same towards
+a runner. There is no routing, no limits, no heartbeats and no error handling: this
+is the floor that the CPU time of the real programs is compared with. Messages
+are written and read field by field, so that what the product's codec adds to pycapnp
+counts as the product's cost; they carry only what a runner needs.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 
 
 def encode_request(number: int, head: h11.Request, body: bytes) -> bytes:
-    """Return a frame with what a runner needs of a caller's request."""
+    """Return a frame with the fields of a caller's request that a runner needs."""
     frame = SCHEMA.Frame.new_message()
     request = frame.init("request")
     request.requestId = number
@@ -64,7 +64,7 @@
 
 
 def write_headers(builder: Any, headers: list[tuple[bytes, bytes]]) -> None:
-    """Fill the list of headers."""
+    """Write the headers into a message under construction."""
     rows = builder.init("headers", len(headers))
     for row, (name, value) in zip(rows, headers, strict=True):
         row.name = name.decode()
@@ -72,7 +72,7 @@
 
 
 def read_headers(reader: Any, body: bytes) -> list[tuple[str, str]]:
-    """Return the headers of a message, with the length of its body if it has one."""
+    """Return a message's headers, with ``content-length`` if it has a body."""
     headers = [(header.name, header.value) for header in reader.headers]
     if body:
         headers.append(("content-length", str(len(body))))
@@ -80,7 +80,7 @@
 
 
 def add_length(data: bytes) -> bytes:
-    """Return a frame with its length before it."""
+    """Return a frame prefixed with its length."""
     return len(data).to_bytes(LENGTH_BYTES, "big") + data
 
 
@@ -94,7 +94,7 @@
 
 
 async def receive(sock: Socket) -> bytes:
-    """Return more bytes of a frame that has to come."""
+    """Return the next bytes of an expected frame; an ended connection is an error."""
     data = await sock.recv(READ_BYTES)
     if not data:
         raise EOFError
@@ -102,7 +102,7 @@
 
 
 async def read_http(sock: Socket, conn: h11.Connection) -> tuple[Any, bytes]:
-    """Return the head and the body of the next message."""
+    """Return the head and the body of the next HTTP message."""
     head: Any = None
     body = b""
     while True:
@@ -120,7 +120,7 @@
 
 
 def encode_http(conn: h11.Connection, head: Any, body: bytes) -> bytes:
-    """Return the bytes of a whole message."""
+    """Return the bytes of a complete HTTP message."""
     data = conn.send(head) or b""
     if body:
         data += conn.send(h11.Data(data=body)) or b""
@@ -129,14 +129,14 @@
 
 async def serve_entry(sock: Socket, agent: str) -> None:
     """Answer one caller's connection over one connection to the agent."""
-    onward = await connect(agent)
+    upstream = await connect(agent)
     conn = h11.Connection(h11.SERVER)
     number = 0
     while True:
         head, body = await read_http(sock, conn)
         number += 1
-        await onward.sendall(encode_request(number, head, body))
-        with SCHEMA.Frame.from_bytes(await read_frame(onward)) as frame:
+        await upstream.sendall(encode_request(number, head, body))
+        with SCHEMA.Frame.from_bytes(await read_frame(upstream)) as frame:
             answer = frame.response
             body = answer.body
             headers = read_headers(answer, body)
@@ -147,7 +147,7 @@
 
 async def serve_agent(sock: Socket, runner: str) -> None:
     """Answer one entry's connection over one connection to the runner."""
-    onward = await connect(runner)
+    upstream = await connect(runner)
     conn = h11.Connection(h11.CLIENT)
     while True:
         with SCHEMA.Frame.from_bytes(await read_frame(sock)) as frame:
@@ -158,8 +158,8 @@
             request = h11.Request(
                 method=message.method, target=message.target, headers=headers
             )
-        await onward.sendall(encode_http(conn, request, body))
-        head, body = await read_http(onward, conn)
+        await upstream.sendall(encode_http(conn, request, body))
+        head, body = await read_http(upstream, conn)
         conn.start_next_cycle()
         await sock.sendall(encode_response(number, head, body))
 
@@ -172,21 +172,21 @@
     return sock
 
 
-async def serve(role: str, onward: str) -> None:
-    """Accept connections for ever."""
+async def serve(role: str, upstream: str) -> None:
+    """Accept connections until the process ends."""
     handler = serve_entry if role == "entry" else serve_agent
     raw = bind_listener("127.0.0.1", 0)
     print(f"port {raw.getsockname()[1]}", flush=True)
     listener = Socket(raw)
     while True:
         sock, _ = await listener.accept()
-        await curio.spawn(run_quietly, handler, sock, onward, daemon=True)
+        await curio.spawn(run_connection, handler, sock, upstream, daemon=True)
 
 
-async def run_quietly(handler: Any, sock: Socket, onward: str) -> None:
+async def run_connection(handler: Any, sock: Socket, upstream: str) -> None:
     """Run one connection until its peer closes it."""
     try:
-        await handler(sock, onward)
+        await handler(sock, upstream)
     except (EOFError, OSError, h11.ProtocolError):
         await sock.close()
 
--- a/bench/request_cost.py
+++ b/bench/request_cost.py
@@ -1,8 +1,8 @@
 """Measures what one interactive request costs: ``python -m bench.request_cost``.
 
 Rounds of the floor (:mod:`bench.floor_programs`), of the real programs and of
-direct calls to the runner alternate, so that whatever else runs on the machine
-meets all three alike. The table goes to standard output, all figures to
+direct calls to the runner alternate, so that other load on the machine affects
+all three alike. The table goes to standard output, all figures to
 ``bench/results/request_cost.json``.
 """
 
@@ -47,14 +47,14 @@
 MICROSECONDS = 1e6
 IDLE_S = 10.0
 SETTLE_S = 3.0
-# The harness shortens the timings; idle figures are those of the defaults.
+# The harness shortens the times; idle figures are measured with the defaults.
 ENTRY_DEFAULTS = ("link", "batch", "profile_poll_s")
 AGENT_DEFAULTS = ("link", "report_s")
 
 
 @dataclass(slots=True)
-class Way:
-    """One way from callers to the runner, and what was measured on it."""
+class Route:
+    """One route from callers to the runner, with its measurements."""
 
     address: str
     processes: Mapping[str, Process]
@@ -64,7 +64,7 @@
     seconds: float = 0.0
 
     def measure(self, connections: int, body: bytes, count: int) -> None:
-        """Run one round."""
+        """Run one round: a warm-up, then ``count`` measured requests."""
         callers = Callers(self.address, connections, build_request(TARGET, body))
         try:
             callers.run(WARM_UP)
@@ -81,7 +81,7 @@
             callers.close()
 
     def clear(self) -> None:
-        """Forget what was measured."""
+        """Discard the measurements."""
         self.costs.clear()
         self.rounds.clear()
         self.latencies.clear()
@@ -89,7 +89,7 @@
 
 
 def read_defaults(model: Any, names: tuple[str, ...]) -> dict[str, Any]:
-    """Return the product's defaults of some settings."""
+    """Return the defaults of the named settings."""
     found = {name: model.model_fields[name].default for name in names}
     return {
         name: value.model_dump() if hasattr(value, "model_dump") else value
@@ -98,7 +98,7 @@
 
 
 def find_free_port() -> int:
-    """Return a port that is free now."""
+    """Return a port that is free at present."""
     with bind_listener("127.0.0.1", 0) as listener:
         return int(listener.getsockname()[1])
 
@@ -106,45 +106,45 @@
 def start_programs(cluster: Cluster, relayed: bool) -> dict[str, Process]:
     """Start the stand-ins, an entry, an agent and a runner.
 
-    :param relayed: put a relay, which counts bytes, into each connection.
+    :param relayed: put a relay that counts bytes into each connection.
     """
     relays: dict[str, Process] = {}
 
-    def reach(name: str, peer: Peer, label: str = "port") -> Peer:
+    def add_relay(name: str, peer: Peer, label: str = "port") -> Peer:
         if not relayed:
             return peer
         relays[name] = cluster.start_relay(peer, label, name=f"relay-{name}")
         return relays[name]
 
-    table = reach("entry_table", cluster.start_table())
+    table = add_relay("entry_table", cluster.start_table())
     objects = cluster.start_objects()
-    runtime = reach("agent_runtime", cluster.start_worker("w1"))
+    runtime = add_relay("agent_runtime", cluster.start_worker("w1"))
     settings = read_defaults(EntrySettings, ENTRY_DEFAULTS)
     if relayed:
-        # Agents follow the address that an entry tells them, so that has to be
-        # the relay's, which has to be there before the entry.
+        # Agents connect to the address that an entry advertises. It has to be the
+        # relay's, so the relay starts before the entry.
         port = find_free_port()
-        internal = reach("agent_entry", f"127.0.0.1:{port}")
+        internal = add_relay("agent_entry", f"127.0.0.1:{port}")
         settings["internal"] = {"port": port, "advertise": get_address(internal)}
     entry = cluster.start_entry(
-        "entry", table=table, objects=reach("entry_objects", objects), **settings
+        "entry", table=table, objects=add_relay("entry_objects", objects), **settings
     )
     agent = cluster.start_agent(
         "w1",
         worker=runtime,
         entries=[relays.get("agent_entry", entry)],
-        objects=reach("agent_objects", objects),
+        objects=add_relay("agent_objects", objects),
         **read_defaults(AgentSettings, AGENT_DEFAULTS),
     )
-    announce = reach("runner_agent", agent, "announce")
+    announce = add_relay("runner_agent", agent, "announce")
     runner = cluster.start_runner(SERVICE, announce, "runner", slots=SLOTS, work_s=0)
     cluster.wait_reply(entry, TARGET)
     return {"entry": entry, "agent": agent, "runner": runner, **relays}
 
 
 @contextmanager
-def open_ways(directory: Path) -> Iterator[dict[str, Way]]:
-    """Yield the floor's way, the real one and the direct one, to one runner."""
+def open_routes(directory: Path) -> Iterator[dict[str, Route]]:
+    """Yield the routes to one runner: floor, real programs and direct calls."""
     floor: list[Process] = []
     with run_cluster(directory) as cluster:
         programs = start_programs(cluster, relayed=False)
@@ -156,11 +156,13 @@
             arguments = ["entry", floor[0].address()]
             floor.append(Process("floor-entry", module, arguments, directory))
             yield {
-                "floor": Way(
+                "floor": Route(
                     floor[1].address(), {"entry": floor[1], "agent": floor[0]}
                 ),
-                "through": Way(entry.address("http"), {"entry": entry, "agent": agent}),
-                "direct": Way(runner.address(), {}),
+                "through": Route(
+                    entry.address("http"), {"entry": entry, "agent": agent}
+                ),
+                "direct": Route(runner.address(), {}),
             }
         finally:
             for process in floor:
@@ -168,16 +170,16 @@
 
 
 def measure_case(
-    ways: Mapping[str, Way], connections: int, body: bytes, options: Any
+    routes: Mapping[str, Route], connections: int, body: bytes, options: Any
 ) -> dict[str, Any]:
-    """Measure one kind of load on all ways in turn."""
-    for way in ways.values():
-        way.clear()
+    """Measure one kind of load on all routes in turn."""
+    for route in routes.values():
+        route.clear()
     for _ in range(options.rounds):
-        for way in ways.values():
-            way.measure(connections, body, options.requests)
-    asked = options.rounds * options.requests
-    roles = {role: summarise_role(ways, role, asked) for role in ROLES}
+        for route in routes.values():
+            route.measure(connections, body, options.requests)
+    request_count = options.rounds * options.requests
+    roles = {role: summarise_role(routes, role, request_count) for role in ROLES}
     both = {
         name: sum(roles[role][f"{name}_us"] for role in ROLES)
         for name in ("floor", "through")
@@ -185,34 +187,38 @@
     return {
         "connections": connections,
         "body_bytes": len(body),
-        "requests": asked,
-        "through_seconds": ways["through"].seconds,
+        "requests": request_count,
+        "through_seconds": routes["through"].seconds,
         "roles": roles,
         "ratio_both": both["through"] / both["floor"],
-        "latency_us": summarise_latency(ways),
+        "latency_us": summarise_latency(routes),
     }
 
 
-def summarise_role(ways: Mapping[str, Way], role: str, asked: int) -> dict[str, float]:
-    """Return a role's processor time for a request, really and at the floor."""
-    floor, through = (ways[name].costs[role] for name in ("floor", "through"))
-    pairs = zip(ways["through"].rounds[role], ways["floor"].rounds[role], strict=True)
+def summarise_role(
+    routes: Mapping[str, Route], role: str, request_count: int
+) -> dict[str, float]:
+    """Return a role's CPU time per request, in the real program and the floor's."""
+    floor, through = (routes[name].costs[role] for name in ("floor", "through"))
+    pairs = zip(
+        routes["through"].rounds[role], routes["floor"].rounds[role], strict=True
+    )
     ratios = [real / least for real, least in pairs]
     return {
-        "floor_us": floor.total_s / asked * MICROSECONDS,
-        "through_us": through.total_s / asked * MICROSECONDS,
-        "through_system_us": through.system_s / asked * MICROSECONDS,
+        "floor_us": floor.total_s / request_count * MICROSECONDS,
+        "through_us": through.total_s / request_count * MICROSECONDS,
+        "through_system_us": through.system_s / request_count * MICROSECONDS,
         "ratio": through.total_s / floor.total_s,
         "ratio_least_round": min(ratios),
         "ratio_largest_round": max(ratios),
     }
 
 
-def summarise_latency(ways: Mapping[str, Way]) -> dict[str, float]:
-    """Return percentiles of direct calls and of those through, microseconds."""
+def summarise_latency(routes: Mapping[str, Route]) -> dict[str, float]:
+    """Return latency percentiles of each route, microseconds."""
     found: dict[str, float] = {}
     for name in ("direct", "floor", "through"):
-        cuts = statistics.quantiles(ways[name].latencies, n=100)
+        cuts = statistics.quantiles(routes[name].latencies, n=100)
         found[f"{name}_p50"] = cuts[49] * MICROSECONDS
         found[f"{name}_p99"] = cuts[98] * MICROSECONDS
     for share in ("p50", "p99"):
@@ -221,7 +227,7 @@
 
 
 def measure_idle(directory: Path, seconds: float) -> dict[str, Any]:
-    """Return what an entry and an agent use while no request comes."""
+    """Return the CPU, memory and traffic of an idle entry and agent."""
     with run_cluster(directory) as cluster:
         programs = start_programs(cluster, relayed=True)
         time.sleep(SETTLE_S)
@@ -245,11 +251,11 @@
         return result
 
 
-def note_background(result: dict[str, Any]) -> None:
-    """Add how much of the cost of a request is what a role uses while idle.
+def add_background(result: dict[str, Any]) -> None:
+    """Add the part of a request's cost that a role also uses while idle.
 
-    The floor has no reports, beats and polls. At a low rate they weigh on each
-    request, although no request causes them.
+    The floor has no reports, heartbeats and polls. At a low request rate they add
+    noticeably to the cost per request, although no request causes them.
     """
     for case in result["cases"].values():
         for role, row in case["roles"].items():
@@ -261,7 +267,7 @@
 
 
 def print_table(result: Mapping[str, Any]) -> None:
-    """Print the figures for people."""
+    """Print the figures as text."""
     print(f"load of the machine: {result['load_before']} to {result['load_after']}")
     for name, case in result["cases"].items():
         for role, row in case["roles"].items():
@@ -299,7 +305,7 @@
 
 
 def main() -> int:
-    """Measure, print and write."""
+    """Measure all cases; print the figures and write them as JSON."""
     options = parse_options()
     result: dict[str, Any] = {
         "rounds": options.rounds,
@@ -309,14 +315,14 @@
     }
     with tempfile.TemporaryDirectory() as name:
         directory = Path(name)
-        with open_ways(directory) as ways:
+        with open_routes(directory) as routes:
             for case in options.case or CASES:
                 connections, body = CASES[case]
-                result["cases"][case] = measure_case(ways, connections, body, options)
+                result["cases"][case] = measure_case(routes, connections, body, options)
     if options.idle_s > 0:
         with tempfile.TemporaryDirectory() as name:
             result["idle"] = measure_idle(Path(name), options.idle_s)
-        note_background(result)
+        add_background(result)
     result["load_after"] = os.getloadavg()
     print_table(result)
     options.out.parent.mkdir(exist_ok=True)
--- a/bench/request_load.py
+++ b/bench/request_load.py
@@ -1,4 +1,4 @@
-"""Callers on raw kept-alive sockets, and what processes cost meanwhile."""
+"""Callers on raw keep-alive sockets, and the CPU time and memory of processes."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cost:
-    """What a process has used since its start, seconds."""
+    """CPU time of a process since its start, seconds."""
 
     user_s: float
     system_s: float
@@ -36,14 +36,14 @@
 
 
 def read_cost(pid: int) -> Cost:
-    """Return the processor time that a process has used (utime and stime)."""
+    """Return the CPU time that a process has used (utime and stime)."""
     text = Path(f"/proc/{pid}/stat").read_text()
     values = text.rpartition(")")[2].split()
     return Cost(int(values[11]) / TICKS_PER_S, int(values[12]) / TICKS_PER_S)
 
 
 def read_memory_kib(pid: int) -> int:
-    """Return the resident memory of a process."""
+    """Return the resident memory of a process, KiB."""
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmRSS:"):
             return int(line.split()[1])
@@ -75,7 +75,7 @@
         while len(latencies) < count:
             ready = self._selector.select(TIMEOUT_S)
             if not ready:
-                raise TimeoutError("no answer")
+                raise TimeoutError("no connection got an answer in time")
             for key, _ in ready:
                 read_answer(key.data)
                 latencies.append(time.perf_counter() - sent_at[key.data])
@@ -97,13 +97,13 @@
 
 
 def read_answer(sock: socket.socket) -> bytes:
-    """Return the body of the next answer, which has to be a 200."""
+    """Return the body of the next answer; a status other than 200 is an error."""
     data = sock.recv(READ_BYTES)
     while HEAD_END not in data:
         data += receive_more(sock)
     head, _, body = data.partition(HEAD_END)
     if not head.startswith(b"HTTP/1.1 200"):
-        raise RuntimeError(f"not a 200: {data[:300]!r}")
+        raise RuntimeError(f"answer without status 200: {data[:300]!r}")
     lower = head.lower()
     start = lower.index(LENGTH) + len(LENGTH)
     length = int(lower[start:].split(b"\r\n", 1)[0])
@@ -113,15 +113,15 @@
 
 
 def receive_more(sock: socket.socket) -> bytes:
-    """Return more bytes of an answer that is not whole."""
+    """Return the next bytes of an incomplete answer."""
     data = sock.recv(READ_BYTES)
     if not data:
-        raise EOFError("the answer was cut")
+        raise EOFError("connection closed within an answer")
     return data
 
 
 def build_request(target: str, body: bytes) -> bytes:
-    """Return a caller's request as bytes: GET, or POST when there is a body."""
+    """Return the bytes of a caller's request: POST if it has a body, else GET."""
     lines = [
         f"{'POST' if body else 'GET'} {target} HTTP/1.1",
         "host: 127.0.0.1",
