--- a/bench/slopes/__init__.py
+++ b/bench/slopes/__init__.py
@@ -1,1 +1,4 @@
-"""Slopes of processor time, memory, messages and rows, for docs/CAPACITY.md."""
+"""Measures how CPU time, memory, messages and rows grow with the size of a system.
+
+The slopes are the input of docs/CAPACITY.md.
+"""
--- a/bench/slopes/__main__.py
+++ b/bench/slopes/__main__.py
@@ -1,4 +1,4 @@
-"""Run measurements, and keep their slopes in ``bench/results/slopes.json``."""
+"""Run measurements and store their slopes in ``bench/results/slopes.json``."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
 from bench.slopes.probes import read_load
 
 RESULTS = Path(__file__).parents[1] / "results" / "slopes.json"
-CODE = Path(__file__).parents[2] / "pistachiodeal"
+SOURCES = Path(__file__).parents[2] / "pistachiodeal"
 
 RUNS: dict[str, Callable[[], list[Slope]]] = {
     "entry-links": entry_links.measure_links,
     "entry-connections": entry_links.measure_connections,
     "entry-partitions": entry_links.measure_partitions,
-    "force": entry_links.measure_force,
+    "force": entry_links.measure_propagation,
     "entry-waiting": entry_tasks.measure_waiting,
     "entry-running": entry_tasks.measure_running,
     "entry-starts": entry_tasks.measure_starts,
@@ -59,14 +59,14 @@
 
 
 def run(name: str) -> dict[str, Any]:
-    """Run one measurement; return its part of the results."""
-    load, code, started = read_load(), hash_code(), time.monotonic()
+    """Run one measurement; return its results and the conditions of the run."""
+    load, code, started = read_load(), hash_sources(), time.monotonic()
     slopes = RUNS[name]()
     return {
         "command": f"python -m bench.slopes {name}",
         "at": datetime.now(UTC).isoformat(timespec="seconds"),
         "code": code,
-        "code_changed_meanwhile": code != hash_code(),
+        "code_changed_meanwhile": code != hash_sources(),
         "load_before": load,
         "load_after": read_load(),
         "processors": os.cpu_count(),
@@ -75,16 +75,16 @@
     }
 
 
-def hash_code() -> str:
-    """Return a digest of the programs' sources, which others may be changing."""
+def hash_sources() -> str:
+    """Return a digest of the product's sources, to detect changes during a run."""
     digest = xxhash.xxh64()
-    for path in sorted(CODE.rglob("*.py")):
+    for path in sorted(SOURCES.rglob("*.py")):
         digest.update(path.read_bytes())
     return digest.hexdigest()
 
 
 def main() -> None:
-    """Run the measurements that are named, or all."""
+    """Run the named measurements, or all."""
     parser = argparse.ArgumentParser(prog="python -m bench.slopes")
     parser.add_argument("names", nargs="*", help=f"of {', '.join(RUNS)}")
     names = parser.parse_args().names or list(RUNS)
@@ -92,19 +92,19 @@
     if unknown:
         parser.error(f"no measurement {', '.join(sorted(unknown))}")
     for name in names:
-        found = run(name)
-        # Read anew each time: another run may have added its part meanwhile.
-        kept = json.loads(RESULTS.read_text()) if RESULTS.exists() else {}
-        kept[name] = found
+        result = run(name)
+        # Read the file again: a concurrent run may have added its results.
+        results = json.loads(RESULTS.read_text()) if RESULTS.exists() else {}
+        results[name] = result
         RESULTS.parent.mkdir(exist_ok=True)
-        RESULTS.write_text(json.dumps(kept, indent=1, sort_keys=True) + "\n")
-        _print(name, found)
+        RESULTS.write_text(json.dumps(results, indent=1, sort_keys=True) + "\n")
+        _print(name, result)
 
 
-def _print(name: str, found: dict[str, Any]) -> None:
-    load = f"{found['load_before'][0]}..{found['load_after'][0]}"
-    print(f"{name}: {found['took_s']} s, load {load}", flush=True)
-    for slope in found["slopes"]:
+def _print(name: str, result: dict[str, Any]) -> None:
+    load = f"{result['load_before'][0]}..{result['load_after'][0]}"
+    print(f"{name}: {result['took_s']} s, load {load}", flush=True)
+    for slope in result["slopes"]:
         print(
             f"  {slope['name']}: {slope['slope']:.5g} {slope['unit']}/{slope['x']}"
             f" + {slope['intercept']:.5g}, r2 {slope['r2']}",
--- a/bench/slopes/agent.py
+++ b/bench/slopes/agent.py
@@ -1,4 +1,4 @@
-"""A real agent by entries' links, running tasks and runners."""
+"""Cost of a real agent by its links to entries, running tasks and runners."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 from bench.slopes.cluster import LINK
 from bench.slopes.fitting import Slope, fit_line
-from bench.slopes.probes import Window, read_cpu_s, read_memory_kib
+from bench.slopes.probes import ProcessUsage, read_cpu_s, read_memory_kib
 from pistachiodeal.entry.pushing import DIRECTORY_S
 from pistachiodeal.model.resources import Resources
 from pistachiodeal.wire.identity import Identity
@@ -40,7 +40,7 @@
 SETTLE_S = 4.0
 WINDOW_S = 10.0
 ANNOUNCE_S = 1.0
-JOIN_S = 30.0
+JOIN_TIMEOUT_S = 30.0
 SIZE = Resources(100, 100, 0)
 TIMINGS = {
     "report_s": 0.5,
@@ -53,9 +53,9 @@
 
 
 class FakeEntries:
-    """Entries on loopback; the first owns a partition and starts tasks on it.
+    """Fake entries on loopback; the first owns a partition and starts its tasks.
 
-    :param directory_s: how often each repeats the directory, as entries do.
+    :param directory_s: seconds between two sends of the directory on each link.
     """
 
     def __init__(
@@ -65,11 +65,11 @@
         self._tasks = tasks
         self._directory_s = directory_s
         self.links: list[Link] = []
-        self.named = 0
+        self.reported_tasks = 0
 
     @property
     def addresses(self) -> list[str]:
-        """Return the address of each."""
+        """Return the addresses of the entries."""
         return [f"127.0.0.1:{sock.getsockname()[1]}" for sock in self._socks]
 
     async def run(self) -> None:
@@ -89,11 +89,11 @@
         async with accept_link(sock, identity, documents.SECRET, timings) as link:
             self.links.append(link)
             await curio.spawn(self._repeat_directory, link, daemon=True)
-            left = self._tasks if number == 0 else 0
+            unstarted = self._tasks if number == 0 else 0
             while True:
                 message = await link.receive()
                 if isinstance(message, Report):
-                    left = await self._answer(link, message, left)
+                    unstarted = await self._answer(link, message, unstarted)
 
     async def _repeat_directory(self, link: Link) -> None:
         entries = tuple(
@@ -105,14 +105,14 @@
             await link.send(Directory(entries, (owner,)))
             await curio.sleep(self._directory_s)
 
-    async def _answer(self, link: Link, report: Report, left: int) -> int:
+    async def _answer(self, link: Link, report: Report, unstarted: int) -> int:
         if report.tasks:
-            self.named = len(report.tasks)
+            self.reported_tasks = len(report.tasks)
             grant = LeaseGrant(PARTITION, EPOCH, LEASE_MS)
             await link.send(Renew(report.beat, (grant,)))
         if report.free.cpu_milli < SIZE.cpu_milli:
-            return left
-        for number in range(left):
+            return unstarted
+        for number in range(unstarted):
             await link.send(_build_start(f"0000-{number:032x}", report.beat))
         return 0
 
@@ -124,17 +124,17 @@
 
 
 def measure_links(sizes: Sequence[int] = LINKS) -> list[Slope]:
-    """Measure what a link to an entry costs an agent."""
+    """Measure the cost of a link to an entry for an agent."""
     return _measure("link", [(n, _run(n, 0, 0)) for n in sizes])
 
 
 def measure_tasks(sizes: Sequence[int] = TASKS) -> list[Slope]:
-    """Measure what a running task costs an agent that has three links."""
+    """Measure the cost of a running task for an agent with three links."""
     return _measure("task", [(n, _run(3, n, 0)) for n in sizes])
 
 
 def measure_runners(sizes: Sequence[int] = RUNNERS) -> list[Slope]:
-    """Measure what a runner of its own service costs an agent with three links."""
+    """Measure the cost of a runner, each of another service, with three links."""
     return _measure("runner", [(n, _run(3, 0, n)) for n in sizes])
 
 
@@ -154,7 +154,7 @@
         announcer = threading.Thread(target=_announce, args=(agent, runners, stop))
         announcer.start()
         try:
-            return curio.run(_watch, agent, entries, links, tasks)
+            return curio.run(_measure_agent, agent, entries, links, tasks)
         finally:
             stop.set()
             announcer.join()
@@ -167,26 +167,28 @@
     return cluster.start_agent("w1", worker, address, **TIMINGS)
 
 
-async def _watch(
+async def _measure_agent(
     agent: Process, entries: FakeEntries, links: int, tasks: int
 ) -> Figures:
     serving = await curio.spawn(entries.run, daemon=True)
-    async with curio.timeout_after(JOIN_S):
-        while len(entries.links) < links or entries.named < tasks:
+    async with curio.timeout_after(JOIN_TIMEOUT_S):
+        while len(entries.links) < links or entries.reported_tasks < tasks:
             await curio.sleep(0.05)
     await curio.sleep(SETTLE_S)
     received, sent = _count_bytes(entries)
     started, before = time.monotonic(), read_cpu_s(agent.pid)
     await curio.sleep(WINDOW_S)
     wall = time.monotonic() - started
-    window = Window(wall, read_cpu_s(agent.pid) - before, read_memory_kib(agent.pid))
-    received_then, sent_then = _count_bytes(entries)
+    usage = ProcessUsage(
+        wall, read_cpu_s(agent.pid) - before, read_memory_kib(agent.pid)
+    )
+    received_end, sent_end = _count_bytes(entries)
     await serving.cancel()
     return {
-        "cpu": window.cpu_ms_per_s,
-        "memory": window.memory_kib,
-        "bytes out": (received_then - received) / wall,
-        "bytes in": (sent_then - sent) / wall,
+        "cpu": usage.cpu_ms_per_s,
+        "memory": usage.memory_kib,
+        "bytes out": (received_end - received) / wall,
+        "bytes in": (sent_end - sent) / wall,
     }
 
 
@@ -194,13 +196,13 @@
     received = sent = 0
     for link in entries.links:
         info = link._sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 136)
-        acked, came = struct.unpack_from("QQ", info, 120)
-        received, sent = received + came, sent + acked
+        acked, new_received = struct.unpack_from("QQ", info, 120)
+        received, sent = received + new_received, sent + acked
     return received, sent
 
 
 def _announce(agent: Process, count: int, stop: threading.Event) -> None:
-    """Announce runners as they do it themselves, each second."""
+    """Announce runners every second, as the runners themselves do."""
     connection = http.client.HTTPConnection(agent.address("announce"), timeout=5)
     while not stop.wait(ANNOUNCE_S):
         for number in range(count):
--- a/bench/slopes/agents_driver.py
+++ b/bench/slopes/agents_driver.py
@@ -1,4 +1,4 @@
-"""Many agents' links to one entry, held by one process that sends real reports."""
+"""Holds many agents' links to one entry in one process, and sends real reports."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 CAPACITY = Resources(16_000_000, 60_000_000, 0)
 RACKS = 20
 STATS_S = 0.25
-DIALS_AT_ONCE = 64
+MAX_CONCURRENT_DIALS = 64
 
 
 class FakeAgent:
-    """One link; starts are held as running, or ended at once."""
+    """One agent link; started tasks are held as running or ended at once."""
 
     def __init__(self, number: int, options: argparse.Namespace) -> None:
         self._options = options
@@ -40,7 +40,7 @@
         self.counts: Counter[str] = Counter()
 
     async def run(self, linked: curio.Event, dials: curio.Semaphore) -> None:
-        """Hold the link."""
+        """Open the link and serve it until cancelled."""
         identity = Identity(
             "agent", f"agent-{self._name}", 1, "dc1", self._name, self._rack
         )
@@ -86,16 +86,16 @@
 
 
 def count_bytes(link: Link) -> tuple[int, int]:
-    """Return the bytes of a connection that were sent and received."""
+    """Return the bytes that a connection has sent and received."""
     info = link._sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 136)
     acked, received = struct.unpack_from("QQ", info, 120)
     return acked, received
 
 
 async def run_driver(options: argparse.Namespace) -> None:
-    """Hold the links until killed, and print counts."""
+    """Hold the links until the process is killed; print counts periodically."""
     agents = [FakeAgent(n, options) for n in range(options.links)]
-    dials = curio.Semaphore(DIALS_AT_ONCE)
+    dials = curio.Semaphore(MAX_CONCURRENT_DIALS)
     for agent in agents:
         await curio.spawn(agent.run, curio.Event(), dials, daemon=True)
     while any(agent.link is None for agent in agents):
--- a/bench/slopes/cluster.py
+++ b/bench/slopes/cluster.py
@@ -1,4 +1,4 @@
-"""Real programs with the default timings, and the drivers beside them."""
+"""Starts real programs with the default times, and load drivers beside them."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from tests.harness.cluster import Cluster, run_cluster
 from tests.harness.processes import Process
 
-# The defaults of the settings, in place of the short timings that tests use.
+# The defaults of the settings; they replace the short times of the harness.
 LINK = {"ping_s": 0.5, "silent_s": 2.0, "handshake_s": 30.0}
 BATCH = {
     "partitions": 8,
@@ -30,7 +30,7 @@
 
 
 class Bench:
-    """A cluster, and the drivers that were started beside it."""
+    """A cluster and the load drivers that were started beside it."""
 
     def __init__(self, cluster: Cluster, directory: Path) -> None:
         self.cluster = cluster
@@ -38,7 +38,7 @@
         self._drivers: list[Process] = []
 
     def start_entry(self, name: str = "e1", **overrides: Any) -> Process:
-        """Start a table and objects where there are none, and an entry."""
+        """Start an entry, and the table and object store if they do not run yet."""
         names = {process.name for process in self.cluster.processes}
         if "table" not in names:
             self.cluster.start_table()
@@ -49,7 +49,7 @@
         return entry
 
     def start_agents(self, entry: Process, links: int, *options: str) -> Process:
-        """Start a driver; return once all its links are open."""
+        """Start a driver process; return once all its links are open."""
         number = len(self._drivers) + 1
         address = entry.address("internal")
         arguments = ["--address", address, "--links", str(links), *options]
@@ -67,14 +67,14 @@
         return json.loads(found[-1][6:]) if found else {"at": 0.0}
 
     def clean_up(self) -> None:
-        """End the drivers."""
+        """Stop the drivers."""
         for driver in self._drivers:
             driver.clean_up()
 
 
 @contextmanager
 def run_bench() -> Iterator[Bench]:
-    """Yield an empty bench; end its processes at the end."""
+    """Yield a bench without processes; stop all its processes on exit."""
     with tempfile.TemporaryDirectory() as name:
         directory = Path(name)
         with run_cluster(directory) as cluster:
@@ -86,7 +86,7 @@
 
 
 def submit_tasks(entry: Process, count: int, first: int = 0) -> None:
-    """Submit small tasks over kept connections."""
+    """Submit small tasks over keep-alive connections."""
     address = entry.address("http")
 
     def submit_part(part: int) -> None:
--- a/bench/slopes/entry_links.py
+++ b/bench/slopes/entry_links.py
@@ -1,4 +1,4 @@
-"""An entry by agents' links, callers' connections and partitions; real programs."""
+"""Cost of a real entry by agents' links, callers' connections and partitions."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 from bench.slopes.cluster import Bench, run_bench
 from bench.slopes.fitting import Slope, fit_line
-from bench.slopes.probes import read_cpu_s, watch_process
+from bench.slopes.probes import measure_process, read_cpu_s
 from tests.harness.processes import Process
 
 LINKS = (50, 100, 200, 400, 800)
 CONNECTIONS = (0, 200, 400, 800, 1600)
 PARTITIONS = (8, 64, 128, 256, 512)
-FORCE_LINKS = (50, 100, 200, 400)
+PROPAGATION_LINKS = (50, 100, 200, 400)
 CHANGES = 8
 SERVICES = 4
 SETTLE_S = 4.0
@@ -22,7 +22,7 @@
 
 
 def measure_links(sizes: Sequence[int] = LINKS) -> list[Slope]:
-    """Measure what an agent's link costs an entry."""
+    """Measure the cost of an agent's link for an entry."""
     points: dict[str, list[tuple[float, float]]] = {}
     for size in sizes:
         with run_bench() as bench:
@@ -46,12 +46,12 @@
     joining = read_cpu_s(entry.pid) - before
     time.sleep(SETTLE_S)
     first = bench.read_stats(driver)
-    window = watch_process(entry.pid, WINDOW_S)
+    usage = measure_process(entry.pid, WINDOW_S)
     last = bench.read_stats(driver)
     took = last["at"] - first["at"]
     return {
-        "entry cpu by links": window.cpu_ms_per_s,
-        "entry memory by links": window.memory_kib,
+        "entry cpu by links": usage.cpu_ms_per_s,
+        "entry memory by links": usage.memory_kib,
         "entry cpu of joining": 1000 * joining,
         "bytes from agents": (last["sent"] - first["sent"]) / took,
         "bytes to agents": (last["received"] - first["received"]) / took,
@@ -59,28 +59,28 @@
 
 
 def measure_connections(sizes: Sequence[int] = CONNECTIONS) -> list[Slope]:
-    """Measure what a caller's open connection costs an entry."""
+    """Measure the cost of a caller's idle connection for an entry."""
     cpu, memory = [], []
     for size in sizes:
         with run_bench() as bench:
             entry = bench.start_entry()
             opened = _open_connections(entry, size)
             time.sleep(SETTLE_S)
-            window = watch_process(entry.pid, WINDOW_S)
+            usage = measure_process(entry.pid, WINDOW_S)
             for connection in opened:
                 connection.close()
-            cpu.append((size, window.cpu_ms_per_s))
-            memory.append((size, window.memory_kib))
+            cpu.append((size, usage.cpu_ms_per_s))
+            memory.append((size, usage.memory_kib))
     return [
         fit_line("entry cpu by idle connections", "connection", "ms/s", cpu),
         fit_line("entry memory by idle connections", "connection", "KiB", memory),
     ]
 
 
-def measure_force(sizes: Sequence[int] = FORCE_LINKS) -> list[Slope]:
-    """Measure a profile's change until the last link has been told of it.
+def measure_propagation(sizes: Sequence[int] = PROPAGATION_LINKS) -> list[Slope]:
+    """Measure the time until a profile change has been sent on every link.
 
-    The change goes to one entry, the links are another's, which polls the table.
+    One entry stores the change; another, which polls the table, holds the links.
     """
     longest, mean = [], []
     for size in sizes:
@@ -94,7 +94,10 @@
             options = ("--services", str(SERVICES), "--shared")
             driver = bench.start_agents(entry, size, *options)
             time.sleep(SETTLE_S)
-            took = [_change(bench, other, driver, size, n) for n in range(CHANGES)]
+            took = [
+                _measure_propagation(bench, other, driver, size, n)
+                for n in range(CHANGES)
+            ]
             longest.append((size, max(took)))
             mean.append((size, sum(took) / len(took)))
     return [
@@ -103,7 +106,7 @@
     ]
 
 
-def _change(
+def _measure_propagation(
     bench: Bench, entry: Process, driver: Process, links: int, number: int
 ) -> float:
     known = bench.read_stats(driver).get("Policies", 0)
@@ -129,16 +132,16 @@
 
 
 def measure_partitions(sizes: Sequence[int] = PARTITIONS) -> list[Slope]:
-    """Measure what an owned, idle partition costs an entry."""
+    """Measure the cost of an idle partition for the entry that owns it."""
     cpu, memory = [], []
     for size in sizes:
         with run_bench() as bench:
             entry = bench.start_entry(batch={"partitions": size})
             wait_for_partitions(bench, entry, size)
             time.sleep(SETTLE_S)
-            window = watch_process(entry.pid, WINDOW_S)
-            cpu.append((size, window.cpu_ms_per_s))
-            memory.append((size, window.memory_kib))
+            usage = measure_process(entry.pid, WINDOW_S)
+            cpu.append((size, usage.cpu_ms_per_s))
+            memory.append((size, usage.memory_kib))
     return [
         fit_line("entry cpu by partitions", "partition", "ms/s", cpu),
         fit_line("entry memory by partitions", "partition", "KiB", memory),
@@ -146,7 +149,7 @@
 
 
 def wait_for_partitions(bench: Bench, entry: Process, count: int) -> float:
-    """Wait until an entry serves so many partitions; return the seconds it took."""
+    """Wait until an entry serves ``count`` partitions; return the seconds it took."""
     started = time.monotonic()
     while True:
         status = bench.cluster.operate(entry, "GET", "/-/status").document()
--- a/bench/slopes/entry_tasks.py
+++ b/bench/slopes/entry_tasks.py
@@ -1,4 +1,4 @@
-"""An entry by waiting tasks, running tasks and task starts; real programs."""
+"""Cost of a real entry by waiting tasks, running tasks and task starts."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from bench.slopes.cluster import Bench, run_bench, submit_tasks
 from bench.slopes.fitting import Slope, fit_line
-from bench.slopes.probes import read_cpu_s, read_memory_kib, watch_process
+from bench.slopes.probes import measure_process, read_cpu_s, read_memory_kib
 from tests.harness.processes import Process
 
 WAITING = (1_000, 2_000, 4_000, 8_000)
@@ -17,37 +17,37 @@
 IDLE_S = 5.0
 SETTLE_S = 3.0
 WINDOW_S = 8.0
-LIMIT_S = 120.0
+WAIT_TIMEOUT_S = 120.0
 
 Points = dict[str, list[tuple[float, float]]]
 
 
 def measure_waiting(sizes: Sequence[int] = WAITING) -> list[Slope]:
-    """Measure admission by HTTP, and what a waiting task costs an entry."""
+    """Measure the cost of admission by HTTP and of a waiting task for an entry."""
     points: Points = {}
     for size in sizes:
         with run_bench() as bench:
-            entry = _start(bench)
-            # Full workers: every round of placement looks at the queue in vain.
+            entry = _start_entry(bench)
+            # All workers are full, so each placement round scans the queue in vain.
             bench.start_agents(entry, AGENTS, "--full")
             time.sleep(SETTLE_S)
             before = read_cpu_s(entry.pid)
             submit_tasks(entry, size)
             admission = read_cpu_s(entry.pid) - before
             time.sleep(SETTLE_S)
-            window = watch_process(entry.pid, WINDOW_S)
+            usage = measure_process(entry.pid, WINDOW_S)
             _add(points, size, "entry cpu of admissions (ms)", 1000 * admission)
-            _add(points, size, "entry cpu by waiting tasks (ms/s)", window.cpu_ms_per_s)
-            _add(points, size, "entry memory by waiting tasks (KiB)", window.memory_kib)
+            _add(points, size, "entry cpu by waiting tasks (ms/s)", usage.cpu_ms_per_s)
+            _add(points, size, "entry memory by waiting tasks (KiB)", usage.memory_kib)
     return _fit(points, "task")
 
 
 def measure_running(sizes: Sequence[int] = RUNNING) -> list[Slope]:
-    """Measure what a running task costs an entry: reports name it, leases renew."""
+    """Measure the cost of a running task for an entry: reports and lease renewals."""
     points: Points = {}
     for size in sizes:
         with run_bench() as bench:
-            entry = _start(bench)
+            entry = _start_entry(bench)
             driver = bench.start_agents(entry, AGENTS, "--hold")
             submit_tasks(entry, size)
             _wait(
@@ -55,14 +55,14 @@
             )
             time.sleep(SETTLE_S)
             first = bench.read_stats(driver)
-            window = watch_process(entry.pid, WINDOW_S)
+            usage = measure_process(entry.pid, WINDOW_S)
             last = bench.read_stats(driver)
             took = last["at"] - first["at"]
             renews = (last["Renew"] - first["Renew"]) / took
             sent = (last["sent"] - first["sent"]) / took
             received = (last["received"] - first["received"]) / took
-            _add(points, size, "entry cpu by running tasks (ms/s)", window.cpu_ms_per_s)
-            _add(points, size, "entry memory by running tasks (KiB)", window.memory_kib)
+            _add(points, size, "entry cpu by running tasks (ms/s)", usage.cpu_ms_per_s)
+            _add(points, size, "entry memory by running tasks (KiB)", usage.memory_kib)
             _add(points, size, "renewals by running tasks (messages/s)", renews)
             _add(points, size, "bytes from agents by running tasks (B/s)", sent)
             _add(points, size, "bytes to agents by running tasks (B/s)", received)
@@ -70,14 +70,14 @@
 
 
 def measure_starts(sizes: Sequence[int] = STARTS) -> list[Slope]:
-    """Measure a start from HTTP admission to its acknowledged end, no run time."""
+    """Measure a task from HTTP admission to its acknowledged end; it ends at once."""
     points: Points = {}
     for size in sizes:
         with run_bench() as bench:
-            entry = _start(bench)
+            entry = _start_entry(bench)
             driver = bench.start_agents(entry, AGENTS)
             time.sleep(SETTLE_S)
-            idle = watch_process(entry.pid, IDLE_S)
+            idle = measure_process(entry.pid, IDLE_S)
             table = bench.cluster["table"]
             commits = bench.cluster.record(table)["commits"]
             before, table_before = read_cpu_s(entry.pid), read_cpu_s(table.pid)
@@ -99,18 +99,18 @@
     return _fit(points, "start")
 
 
-def _start(bench: Bench) -> Process:
+def _start_entry(bench: Bench) -> Process:
     entry = bench.start_entry()
     bench.cluster.define_profile(entry, "batch", latency_critical=False)
     time.sleep(SETTLE_S)
     return entry
 
 
-def _wait(look: Callable[[], bool]) -> None:
-    limit = time.monotonic() + LIMIT_S
-    while not look():
+def _wait(is_done: Callable[[], bool]) -> None:
+    limit = time.monotonic() + WAIT_TIMEOUT_S
+    while not is_done():
         if time.monotonic() > limit:
-            raise AssertionError("tasks did not get there in time")
+            raise AssertionError("tasks did not reach the expected state in time")
         time.sleep(0.05)
 
 
--- a/bench/slopes/fitting.py
+++ b/bench/slopes/fitting.py
@@ -1,4 +1,4 @@
-"""Lines through measured points."""
+"""Fits straight lines to measured points."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Slope:
-    """A line through points.
+    """A fitted line.
 
-    :param x: what is counted along the x axis.
-    :param unit: of ``y``; the slope is in this unit for one ``x``.
+    :param x: what the x axis counts.
+    :param unit: unit of ``y``; the slope is in this unit per ``x``.
     """
 
     name: str
--- a/bench/slopes/inner.py
+++ b/bench/slopes/inner.py
@@ -1,4 +1,7 @@
-"""Parts of an entry in this process: rounds, documents, claims, messages."""
+"""Cost of parts of an entry, run in this process.
+
+Covers placement rounds, membership, documents, claims and messages.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,7 @@
 
 from bench.slopes.fitting import Slope, fit_line
 from bench.slopes.memory import MemoryObjects, MemoryTable
-from bench.slopes.probes import watch_cpu
+from bench.slopes.probes import measure_cpu
 from bench.slopes.service import Agents, Session, build_service, submit_all
 from pistachiodeal.batch.keys import ENTRY_PREFIX, partition_key
 from pistachiodeal.batch.membership import Membership
@@ -60,8 +63,8 @@
 SERVICES = (250, 500, 1_000, 2_000, 4_000)
 CLAIMS = (500, 1_000, 2_000, 4_000)
 MESSAGES = (500, 1_000, 2_000, 4_000)
-NAMED = (0, 8, 16, 32, 64)
-PLANS = ((8, 32), (25, 64), (50, 64), (100, 64), (100, 128))
+REPORT_SIZES = (0, 8, 16, 32, 64)
+ASSIGNMENT_SIZES = ((8, 32), (25, 64), (50, 64), (100, 64), (100, 128))
 ROUNDS = 20
 SIZE = Resources(1_000, 1_000, 0)
 
@@ -69,19 +72,26 @@
 
 
 def measure_placement() -> list[Slope]:
-    """Measure a round of placement by linked workers, with and without room."""
+    """Measure a placement round by linked workers and waiting tasks.
+
+    Workers have either no free resources or too little for a task.
+    """
     full, little = Resources(), Resources(1_000, 500, 0)
-    by_worker = [(n, curio.run(_run_rounds, n, 79, full)) for n in WORKERS]
-    room = [(n, curio.run(_run_rounds, n, 79, little)) for n in WORKERS]
-    by_task = [(n, curio.run(_run_rounds, 50, n, full)) for n in WAITING]
+    by_worker = [
+        (n, curio.run(_measure_placement_rounds, n, 79, full)) for n in WORKERS
+    ]
+    by_partly_full = [
+        (n, curio.run(_measure_placement_rounds, n, 79, little)) for n in WORKERS
+    ]
+    by_task = [(n, curio.run(_measure_placement_rounds, 50, n, full)) for n in WAITING]
     return [
         fit_line("cpu of a round, no room", "worker", "ms", by_worker),
-        fit_line("cpu of a round, too little room", "worker", "ms", room),
+        fit_line("cpu of a round, too little room", "worker", "ms", by_partly_full),
         fit_line("cpu of a round, no room", "waiting task", "ms", by_task),
     ]
 
 
-async def _run_rounds(workers: int, tasks: int, free: Resources) -> float:
+async def _measure_placement_rounds(workers: int, tasks: int, free: Resources) -> float:
     service = build_service(MemoryTable(), MemoryObjects())
     await service._keeper.run_round()
     agents = Agents(service)
@@ -90,7 +100,7 @@
         service.session_opened(session)
         await session.report_once(free)
     await submit_all(service, tasks)
-    with watch_cpu() as spent:
+    with measure_cpu() as spent:
         for _ in range(ROUNDS):
             await service._placer.run_round()
     for task in service._keeper._tasks.values():
@@ -99,10 +109,10 @@
 
 
 def measure_membership() -> list[Slope]:
-    """Measure a look at the rows of entries and partitions, and the plan."""
-    by_entry = [(n, curio.run(_look, n, 0)) for n in ENTRIES]
-    by_partition = [(n, curio.run(_look, 0, n)) for n in PARTITIONS]
-    products = [(n * p, _choose(n, p)) for n, p in PLANS]
+    """Measure a read of the rows of entries and partitions, and owner selection."""
+    by_entry = [(n, curio.run(_measure_membership_round, n, 0)) for n in ENTRIES]
+    by_partition = [(n, curio.run(_measure_membership_round, 0, n)) for n in PARTITIONS]
+    products = [(n * p, _measure_owner_choice(n, p)) for n, p in ASSIGNMENT_SIZES]
     return [
         fit_line("cpu of a look", "entry", "ms", [(n, f[0]) for n, f in by_entry]),
         fit_line("bytes of a look", "entry", "B", [(n, f[1]) for n, f in by_entry]),
@@ -116,7 +126,9 @@
     ]
 
 
-async def _look(entries: int, partitions: int) -> tuple[float, float]:
+async def _measure_membership_round(
+    entries: int, partitions: int
+) -> tuple[float, float]:
     table = MemoryTable()
     teams = {f"team-{n}": 1_000 * n for n in range(79)}
     for number in range(entries):
@@ -137,7 +149,7 @@
         table, _build_entry_row(999), owner_lease_s=10, margin_s=1, clock=lambda: 0.0
     )
     await membership.look()
-    with watch_cpu() as spent:
+    with measure_cpu() as spent:
         for _ in range(ROUNDS):
             await membership.look()
     return 1000 * spent.cpu_s / ROUNDS, table.bytes
@@ -150,9 +162,9 @@
     )
 
 
-def _choose(entries: int, partitions: int) -> float:
+def _measure_owner_choice(entries: int, partitions: int) -> float:
     nodes = [f"entry-{number:03d}" for number in range(entries)]
-    with watch_cpu() as spent:
+    with measure_cpu() as spent:
         for _ in range(ROUNDS):
             for partition in range(partitions):
                 choose_winner(partition, nodes)
@@ -160,7 +172,7 @@
 
 
 def measure_directory() -> list[Slope]:
-    """Measure the directory, which every agent gets from every linked entry."""
+    """Measure the directory, which each linked entry sends to every agent."""
     slopes = []
     for x, sizes in (("entry", ENTRIES), ("partition", PARTITIONS)):
         size, cpu = [], []
@@ -185,8 +197,8 @@
 
 
 def measure_profiles() -> list[Slope]:
-    """Measure one change of a document of n services, ten to a profile."""
-    found = [(n, curio.run(_change, n)) for n in SERVICES]
+    """Measure one change of a document of n services, ten per profile."""
+    found = [(n, curio.run(_measure_profile_change, n)) for n in SERVICES]
     return [
         fit_line(name, "service", unit, [(n, f[i]) for n, f in found])
         for i, (name, unit) in enumerate(
@@ -199,26 +211,26 @@
     ]
 
 
-async def _change(services: int) -> tuple[float, float, float]:
+async def _measure_profile_change(services: int) -> tuple[float, float, float]:
     table = MemoryTable()
     document = _build_document(services)
     table.put(DOCUMENT_KEY, encode_document(document))
     table.put(VERSION_KEY, b"1")
-    keeper = create_profile_keeper(table, 1.0)
-    await keeper.refresh()
-    storing = taking = 0.0
+    profile_reader = create_profile_keeper(table, 1.0)
+    await profile_reader.refresh()
+    store_s = refresh_s = 0.0
     for _ in range(ROUNDS):
-        with watch_cpu() as spent:
+        with measure_cpu() as spent:
             document = document.put_service("service-0", "profile-1").sign("0" * 16)
             value = encode_document(document)
-        storing += spent.cpu_s
+        store_s += spent.cpu_s
         table.put(DOCUMENT_KEY, value)
         table.put(VERSION_KEY, str(document.version).encode())
-        with watch_cpu() as spent:
-            await keeper.refresh()
-        taking += spent.cpu_s
+        with measure_cpu() as spent:
+            await profile_reader.refresh()
+        refresh_s += spent.cpu_s
     size = float(len(table.rows[DOCUMENT_KEY].value))
-    return 1000 * storing / ROUNDS, 1000 * taking / ROUNDS, size
+    return 1000 * store_s / ROUNDS, 1000 * refresh_s / ROUNDS, size
 
 
 def _build_document(services: int) -> ProfileDocument:
@@ -227,14 +239,14 @@
         name: ProfileItem(1, Profile(name=name).model_dump(mode="json"))
         for name in names
     }
-    held = {
+    assignments = {
         f"service-{n}": ServiceItem(1, names[n % len(names)]) for n in range(services)
     }
-    return ProfileDocument(1, profiles, held)
+    return ProfileDocument(1, profiles, assignments)
 
 
 def measure_claims() -> list[Slope]:
-    """Measure claims and the record of their answers, 200 callers at once."""
+    """Measure claims and the recording of their answers, with 200 callers at once."""
     found = [(n, curio.run(_run_claims, n)) for n in CLAIMS]
     return [
         fit_line(name, "claim", unit, [(n, f[i]) for n, f in found])
@@ -250,39 +262,39 @@
 
 async def _run_claims(count: int) -> tuple[float, float, float]:
     table = MemoryTable(0.005)
-    keeper = create_claim_keeper(table, node="e1", group_s=0.005, group_rows=100)
-    running = await curio.spawn(keeper.run, daemon=True)
+    claims = create_claim_keeper(table, node="e1", group_s=0.005, group_rows=100)
+    running = await curio.spawn(claims.run, daemon=True)
     numbers = iter(range(count))
-    with watch_cpu() as spent:
+    with measure_cpu() as spent:
         async with curio.TaskGroup() as group:
             for _ in range(200):
-                await group.spawn(_claim_next, keeper, numbers)
-        await keeper.flush(30.0)
+                await group.spawn(_claim_next, claims, numbers)
+        await claims.flush(30.0)
     await running.cancel()
     return 1000 * spent.cpu_s, table.commits, table.bytes
 
 
-async def _claim_next(keeper: ClaimKeeper, numbers: Iterator[int]) -> None:
+async def _claim_next(claims: ClaimKeeper, numbers: Iterator[int]) -> None:
     for number in numbers:
-        claim = await keeper.claim("orders", f"caller/{number}", "f" * 32, 5.0)
+        claim = await claims.claim("orders", f"caller/{number}", "f" * 32, 5.0)
         assert isinstance(claim, Claimed)
-        await keeper.record(claim, WebResponse(200, (), b"x" * 100))
+        await claims.record(claim, WebResponse(200, (), b"x" * 100))
 
 
 def measure_messages() -> list[Slope]:
-    """Measure messages: bytes of reports, processor time to encode and decode."""
+    """Measure the size of reports, and the CPU time to encode and decode messages."""
     slopes = [
         fit_line(
             f"bytes of a report by {x}s",
             x,
             "B",
-            [(n, float(len(encode_message(build(n))))) for n in NAMED],
+            [(n, float(len(encode_message(build(n))))) for n in REPORT_SIZES],
         )
         for x, build in (("service", _build_loads), ("run", _build_refs))
     ]
     name = "0001-" + "a" * 32
     start = Start(name, 1, 1, 1, 1, 60_000, "press", "batch", SIZE, "x" * 100, "", 0, 0)
-    known: dict[str, Message] = {
+    messages_by_title: dict[str, Message] = {
         "Report of 5 services and 9 runs": Report(
             2**40, False, SIZE, SIZE, _build_loads(5).services, _build_refs(9).tasks
         ),
@@ -295,7 +307,7 @@
             (PolicyPart("service-1", 5, Profile(name="batch").model_dump_json()),)
         ),
     }
-    for title, message in known.items():
+    for title, message in messages_by_title.items():
         points: Points = [(n, _time_message(message, n)) for n in MESSAGES]
         size = len(encode_message(message))
         slopes.append(
@@ -317,7 +329,7 @@
 
 
 def _time_message(message: Message, count: int) -> float:
-    with watch_cpu() as spent:
+    with measure_cpu() as spent:
         for _ in range(count):
             frame = encode_message(message)
             decode_message(frame[LENGTH_BYTES:], parse_length(frame[:LENGTH_BYTES])[1])
--- a/bench/slopes/journal.py
+++ b/bench/slopes/journal.py
@@ -1,4 +1,4 @@
-"""The batch path in this process: starts, journal rows, replay and snapshots."""
+"""Cost of the batch path in this process: starts, journal, replay, snapshots."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from bench.slopes.fitting import Slope, fit_line
 from bench.slopes.memory import MemoryObjects, MemoryTable
-from bench.slopes.probes import watch_cpu
+from bench.slopes.probes import measure_cpu
 from bench.slopes.service import (
     Agents,
     build_service,
@@ -34,10 +34,10 @@
 from pistachiodeal.model.resources import Resources
 
 STARTS = (1_000, 2_000, 4_000, 8_000)
-GROUPS_MS = (5, 20, 40, 80, 160)
+GROUP_DELAYS_MS = (5, 20, 40, 80, 160)
 ROWS = (100, 200, 400, 800)
 TASKS = (1_000, 2_000, 4_000, 8_000, 16_000)
-STARTS_OF_A_ROW = 10
+STARTS_PER_ROW = 10
 COMMIT_S = 0.005
 PARTITIONS = 4
 RATES = (100, 200, 400, 800)
@@ -47,7 +47,7 @@
 
 
 def measure_starts() -> list[Slope]:
-    """Measure starts against a table in this process that answers in 5 ms."""
+    """Measure starts with an in-memory table whose commits take 5 ms."""
     found = [(n, curio.run(_run_starts, n, 0.005)) for n in STARTS]
     return [
         fit_line(f"{name} of starts", "start", unit, [(n, f[name]) for n, f in found])
@@ -63,9 +63,9 @@
 def measure_rows() -> list[Slope]:
     """Measure journal rows at a steady rate of starts, by ``group_s`` and rate.
 
-    Rows are per second and partition; a commit takes 5 ms.
+    Rows are counted per second and partition; a commit takes 5 ms.
     """
-    by_group = [(g, curio.run(_run_steady, 400, g / 1000)) for g in GROUPS_MS]
+    by_group = [(g, curio.run(_run_steady, 400, g / 1000)) for g in GROUP_DELAYS_MS]
     by_rate = [(r, curio.run(_run_steady, r, 0.005)) for r in RATES]
     pause = [(g, 1000 / f["rows"]) for g, f in by_group]
     return [
@@ -83,19 +83,19 @@
 
 
 async def _run_steady(rate: int, group_s: float) -> dict[str, float]:
-    """Submit at a rate, whatever the answers do."""
+    """Submit at a fixed rate, regardless of the answers."""
     table = MemoryTable(COMMIT_S)
     service = build_service(table, MemoryObjects(), group_s)
     async with run_service(service, workers=50) as agents:
         (rows, size), started = _count_journal(table), time.monotonic()
-        with watch_cpu() as spent:
+        with measure_cpu() as spent:
             await submit_steadily(service, rate, STEADY_S)
             wall = time.monotonic() - started
-        rows_then, size_then = _count_journal(table)
+        rows_end, size_end = _count_journal(table)
         assert agents.acknowledged > 0
     return {
-        "rows": (rows_then - rows) / wall / PARTITIONS,
-        "bytes": (size_then - size) / wall,
+        "rows": (rows_end - rows) / wall / PARTITIONS,
+        "bytes": (size_end - size) / wall,
         "cpu": 1000 * spent.cpu_s / wall,
     }
 
@@ -106,29 +106,31 @@
     async with run_service(service, workers=50) as agents:
         rows, written = _count_journal(table)
         started = time.monotonic()
-        with watch_cpu() as spent:
+        with measure_cpu() as spent:
             await submit_all(service, count)
             while agents.acknowledged < count:
                 await curio.sleep(0.005)
         wall = time.monotonic() - started
-        rows_then, written_then = _count_journal(table)
+        rows_end, written_end = _count_journal(table)
         return {
             "batch cpu": 1000 * spent.cpu_s,
-            "journal rows": rows_then - rows,
-            "journal bytes": written_then - written,
+            "journal rows": rows_end - rows,
+            "journal bytes": written_end - written,
             "snapshot bytes": objects.bytes,
             "time": wall,
         }
 
 
 def _count_journal(table: MemoryTable) -> tuple[int, int]:
-    return table.rows_of.get("journal", 0), table.bytes_of.get("journal", 0)
+    return table.rows_by_prefix.get("journal", 0), table.bytes_by_prefix.get(
+        "journal", 0
+    )
 
 
 def measure_urgent() -> list[Slope]:
-    """Measure an urgent task from its submission to its start on a link.
+    """Measure the time from an urgent task's submission to its start on a link.
 
-    Other tasks come at a steady rate meanwhile; a commit takes 5 ms.
+    Other tasks are submitted at a steady rate meanwhile; a commit takes 5 ms.
     """
     found = [(rate, curio.run(_run_urgent, rate)) for rate in RATES]
     return [
@@ -157,13 +159,13 @@
 
 
 def measure_replay() -> list[Slope]:
-    """Measure how a new owner reads a journal of n rows, ten starts a row."""
+    """Measure how a new owner replays a journal of n rows with ten starts each."""
     cpu, read = [], []
     for size in ROWS:
         table = MemoryTable()
         for seq in range(1, size + 1):
             table.put(journal_key(0, seq), _build_row(seq))
-        cpu.append((size, curio.run(_load, table, MemoryObjects())))
+        cpu.append((size, curio.run(_measure_load, table, MemoryObjects())))
         read.append((size, table.bytes))
     return [
         fit_line("replay cpu by journal rows", "row of 10 starts", "ms", cpu),
@@ -173,8 +175,8 @@
 
 def _build_row(seq: int) -> bytes:
     events: list[Event] = []
-    for number in range(STARTS_OF_A_ROW):
-        events += _build_events(seq * STARTS_OF_A_ROW + number, ended=True)
+    for number in range(STARTS_PER_ROW):
+        events += _build_events(seq * STARTS_PER_ROW + number, ended=True)
     row = {"nonce": "0" * 16, "epoch": 1, "events": encode_events(events)}
     return orjson.dumps(row)
 
@@ -187,19 +189,19 @@
     return [*events, Finished(spec.task_id, 1, "done")] if ended else events
 
 
-async def _load(table: MemoryTable, objects: MemoryObjects) -> float:
+async def _measure_load(table: MemoryTable, objects: MemoryObjects) -> float:
     state = PartitionState(lambda profile: 0)
-    keeper = SnapshotKeeper(table, objects, 0)
-    with watch_cpu() as spent:
-        await keeper.load(state)
+    snapshots = SnapshotKeeper(table, objects, 0)
+    with measure_cpu() as spent:
+        await snapshots.load(state)
     return 1000 * spent.cpu_s
 
 
 def measure_snapshots() -> list[Slope]:
-    """Measure folding and loading a partition of n running, or of n ended, tasks."""
+    """Measure writing and loading a snapshot of n running or n ended tasks."""
     slopes = []
     for x, ended in (("running task", False), ("ended task", True)):
-        found = [(n, curio.run(_fold, n, ended)) for n in TASKS]
+        found = [(n, curio.run(_measure_snapshot, n, ended)) for n in TASKS]
         for name, unit in (
             ("snapshot bytes", "B"),
             ("cpu of a fold", "ms"),
@@ -209,16 +211,16 @@
     return slopes
 
 
-async def _fold(count: int, ended: bool) -> dict[str, float]:
+async def _measure_snapshot(count: int, ended: bool) -> dict[str, float]:
     table, objects = MemoryTable(), MemoryObjects()
     state = PartitionState(lambda profile: 0, kept=count)
     for number in range(count):
         replay(state, _build_events(number, ended=ended))
-    keeper = SnapshotKeeper(table, objects, 0)
-    with watch_cpu() as folding:
-        await keeper.fold(state, 1, Position(0, 1, 0, 1))
+    snapshots = SnapshotKeeper(table, objects, 0)
+    with measure_cpu() as writing:
+        await snapshots.fold(state, 1, Position(0, 1, 0, 1))
     return {
         "snapshot bytes": objects.bytes,
-        "cpu of a fold": 1000 * folding.cpu_s,
-        "cpu of loading a snapshot": await _load(table, objects),
+        "cpu of a fold": 1000 * writing.cpu_s,
+        "cpu of loading a snapshot": await _measure_load(table, objects),
     }
--- a/bench/slopes/leader.py
+++ b/bench/slopes/leader.py
@@ -1,4 +1,4 @@
-"""What leading costs on the users' platform: rounds of decisions, and reports."""
+"""Cost of the leader: planning rounds and workers' reports."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import time
 
 from bench.slopes.fitting import Slope, fit_line
-from bench.slopes.probes import watch_cpu
+from bench.slopes.probes import measure_cpu
 from pistachiodeal.config.deployment import LimitSettings
 from pistachiodeal.events import EventLog
 from pistachiodeal.jobs.model import Job, Queue, Step
@@ -20,13 +20,13 @@
 from pistachiodeal.wire.codec import LENGTH_BYTES, decode_message, encode_message
 from pistachiodeal.wire.job_messages import Label, RunningTask, WorkerReport
 
-# Per worker: a third of a serving job of 14 tasks, and half a filling job of 20, which
-# is what a burst on the deployments we know comes to.
+# Per worker a third of a serving job of 14 tasks and half a filling job of 20 tasks,
+# which is the load of a burst on the known deployments.
 WORKERS = (74, 148, 296, 592)
-WORKERS_A_SERVING_JOB = 3
-WORKERS_A_FILLING_JOB = 2
+WORKERS_PER_SERVING_JOB = 3
+WORKERS_PER_FILLING_JOB = 2
 FULL_ROUNDS = 10
-# Between two rounds about so many workers of 160 have reported.
+# About this share of 160 workers reports between two rounds.
 CHANGED_SHARE = 1 / 20
 RUNS = (4, 8, 16, 32)
 REPORTS = 300
@@ -36,21 +36,21 @@
 
 
 def measure_rounds() -> list[Slope]:
-    """Measure the rounds that meet a burst, and those in which nothing fits."""
+    """Measure the rounds that place a burst, and rounds in which nothing fits."""
     burst, full, changed = [], [], []
     for workers in WORKERS:
         planner, fleet = _build_planner(workers)
-        with watch_cpu() as spent:
+        with measure_cpu() as spent:
             _plan_all(planner)
         burst.append((float(workers), 1000 * spent.cpu_s))
-        # What was placed is looked at once more.
+        # The next rounds check the placed tasks once more.
         _plan_all(planner)
-        with watch_cpu() as spent:
+        with measure_cpu() as spent:
             for _ in range(FULL_ROUNDS):
                 planner.plan()
         full.append((float(workers), 1000 * spent.cpu_s / FULL_ROUNDS))
         states = list(fleet.workers.values())
-        with watch_cpu() as spent:
+        with measure_cpu() as spent:
             for number in range(FULL_ROUNDS):
                 for state in states[number :: int(1 / CHANGED_SHARE)]:
                     state.stamp += 1
@@ -64,11 +64,11 @@
 
 
 def measure_reports() -> list[Slope]:
-    """Measure what a leader does for one report, from the frame to the answer."""
+    """Measure the handling of one report, from the frame to the answer."""
     points = []
     for runs in RUNS:
         reconciler, attachment, frame = _build_report(runs)
-        with watch_cpu() as spent:
+        with measure_cpu() as spent:
             for _ in range(REPORTS):
                 report = decode_message(frame, packed=True)
                 assert isinstance(report, WorkerReport)
@@ -79,7 +79,7 @@
 
 
 def _build_report(runs: int) -> tuple[Reconciler, Attachment, bytes]:
-    """Return a leader, one worker's link, and that worker's report."""
+    """Return a leader's reconciler, a worker's link and the worker's encoded report."""
     events = EventLog(os.open(os.devnull, os.O_WRONLY), "bench")
     book, fleet, model = JobBook(events), Fleet(), InterferenceModel()
     reconciler = Reconciler(book, fleet, model, events)
@@ -127,14 +127,14 @@
         worker.worker, worker.service, worker.listed = "w", SERVICE, True
         worker.capacity = Resources(16_000, 64_000, 0)
         worker.labels = ("a", f"r{number // 8}")
-    _add_jobs(book, SERVING, workers // WORKERS_A_SERVING_JOB)
+    _add_jobs(book, SERVING, workers // WORKERS_PER_SERVING_JOB)
     _plan_all(planner)
-    _add_jobs(book, FILLING, workers // WORKERS_A_FILLING_JOB)
+    _add_jobs(book, FILLING, workers // WORKERS_PER_FILLING_JOB)
     return planner, fleet
 
 
 def _add_jobs(book: JobBook, queue: Queue, count: int) -> None:
-    dice = random.Random(3)
+    rng = random.Random(3)
     now = time.time()
     for number in range(count):
         if queue is SERVING:
@@ -142,7 +142,7 @@
             image = f"s{number % 5}"
             step = Step(14, size, 0.3, lasts=True, image=image, serves_ms=50)
         else:
-            size = Resources(dice.randrange(1_000, 2_500), 3_200, 0)
+            size = Resources(rng.randrange(1_000, 2_500), 3_200, 0)
             step = Step(20, size, 2.2, image=f"f{number % 9}", fills=True)
         job_id = f"{queue.priority}{number:015x}"
         book.add(Job(job_id, queue, "text", (step,), now), now)
--- a/bench/slopes/memory.py
+++ b/bench/slopes/memory.py
@@ -1,4 +1,4 @@
-"""A table and an object store in this process, which count what they are given."""
+"""An in-memory table and object store that count what is written."""
 
 from __future__ import annotations
 
@@ -14,16 +14,17 @@
 class MemoryTable:
     """Implements ``Table`` without a network, so that its own cost is small.
 
-    :param commit_s: how long a commit takes.
-    :ivar bytes: written, keys and values.
-    :ivar rows_of: rows written, by the first part of the key; ``bytes_of`` alike.
+    :param commit_s: duration of a commit, seconds.
+    :ivar bytes: bytes written, keys and values.
+    :ivar rows_by_prefix: rows written, by the first component of the key.
+    :ivar bytes_by_prefix: bytes written, by the first component of the key.
     """
 
     def __init__(self, commit_s: float = 0.0) -> None:
         self._commit_s = commit_s
         self.rows: dict[str, Row] = {}
-        self.rows_of: Counter[str] = Counter()
-        self.bytes_of: Counter[str] = Counter()
+        self.rows_by_prefix: Counter[str] = Counter()
+        self.bytes_by_prefix: Counter[str] = Counter()
         self.commits = 0
         self.writes = 0
         self.bytes = 0
@@ -76,9 +77,9 @@
             insort(self._keys, write.key)
         size = len(write.key) + len(write.value)
         self.bytes += size
-        family = write.key.partition("/")[0]
-        self.rows_of[family] += 1
-        self.bytes_of[family] += size
+        key_prefix = write.key.partition("/")[0]
+        self.rows_by_prefix[key_prefix] += 1
+        self.bytes_by_prefix[key_prefix] += size
         self.rows[write.key] = Row(write.key, write.value, self._version)
         return self._version
 
@@ -86,7 +87,7 @@
 class MemoryObjects:
     """Implements ``ObjectStore``.
 
-    :ivar bytes: written.
+    :ivar bytes: bytes written.
     """
 
     def __init__(self) -> None:
--- a/bench/slopes/platform.py
+++ b/bench/slopes/platform.py
@@ -1,4 +1,4 @@
-"""What entries ask of the platform's table, and how long a take-over takes."""
+"""Load of entries on the platform's table, and the duration of a take-over."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 def measure_table(sizes: Sequence[int] = ENTRIES) -> list[Slope]:
-    """Measure calls and bytes of idle entries at the table, eight partitions."""
+    """Measure calls and bytes at the table from idle entries, with eight partitions."""
     points: dict[str, list[tuple[float, float]]] = {}
     for size in sizes:
-        for name, value in _watch_table(size).items():
+        for name, value in _measure_table_load(size).items():
             points.setdefault(name, []).append((size, value))
     units = {"commits": "calls/s", "reads": "calls/s", "scans": "calls/s"}
     return [
@@ -29,7 +29,7 @@
     ]
 
 
-def _watch_table(size: int) -> dict[str, float]:
+def _measure_table_load(size: int) -> dict[str, float]:
     with run_bench() as bench:
         cluster = bench.cluster
         table = cluster.start_table()
@@ -42,20 +42,20 @@
         calls, relayed = cluster.record(table), cluster.record(relay, "control")
         time.sleep(WINDOW_S)
         wall = time.monotonic() - started
-        calls_then, relayed_then = (
+        calls_end, relayed_end = (
             cluster.record(table),
             cluster.record(relay, "control"),
         )
         found = {
-            name: (calls_then[name] - calls[name]) / wall
+            name: (calls_end[name] - calls[name]) / wall
             for name in ("commits", "reads", "scans")
         }
-        found["bytes"] = (relayed_then["bytes"] - relayed["bytes"]) / wall
+        found["bytes"] = (relayed_end["bytes"] - relayed["bytes"]) / wall
         return found
 
 
 def measure_takeover(sizes: Sequence[int] = PARTITIONS) -> list[Slope]:
-    """Kill one of two entries; measure until the other serves all partitions."""
+    """Measure the time from a kill of one of two entries until the other serves all."""
     wall, cpu = [], []
     for size in sizes:
         with run_bench() as bench:
--- a/bench/slopes/service.py
+++ b/bench/slopes/service.py
@@ -1,4 +1,4 @@
-"""The real batch service in this process, with agents that end tasks at once."""
+"""Runs the real batch service in this process, with agents that end tasks at once."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
 CALLERS = 2_000
 REPORT_S = 0.5
 RETRY_S = 0.05
-STEP_S = 0.001
+SUBMIT_PERIOD_S = 0.001
 URGENT_KIND = "siren"
 
 
 class Agents:
-    """Sessions that answer each start with its end."""
+    """State that the sessions of all fake agents share."""
 
     def __init__(self, service: BatchService) -> None:
         self.service = service
@@ -42,7 +42,7 @@
 
 
 class Session:
-    """A link without a wire."""
+    """An in-memory agent session that answers each start with the task's end."""
 
     def __init__(self, agents: Agents, number: int) -> None:
         self._agents = agents
@@ -56,7 +56,7 @@
         self.report: Report | None = None
 
     async def send(self, message: Message) -> None:
-        """Take a message of the service."""
+        """Receive a message from the service."""
         if isinstance(message, TaskAck):
             self._agents.acknowledged += 1
         elif isinstance(message, Start):
@@ -65,7 +65,7 @@
             await self._inbox.put(message)
 
     async def run(self) -> None:
-        """End what was started."""
+        """End each started task at once."""
         while True:
             start = await self._inbox.get()
             ended = TaskEnded(
@@ -74,7 +74,7 @@
             await self._agents.service.receive(self, ended)
 
     async def report_all(self) -> None:
-        """Report at the rate of an agent."""
+        """Send reports at an agent's rate."""
         while True:
             await self.report_once(CAPACITY)
             await curio.sleep(REPORT_S)
@@ -92,7 +92,7 @@
     group_s: float = 0.005,
     partitions: int = 4,
 ) -> BatchService:
-    """Return an entry's batch path."""
+    """Return the batch service of an entry."""
     settings = EntrySettings(
         node="e1",
         data_centre="dc1",
@@ -117,7 +117,7 @@
 
 @asynccontextmanager
 async def run_service(service: BatchService, workers: int) -> AsyncIterator[Agents]:
-    """Run a service until its partitions are served, with agents linked."""
+    """Run a service with linked agents; yield once all partitions are served."""
     agents = Agents(service)
     tasks = [await curio.spawn(service.run, daemon=True)]
     for number in range(workers):
@@ -141,7 +141,7 @@
 
 
 async def submit_all(service: BatchService, count: int) -> None:
-    """Submit tasks as many callers at once."""
+    """Submit tasks from up to ``CALLERS`` callers at once."""
     numbers = iter(range(count))
 
     async def submit_next() -> None:
@@ -154,14 +154,14 @@
 
 
 async def submit_steadily(service: BatchService, rate: int, seconds: float) -> None:
-    """Submit tasks at a rate, each as a caller of its own."""
+    """Submit tasks at a fixed rate, each in a coroutine of its own."""
     started, sent = time.monotonic(), 0
     while (now := time.monotonic()) < started + seconds:
         due = int((now - started) * rate)
         for number in range(sent, due):
             await curio.spawn(_submit, service, number, daemon=True)
         sent = due
-        await curio.sleep(STEP_S)
+        await curio.sleep(SUBMIT_PERIOD_S)
 
 
 async def _submit(service: BatchService, number: int) -> None:
@@ -171,7 +171,7 @@
 async def submit_task(
     service: BatchService, key: str, number: int = 0, *, urgent: bool = False
 ) -> str:
-    """Submit a task until it is taken; return its id."""
+    """Submit a task, retrying on status 503; return its id."""
     spec = build_spec(number)
     body = {
         "kind": URGENT_KIND if urgent else spec.kind,
