--- a/demo/__init__.py
+++ b/demo/__init__.py
@@ -1,1 +1,1 @@
-"""The whole system on one machine, with a failure: ``make demo``."""
+"""Runs the whole system on one machine and kills an agent: ``make demo``."""
--- a/demo/checks.py
+++ b/demo/checks.py
@@ -1,4 +1,4 @@
-"""What has to hold in the demo, by the records of runners and workers alone."""
+"""Checks of the demo's results against the records of runners and workers."""
 
 from __future__ import annotations
 
@@ -15,27 +15,27 @@
 
 
 def check_requests(cases: Sequence[Case], executions: Iterable[Event]) -> list[str]:
-    """Return what is wrong with the requests, compared with what runners saw."""
+    """Return contradictions between callers' outcomes and runners' executions."""
     ran = Counter(event["case"] for event in executions if event["event"] == "start")
     faults = []
     for case in cases:
-        times = ran[case.name]
+        executed = ran[case.name]
         if not case.own:
             faults.append(f"{case.name} got an answer that is not its own")
-        if case.outcome == "not_run" and times:
-            faults.append(f"{case.name} was told not_run and ran {times} times")
-        if case.outcome == "ran" and not times:
+        if case.outcome == "not_run" and executed:
+            faults.append(f"{case.name} was told not_run and ran {executed} times")
+        if case.outcome == "ran" and not executed:
             faults.append(f"{case.name} was answered and ran nowhere")
-        if case.method == "POST" and times > 1:
-            faults.append(f"{case.name} must not repeat and ran {times} times")
+        if case.method == "POST" and executed > 1:
+            faults.append(f"{case.name} must not repeat and ran {executed} times")
     return faults
 
 
 def check_availability(cases: Sequence[Case], unknown_limit: int) -> list[str]:
-    """Return a fault for each GET without an answer, and if too much is unknown.
+    """Return a fault for each failed GET, and one for too many unknown outcomes.
 
-    :param unknown_limit: requests that were in flight at the agent when it was
-        killed; only these may end unknown.
+    :param unknown_limit: number of requests that could be in flight at the agent
+        when it was killed; only these may end unknown.
     """
     failed = [case for case in cases if case.method == "GET" and case.status != 200]
     faults = [f"{case.name} (GET) got status {case.status}" for case in failed]
@@ -46,7 +46,7 @@
 
 
 def check_tasks(tasks: Sequence[Event], runs: Sequence[Event]) -> list[str]:
-    """Return what is wrong with the tasks, compared with what workers ran."""
+    """Return contradictions between tasks' states and the runs of workers."""
     faults = []
     for task in tasks:
         task_id = task["task_id"]
@@ -62,7 +62,7 @@
 
 
 def list_intervals(runs: Iterable[Event]) -> list[Interval]:
-    """Return when each attempt ran; one without an end still runs."""
+    """Return the interval of each attempt; one without an end is still running."""
     intervals: dict[tuple[str, int], Interval] = {}
     for run in runs:
         end = math.inf if run["event"] == "start" else run["end"]
@@ -71,7 +71,7 @@
 
 
 def overlap(intervals: Iterable[Interval]) -> bool:
-    """Tell whether any two intervals have time in common."""
+    """Return whether any two intervals overlap."""
     ordered = sorted(intervals)
     return any(
         later[0] < earlier[1] - CLOCK_SLACK_S
@@ -80,9 +80,9 @@
 
 
 def check_capacity(runs: Iterable[Event]) -> list[str]:
-    """Return a fault for each start that a worker had no room for."""
+    """Return a fault for each start that exceeded a worker's capacity."""
     return [
-        f"{run['worker']} was given more than it holds"
+        f"{run['worker']} got more than its capacity"
         for run in runs
         if run["event"] == "over_capacity"
     ]
--- a/demo/demo.py
+++ b/demo/demo.py
@@ -1,10 +1,10 @@
 """Runs the whole system on this machine and kills an agent under load.
 
 Starts stand-ins for the platform, two entries and three workers with an agent
-and runners each; defines profiles by the operators' command line; answers
-interactive requests and finishes batch tasks while one agent is killed and
-started again. Ends with 0 only if everything that has to hold did hold, by the
-records that runners and workers keep themselves.
+and runners each; defines profiles with the operators' command line; sends
+interactive requests and submits batch tasks while one agent is killed and
+restarted. The exit status is 0 only if all checks pass against the records that
+runners and workers write themselves.
 """
 
 from __future__ import annotations
@@ -51,7 +51,7 @@
 
 
 class Demo:
-    """The cluster and an operator at it."""
+    """The cluster, and the operator's actions on it."""
 
     def __init__(self, cluster: Cluster) -> None:
         self._cluster = cluster
@@ -76,7 +76,7 @@
         return done.stdout.decode()
 
     def start(self) -> None:
-        """Start everything and wait until all workers are known everywhere."""
+        """Start all processes."""
         cluster = self._cluster
         cluster.start_table()
         cluster.start_objects()
@@ -114,7 +114,7 @@
         return ids
 
     def kill_agent(self) -> None:
-        """Kill an agent while its worker has tasks, and start it again."""
+        """Kill an agent while its worker runs tasks, then restart it."""
         name = wait_until(self._find_busy_worker, "a worker has tasks")
         print(f"killing the agent of {name}", flush=True)
         self._cluster[f"agent-{name}"].kill()
@@ -124,7 +124,7 @@
         self._start_agent(name, self._cluster[f"worker-{name}"])
 
     def wait_tasks(self, ids: Sequence[str]) -> list[dict[str, Any]]:
-        """Wait until all tasks are over; return them."""
+        """Wait until all tasks have ended; return them."""
         entry = self._cluster[ENTRIES[0]]
         return [
             {"task_id": task_id, **self._cluster.wait_task(entry, task_id)}
@@ -134,7 +134,7 @@
     def find_faults(
         self, cases: Sequence[Case], tasks: Sequence[dict[str, Any]]
     ) -> list[str]:
-        """Compare what callers were told with what runners and workers recorded."""
+        """Compare callers' outcomes with the records of runners and workers."""
         runners = [f"{service}-{name}" for service in SERVICES for name in WORKERS]
         executions = self._cluster.read_events(*runners)
         runs = self._cluster.read_events(*(f"worker-{name}" for name in WORKERS))
@@ -159,7 +159,7 @@
         )
 
     def _find_busy_worker(self) -> str | None:
-        """Return the worker that runs most tasks now, None while none runs."""
+        """Return the worker that runs the most tasks, or None if none runs any."""
         running: Counter[str] = Counter()
         for name in WORKERS:
             for event in self._cluster.read_events(f"worker-{name}"):
@@ -176,14 +176,14 @@
 
 
 def print_cases(cases: Sequence[Case]) -> None:
-    """Print how many requests got which outcome."""
+    """Print the number of requests by service, method and outcome."""
     counts = Counter((case.service, case.method, case.outcome) for case in cases)
     for (service, method, outcome), count in sorted(counts.items()):
         print(f"{service:16} {method:5} {outcome:8} {count}")
 
 
 def print_tasks(tasks: Sequence[dict[str, Any]]) -> None:
-    """Print what became of each task."""
+    """Print the final state of each task."""
     for task in tasks:
         print(
             f"{task['task_id']}: {task['state']}, attempt {task['attempt']}, "
@@ -192,7 +192,7 @@
 
 
 def run_demo(demo: Demo) -> list[str]:
-    """Run the demo; return what did not hold."""
+    """Run the demo; return the faults found."""
     demo.start()
     demo.define()
     demo.wait_ready()
@@ -209,7 +209,7 @@
     print(demo.operate("histograms", "--by", "service"))
     print("Histograms of each caller and class")
     print(demo.operate("histograms"))
-    print("What became of each task")
+    print("Final state of each task")
     print_tasks(tasks)
     return demo.find_faults(callers.cases, tasks)
 
@@ -220,8 +220,8 @@
         with run_cluster(Path(directory)) as cluster:
             faults = run_demo(Demo(cluster))
     for fault in faults:
-        print(f"does not hold: {fault}")
-    print("the demo held" if not faults else f"{len(faults)} faults")
+        print(f"check failed: {fault}")
+    print("the demo passed" if not faults else f"{len(faults)} faults")
     return 1 if faults else 0
 
 
--- a/demo/load.py
+++ b/demo/load.py
@@ -1,4 +1,4 @@
-"""Callers of the demo: threads that call the entries and note every answer."""
+"""Callers of the demo: threads that call the entries and record every answer."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """One request and what its caller was told.
+    """One request and the outcome that its caller received.
 
     :param outcome: ``ran``, ``not_run`` or ``unknown``.
-    :param own: the answer is that of this request.
+    :param own: whether the answer belongs to this request.
     """
 
     name: str
@@ -32,7 +32,7 @@
 
 
 class Callers:
-    """Calls the entries in turn from several threads until stopped."""
+    """Calls the entries in turn, from several threads, until stopped."""
 
     def __init__(self, entries: Sequence[str]) -> None:
         self._entries = entries
@@ -43,19 +43,19 @@
 
     @property
     def cases(self) -> tuple[Case, ...]:
-        """Return all requests that were answered or given up so far."""
+        """Return all requests that have been answered or have failed so far."""
         with self._lock:
             return tuple(self._cases)
 
     def run(self, caller: str, service: str, method: str) -> None:
-        """Make one request after the other until stopped."""
+        """Send one request after the other until stopped."""
         while not self._stopped.is_set():
             case = self._call(caller, service, method, next(self._numbers))
             with self._lock:
                 self._cases.append(case)
 
     def stop(self) -> None:
-        """Let each thread end after its request in flight."""
+        """Stop each thread after its current request."""
         self._stopped.set()
 
     def _call(self, caller: str, service: str, method: str, number: int) -> Case:
@@ -79,7 +79,7 @@
 
 
 def is_own_answer(reply: Reply, name: str, body: bytes) -> bool:
-    """Tell whether an answer belongs to this request, by what the runner saw."""
+    """Return whether an answer holds the case and digest of this request."""
     document = reply.document()
     digest = hashlib.sha256(body).hexdigest()
     return bool(document["case"] == name and document["sha"] == digest)
