--- a/bench/slopes/inner.py
+++ b/bench/slopes/inner.py
@@ -216,8 +216,8 @@
     document = _build_document(services)
     table.put(DOCUMENT_KEY, encode_document(document))
     table.put(VERSION_KEY, b"1")
-    profile_reader = create_profile_keeper(table, 1.0)
-    await profile_reader.refresh()
+    profile_manager = create_profile_keeper(table, 1.0)
+    await profile_manager.refresh()
     store_s = refresh_s = 0.0
     for _ in range(ROUNDS):
         with measure_cpu() as spent:
@@ -227,7 +227,7 @@
         table.put(DOCUMENT_KEY, value)
         table.put(VERSION_KEY, str(document.version).encode())
         with measure_cpu() as spent:
-            await profile_reader.refresh()
+            await profile_manager.refresh()
         refresh_s += spent.cpu_s
     size = float(len(table.rows[DOCUMENT_KEY].value))
     return 1000 * store_s / ROUNDS, 1000 * refresh_s / ROUNDS, size
@@ -262,23 +262,23 @@
 
 async def _run_claims(count: int) -> tuple[float, float, float]:
     table = MemoryTable(0.005)
-    claims = create_claim_keeper(table, node="e1", group_s=0.005, group_rows=100)
-    running = await curio.spawn(claims.run, daemon=True)
+    claim_manager = create_claim_keeper(table, node="e1", group_s=0.005, group_rows=100)
+    running = await curio.spawn(claim_manager.run, daemon=True)
     numbers = iter(range(count))
     with measure_cpu() as spent:
         async with curio.TaskGroup() as group:
             for _ in range(200):
-                await group.spawn(_claim_next, claims, numbers)
-        await claims.flush(30.0)
+                await group.spawn(_claim_next, claim_manager, numbers)
+        await claim_manager.flush(30.0)
     await running.cancel()
     return 1000 * spent.cpu_s, table.commits, table.bytes
 
 
-async def _claim_next(claims: ClaimKeeper, numbers: Iterator[int]) -> None:
+async def _claim_next(claim_manager: ClaimKeeper, numbers: Iterator[int]) -> None:
     for number in numbers:
-        claim = await claims.claim("orders", f"caller/{number}", "f" * 32, 5.0)
+        claim = await claim_manager.claim("orders", f"caller/{number}", "f" * 32, 5.0)
         assert isinstance(claim, Claimed)
-        await claims.record(claim, WebResponse(200, (), b"x" * 100))
+        await claim_manager.record(claim, WebResponse(200, (), b"x" * 100))
 
 
 def measure_messages() -> list[Slope]:
--- a/bench/slopes/journal.py
+++ b/bench/slopes/journal.py
@@ -191,9 +191,9 @@
 
 async def _measure_load(table: MemoryTable, objects: MemoryObjects) -> float:
     state = PartitionState(lambda profile: 0)
-    snapshots = SnapshotKeeper(table, objects, 0)
+    snapshot_manager = SnapshotKeeper(table, objects, 0)
     with measure_cpu() as spent:
-        await snapshots.load(state)
+        await snapshot_manager.load(state)
     return 1000 * spent.cpu_s
 
 
@@ -216,9 +216,9 @@
     state = PartitionState(lambda profile: 0, kept=count)
     for number in range(count):
         replay(state, _build_events(number, ended=ended))
-    snapshots = SnapshotKeeper(table, objects, 0)
+    snapshot_manager = SnapshotKeeper(table, objects, 0)
     with measure_cpu() as writing:
-        await snapshots.fold(state, 1, Position(0, 1, 0, 1))
+        await snapshot_manager.fold(state, 1, Position(0, 1, 0, 1))
     return {
         "snapshot bytes": objects.bytes,
         "cpu of a fold": 1000 * writing.cpu_s,
