--- a/bench/interactive.py
+++ b/bench/interactive.py
@@ -111,10 +111,10 @@
             heapq.heappop(self._open)[2].outstanding -= 1
 
     def _send(self, at: float, normal: float, entry: _Entry) -> None:
-        entry.budget.note_request()
+        entry.budget.record_request()
         tried: set[str] = set()
         for attempt in range(ATTEMPTS):
-            if attempt and not entry.budget.take():
+            if attempt and not entry.budget.try_spend():
                 break
             targets = [t for name, t in entry.targets.items() if name not in tried]
             target = entry.chooser.choose(targets, at)
@@ -127,7 +127,7 @@
             if self._serve(at, normal, entry, target, worker):
                 return
             tried.add(target.node)
-            target.note_refusal(at, 0.0, self._rng.random())
+            target.record_refusal(at, 0.0, self._rng.random())
         self.counts.refused += 1
 
     def _serve(
@@ -152,7 +152,7 @@
         distance_s = 0.0 if target.data_centre == entry.data_centre else 2 * BETWEEN_S
         latency_s = end - at + distance_s
         target.outstanding += 1
-        target.note_answer()
+        target.record_answer()
         self._sequence += 1
         heapq.heappush(self._open, (end, self._sequence, target))
         self.counts.times.append(at)
--- a/pistachiodeal/agent/tasks.py
+++ b/pistachiodeal/agent/tasks.py
@@ -24,7 +24,7 @@
 from pistachiodeal.model.resources import Resources
 from pistachiodeal.profiles.cache import PolicyCache
 from pistachiodeal.store.protocols import ObjectStore, WorkerRuntime
-from pistachiodeal.task_groups import run_until_one_ends
+from pistachiodeal.task_groups import run_until_first_exit
 from pistachiodeal.wire.task_messages import TaskRef
 
 EXECUTOR_TASKS = 16
@@ -112,7 +112,7 @@
         for record in self._table.runs.values():
             if record.phase is Phase.STARTING:
                 record.enter(Phase.UNCERTAIN, self._clock())
-        await run_until_one_ends(
+        await run_until_first_exit(
             self._watcher.poll,
             self._watcher.poll_usage,
             self._renewer.run,
--- a/pistachiodeal/batch/partition_server.py
+++ b/pistachiodeal/batch/partition_server.py
@@ -22,7 +22,7 @@
 from pistachiodeal.batch.snapshots import SnapshotManager, try_write_snapshot
 from pistachiodeal.exceptions import Outcome
 from pistachiodeal.model.tasks import TaskRecord
-from pistachiodeal.task_groups import run_until_one_ends
+from pistachiodeal.task_groups import run_until_first_exit
 
 log = Logger("batch")
 
@@ -157,7 +157,7 @@
                 self._owner.epoch,
                 len(self.state),
             )
-            await run_until_one_ends(
+            await run_until_first_exit(
                 self._journal.run, self._sender.run, self._write_snapshots
             )
         finally:
--- a/pistachiodeal/claims/manager.py
+++ b/pistachiodeal/claims/manager.py
@@ -20,7 +20,7 @@
 from pistachiodeal.exceptions import Outcome, StoreError, StoreUnavailableError
 from pistachiodeal.store.group import GroupCommitter, create_group_committer
 from pistachiodeal.store.protocols import ABSENT, Table, Write
-from pistachiodeal.task_groups import run_until_one_ends
+from pistachiodeal.task_groups import run_until_first_exit
 from pistachiodeal.web.messages import WebResponse
 
 MAX_OPEN_CLAIMS = 10_000
@@ -66,7 +66,7 @@
 
     async def run(self) -> None:
         """Write claims and their outcomes until cancelled."""
-        await run_until_one_ends(self._committer.run, self._outcomes.run)
+        await run_until_first_exit(self._committer.run, self._outcomes.run)
 
     async def flush(self, timeout: float) -> bool:
         """Wait until every outcome is written; return False on a timeout.
--- a/pistachiodeal/entry/dispatch.py
+++ b/pistachiodeal/entry/dispatch.py
@@ -200,7 +200,7 @@
         self, attempts: CallAttempts, profile: Profile
     ) -> WebResponse:
         budget = self._services.find_budget(attempts.call.service, profile)
-        budget.note_request()
+        budget.record_request()
         while True:
             candidate = self._choose(attempts)
             answer = await self._attempt(attempts, candidate)
@@ -209,7 +209,7 @@
             may_run_again = attempts.call.is_repeatable(profile)
             if attempts.outcome is not Outcome.NOT_RUN and not may_run_again:
                 break
-            if attempts.count >= self._settings.attempts or not budget.take():
+            if attempts.count >= self._settings.attempts or not budget.try_spend():
                 break
             self._metrics.count("entry.retries")
         assert attempts.error is not None
@@ -278,15 +278,15 @@
     ) -> None:
         now = self._clock()
         if isinstance(answer, Response):
-            candidate.note_answer()
+            candidate.record_answer()
             if answer.status >= SERVER_FAILURE:
-                candidate.note_failure(now)
+                candidate.record_failure(now)
             return
         if isinstance(answer, Refusal):
             retry_after = answer.retry_after_ms / 1000.0
-            candidate.note_refusal(now, retry_after, random.random())
+            candidate.record_refusal(now, retry_after, random.random())
         else:
-            candidate.note_failure(now)
+            candidate.record_failure(now)
         attempts.record_answer(candidate.node, answer)
 
     def _build_request(self, call: Call, request_id: int) -> Request:
--- a/pistachiodeal/jobagent/leader_link.py
+++ b/pistachiodeal/jobagent/leader_link.py
@@ -14,7 +14,7 @@
 from pistachiodeal.leader.leader_row import LeaderRowClient
 from pistachiodeal.peers import PeerContext, dial_peer, query_leader
 from pistachiodeal.store.row_store import RowStore
-from pistachiodeal.task_groups import run_until_one_ends
+from pistachiodeal.task_groups import run_until_first_exit
 from pistachiodeal.wire.job_messages import Directive, LeaderNotice
 from pistachiodeal.wire.link import Link
 
@@ -120,7 +120,7 @@
         self._grant_ms = MIN_GRANT_MS
         self._events.emit("leader.attached", peer=link.address)
         try:
-            await run_until_one_ends(
+            await run_until_first_exit(
                 lambda: self._send_reports(link),
                 lambda: self._receive(link),
                 self._watch_successor,
--- a/pistachiodeal/jobentry/app.py
+++ b/pistachiodeal/jobentry/app.py
@@ -11,8 +11,8 @@
 from pistachiodeal.jobentry.api import CallerApi
 from pistachiodeal.jobentry.configuration import ConfigurationWatcher
 from pistachiodeal.jobentry.handover import HandOver
+from pistachiodeal.jobentry.peer_server import PeerServer
 from pistachiodeal.jobentry.relay import RelayedRows, build_dispatcher
-from pistachiodeal.jobentry.seat import PeerServer
 from pistachiodeal.jobentry.states import JobStates
 from pistachiodeal.jobs.rows import find_partition
 from pistachiodeal.leader.election import Election
@@ -49,7 +49,7 @@
         self._events = events
         store = create_rows(settings.store.address, find_partition)
         peers = create_peer_context(settings, ENTRY_ROLE, events)
-        peers.directory.note_entry(settings.peer_address)
+        peers.directory.update_entry(settings.peer_address)
         relayed = RelayedRows(store, self._find_leader_link, events)
         self._configuration = ConfigurationWatcher(relayed, events)
         self._peer_server = PeerServer(
--- a/pistachiodeal/jobentry/handover.py
+++ b/pistachiodeal/jobentry/handover.py
@@ -13,7 +13,7 @@
 from logbook import Logger
 
 from pistachiodeal.events import EventLog
-from pistachiodeal.jobentry.seat import PeerServer
+from pistachiodeal.jobentry.peer_server import PeerServer
 from pistachiodeal.leader.election import Election
 from pistachiodeal.leader.fitness import HANDOVER_FITNESS_RATIO, is_below_minimum
 
@@ -58,7 +58,9 @@
             follower = self._peer_server.find_fittest()
             if leadership is None or follower is None or not leadership.stable:
                 continue
-            fitter = follower.holder.fitness >= HANDOVER_FITNESS_RATIO * self._fitness
+            fitter = (
+                follower.candidate.fitness >= HANDOVER_FITNESS_RATIO * self._fitness
+            )
             if is_below_minimum(self._fitness) and fitter:
                 await self.transfer_leadership("a fitter entry follows")
 
@@ -76,12 +78,12 @@
         if leadership is None or follower is None:
             return False
         leadership.pause()
-        epoch = await self._election.hand_over(follower.holder)
+        epoch = await self._election.hand_over(follower.candidate)
         if not epoch:
             await leadership.resume()
             return False
         self._events.emit(
-            "leader.handed_over", epoch=epoch, to=follower.holder.node, why=why
+            "leader.handed_over", epoch=epoch, to=follower.candidate.node, why=why
         )
         await self._peer_server.appoint(follower, epoch)
         await curio.ignore_after(SUCCESSOR_TIMEOUT_S, self._wait_for_successor)
--- a/pistachiodeal/jobentry/seat.py
+++ b/pistachiodeal/jobentry/peer_server.py
@@ -52,7 +52,7 @@
     """An entry that follows this leader and could succeed it."""
 
     link: Link
-    holder: LeaderCandidate
+    candidate: LeaderCandidate
 
 
 class PeerServer:
@@ -92,9 +92,11 @@
     def find_fittest(self) -> Follower | None:
         """Return the fittest follower that is not stopping, or None."""
         fit = [
-            follower for follower in self._followers.values() if follower.holder.fitness
+            follower
+            for follower in self._followers.values()
+            if follower.candidate.fitness
         ]
-        return max(fit, key=lambda follower: follower.holder.fitness, default=None)
+        return max(fit, key=lambda follower: follower.candidate.fitness, default=None)
 
     async def appoint(self, follower: Follower, epoch: int) -> None:
         """Notify a follower that the leader's row names it as the successor."""
@@ -112,11 +114,11 @@
         await self._broadcast_notice()
         await leadership.step_down(epoch)
 
-    async def lead(self, authority: LeaderTerm) -> None:
-        """Lead with the given authority until another process takes over."""
+    async def lead(self, term: LeaderTerm) -> None:
+        """Lead in the given term until another process takes over."""
         self._leadership = Leadership(
             self._store,
-            authority,
+            term,
             self._refresh_queue,
             self._limits,
             self._events,
@@ -211,7 +213,7 @@
 
     def _handle_entry_state(self, link: Link, state: EntryState) -> None:
         peer = link.peer
-        self._directory.note_entry(state.address)
+        self._directory.update_entry(state.address)
         self._followers[link] = Follower(
             link,
             LeaderCandidate(
--- a/pistachiodeal/jobentry/states.py
+++ b/pistachiodeal/jobentry/states.py
@@ -7,7 +7,7 @@
 
 from pistachiodeal.clock import read_boot_clock
 from pistachiodeal.exceptions import LinkClosedError, RequestError, StoreError
-from pistachiodeal.jobentry.seat import PeerServer
+from pistachiodeal.jobentry.peer_server import PeerServer
 from pistachiodeal.jobs.model import JobState, Queue
 from pistachiodeal.jobs.record import read_state
 from pistachiodeal.jobs.rows import PROGRESS_TABLE, build_cancel_key
--- a/pistachiodeal/jobs/record.py
+++ b/pistachiodeal/jobs/record.py
@@ -122,7 +122,7 @@
     def _task_work(self) -> float:
         return self.step.size.cpu_milli / 1000 * self.expected_s
 
-    def note_took(self, took_s: float) -> None:
+    def record_duration(self, took_s: float) -> None:
         """Record a task's run time, used to estimate the step's other tasks."""
         self.timed_tasks += 1
         self.total_time_s += took_s
--- a/pistachiodeal/leader/directory.py
+++ b/pistachiodeal/leader/directory.py
@@ -42,15 +42,15 @@
         """Return the leader's address, empty if none is known."""
         return self._leader
 
-    def note_leader(self, epoch: int, address: str) -> None:
+    def update_leader(self, epoch: int, address: str) -> None:
         """Record the leader of an epoch, unless a newer epoch is known."""
         if epoch > self._epoch:
             self._store_seen_at = self._heard_at = 0.0
         if epoch >= self._epoch:
             self._epoch, self._leader = epoch, address
-        self.note_entry(address)
+        self.update_entry(address)
 
-    def note_entry(self, address: str) -> None:
+    def update_entry(self, address: str) -> None:
         """Record an entry as the most recently seen one."""
         if not address:
             return
@@ -64,10 +64,10 @@
         """Record what a notice says of the entries and of the leader."""
         for entry in notice.entries:
             if entry.text not in self._entries:
-                self.note_entry(entry.text)
+                self.update_entry(entry.text)
         if not notice.address or notice.epoch < self._epoch:
             return
-        self.note_leader(notice.epoch, notice.address)
+        self.update_leader(notice.epoch, notice.address)
         now = read_boot_clock()
         seen_at = now - notice.store_age_ms / 1000
         self._store_seen_at = max(self._store_seen_at, seen_at)
--- a/pistachiodeal/leader/election.py
+++ b/pistachiodeal/leader/election.py
@@ -338,7 +338,7 @@
         # fencing tokens are numbered from one in each epoch.
         self._led_epoch = row.epoch
         self._events.emit("leader.taken", epoch=row.epoch, why=why)
-        self._directory.note_leader(row.epoch, self._address)
+        self._directory.update_leader(row.epoch, self._address)
         for address in self._directory.list_others(self._address):
             await curio.spawn(self._announce, address, daemon=True)
         try:
--- a/pistachiodeal/leader/estimator.py
+++ b/pistachiodeal/leader/estimator.py
@@ -35,7 +35,7 @@
     def observe_duration(self, record: JobRecord, task: Task, took_s: float) -> None:
         """Learn from a completed task how long similar tasks take."""
         step = record.find_step(task.name)
-        step.note_took(took_s)
+        step.record_duration(took_s)
         self._durations.observe(
             record.job.queue.name, task.step.estimate_s, took_s, 1 / len(step.tasks)
         )
--- a/pistachiodeal/leader/leader_row.py
+++ b/pistachiodeal/leader/leader_row.py
@@ -98,7 +98,7 @@
         except ProtocolError as error:
             return self._build_vacant_row(page.rows[0], error)
         if row.address:
-            self._directory.note_leader(row.epoch, row.address)
+            self._directory.update_leader(row.epoch, row.address)
         return row
 
     def adopt_reported_leader(self) -> LeaderRow:
--- a/pistachiodeal/leader/leadership.py
+++ b/pistachiodeal/leader/leadership.py
@@ -36,7 +36,7 @@
 from pistachiodeal.leader.workers import Fleet, split_place
 from pistachiodeal.scheduling.interference import InterferenceModel
 from pistachiodeal.store.row_store import RowStore, StoredRow
-from pistachiodeal.task_groups import Child, gather, run_until_one_ends
+from pistachiodeal.task_groups import Child, gather, run_until_first_exit
 
 log = Logger("leader")
 
@@ -199,7 +199,7 @@
 
         :raises FencedError: another process leads now.
         """
-        await run_until_one_ends(self._lead, self._wait_superseded)
+        await run_until_first_exit(self._lead, self._wait_superseded)
 
     async def _wait_superseded(self) -> None:
         await self._superseded.wait()
@@ -217,7 +217,7 @@
         ]
         if self._advice is not None:
             loops.append(self._advice.run)
-        await run_until_one_ends(*loops)
+        await run_until_first_exit(*loops)
 
     async def _load(self) -> None:
         while not self._loaded:
--- a/pistachiodeal/routing/budget.py
+++ b/pistachiodeal/routing/budget.py
@@ -39,12 +39,12 @@
     def share(self, share: float) -> None:
         self._share = share
 
-    def note_request(self) -> None:
+    def record_request(self) -> None:
         """Add a new request's share; its retries don't count as requests."""
         if self._balance < LIMIT:
             self._balance += self._share
 
-    def take(self) -> bool:
+    def try_spend(self) -> bool:
         """Withdraw one retry from the budget; return whether one was available."""
         if self._share <= 0.0:
             return False
--- a/pistachiodeal/routing/candidate.py
+++ b/pistachiodeal/routing/candidate.py
@@ -87,7 +87,7 @@
             slots *= max(SLOW_START_SHARE, age / SLOW_START_S)
         return (self.compute_load(now) + 1.0) / slots
 
-    def note_failure(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Increase the penalty of a target that answered with a failure.
 
         A target that fails every request immediately is always idle, so it would look
@@ -99,7 +99,7 @@
         self.failure_penalty = min(limit, self._compute_failure_penalty(now) + 1.0)
         self.failure_penalty_at = now
 
-    def note_refusal(self, now: float, retry_after: float, jitter: float) -> None:
+    def record_refusal(self, now: float, retry_after: float, jitter: float) -> None:
         """Back off from the target, twice as long for each further refusal in a row.
 
         :param retry_after: delay that the agent requests, seconds.
@@ -110,7 +110,7 @@
         self.refusals += 1
         self.refused_until = now + pause * (0.5 + jitter)
 
-    def note_answer(self) -> None:
+    def record_answer(self) -> None:
         """Reset the backoff: the target accepts requests."""
         self.refusals = 0
 
--- a/pistachiodeal/store/group.py
+++ b/pistachiodeal/store/group.py
@@ -23,7 +23,7 @@
     resolve_all,
 )
 from pistachiodeal.store.protocols import ANY_VERSION, CommitResult, Table, Write
-from pistachiodeal.task_groups import run_until_one_ends
+from pistachiodeal.task_groups import run_until_first_exit
 
 CONCURRENT_COMMITS = 4
 QUEUE_LIMIT = 10_000
@@ -87,7 +87,7 @@
 
     async def run(self) -> None:
         """Commit what is queued, until cancelled."""
-        await run_until_one_ends(*[self._run_committer] * CONCURRENT_COMMITS)
+        await run_until_first_exit(*[self._run_committer] * CONCURRENT_COMMITS)
 
     async def _run_committer(self) -> None:
         while True:
--- a/pistachiodeal/task_groups.py
+++ b/pistachiodeal/task_groups.py
@@ -34,7 +34,7 @@
     return [results[number] for number in range(len(calls))]
 
 
-async def run_until_one_ends(*children: Child) -> None:
+async def run_until_first_exit(*children: Child) -> None:
     """Run children concurrently; when one ends, cancel the others.
 
     :raises Exception: the exception of the first child that failed.
--- a/tests/standins/job_cluster.py
+++ b/tests/standins/job_cluster.py
@@ -25,8 +25,8 @@
 from pistachiodeal.jobagent.signals import AgentSignals
 from pistachiodeal.jobentry.acceptance import Acceptance
 from pistachiodeal.jobentry.handover import HandOver
+from pistachiodeal.jobentry.peer_server import PeerServer
 from pistachiodeal.jobentry.relay import RelayedRows, build_dispatcher
-from pistachiodeal.jobentry.seat import PeerServer
 from pistachiodeal.jobentry.states import JobStates
 from pistachiodeal.jobs.model import Job, JobState, Queue, Step
 from pistachiodeal.jobs.rows import CANCEL_VALUE, build_cancel_key, encode_job
--- a/tests/unit/test_leader_handover.py
+++ b/tests/unit/test_leader_handover.py
@@ -92,7 +92,7 @@
             await wait_for_followers(leader, 2)
             first, second = (one for one in cluster.entries if one is not leader)
             assert await first.handover.leave()
-            while all(one.holder.fitness for one in leader.seat.followers):
+            while all(one.candidate.fitness for one in leader.seat.followers):
                 await curio.sleep(0.01)
             assert await leader.handover.leave()
             assert await wait_for_leader(cluster, leader) is second
@@ -127,9 +127,9 @@
             chosen = next(
                 one
                 for one in cluster.entries
-                if f"entry-{one.name}" == follower.holder.node
+                if f"entry-{one.name}" == follower.candidate.node
             )
-            epoch = await leader.election.hand_over(follower.holder)
+            epoch = await leader.election.hand_over(follower.candidate)
             assert epoch
             await chosen.kill()
             await leader.seat.yield_leadership(epoch)
@@ -157,12 +157,12 @@
             await wait_for_followers(leader, 2)
             follower = leader.seat.find_fittest()
             assert follower is not None
-            assert await leader.election.hand_over(follower.holder)
+            assert await leader.election.hand_over(follower.candidate)
             await leader.kill()
             began_at = time.monotonic()
             successor = await wait_for_leader(cluster, leader)
             took_s = time.monotonic() - began_at
-            assert f"entry-{successor.name}" == follower.holder.node
+            assert f"entry-{successor.name}" == follower.candidate.node
             job = build_job(1)
             await successor.submit(job)
             await cluster.wait_for_state(job, JobState.COMPLETED)
--- a/tests/unit/test_routing_choice.py
+++ b/tests/unit/test_routing_choice.py
@@ -47,7 +47,7 @@
         chosen = chooser.choose(candidates, now)
         if chosen is broken:
             failures += 1
-            broken.note_failure(now)
+            broken.record_failure(now)
     assert failures < 100
 
 
@@ -94,7 +94,7 @@
 def test_refused_and_silent_targets_only_when_nothing_else_is_left():
     refused, silent = build_candidate("refused"), build_candidate("silent")
     good = build_candidate("good", busy=8)
-    refused.note_refusal(NOW, 0.5, 0.5)
+    refused.record_refusal(NOW, 0.5, 0.5)
     silent.reported_at = NOW - STALE_AFTER_S - 0.1
     chooser = create_least_loaded("dc1", random.Random(1))
     assert count_choices(chooser, [refused, silent, good], 50)["good"] == 50
@@ -140,10 +140,10 @@
     budget = create_retry_budget(0.1, clock=lambda: 0.0)
     taken = 0
     for _ in range(5000):
-        budget.note_request()
-        taken += budget.take()
+        budget.record_request()
+        taken += budget.try_spend()
     assert 480 <= taken <= 520
-    assert not create_retry_budget(0.0, clock=lambda: 0.0).take()
+    assert not create_retry_budget(0.0, clock=lambda: 0.0).try_spend()
 
 
 def test_one_caller_cannot_use_all_slots():
