--- a/bench/simulation.py
+++ b/bench/simulation.py
@@ -111,7 +111,7 @@
         """Give late readings to what decides, and carry its answer out."""
         end = self._now + STEP_S
         brain = self._brains[worker.name]
-        brain.timeline.note(self._now, _note_kinds(worker))
+        brain.timeline.record(self._now, _note_kinds(worker))
         late = self._late[worker.name]
         late.append(self._read(worker, end))
         known = len(late) * STEP_S > LAG_S
@@ -137,7 +137,7 @@
     def _exchange(self) -> None:
         alive = [worker.name for worker in self._workers if worker.alive]
         for name in alive:
-            pairs = self._brains[name].model.take_evidence()
+            pairs = self._brains[name].model.drain_measurements()
             if pairs:
                 self._relay.accept(name, Evidence(pairs))
         for name in alive:
--- a/pistachiodeal/agent/guard_loop.py
+++ b/pistachiodeal/agent/guard_loop.py
@@ -88,7 +88,7 @@
         """Record which kinds of task run, call the guard, carry out its actions."""
         now = self._clock()
         shares = sum_kinds(self._tasks.records, self._tasks.capacity)
-        self._timeline.note(now, shares)
+        self._timeline.record(now, shares)
         readings = self._read_services(now)
         for action in self._guard.decide(now, readings, self._tasks.runs()):
             if isinstance(action, Throttle):
--- a/pistachiodeal/agent/interference_exchange.py
+++ b/pistachiodeal/agent/interference_exchange.py
@@ -20,7 +20,7 @@
 class ExchangedModel(Protocol):
     """The interference model, as far as the exchange uses it."""
 
-    def take_evidence(self) -> tuple[PairEvidence, ...]:
+    def drain_measurements(self) -> tuple[PairEvidence, ...]:
         """Return the measurements added since the last call."""
 
     def merge(self, pairs: Iterable[PairEvidence], now: float) -> None:
@@ -49,7 +49,7 @@
 
     async def send(self) -> None:
         """Send new measurements; if sending fails, keep them for the next time."""
-        self._unsent.extend(self._model.take_evidence())
+        self._unsent.extend(self._model.drain_measurements())
         del self._unsent[:-MAX_PAIRS]
         if not self._unsent:
             return
--- a/pistachiodeal/jobagent/tail_watch.py
+++ b/pistachiodeal/jobagent/tail_watch.py
@@ -102,7 +102,7 @@
     def _describe_fills(
         self, serving: str, paces: Mapping[str, int]
     ) -> dict[str, dict[str, Any]]:
-        """Return runs, pace, use and press of each filling image."""
+        """Return runs, pace, use and interference of each filling image."""
         ledger = self.ledger
         described: dict[str, dict[str, Any]] = {}
         for key in ledger.figures.histories:
--- a/pistachiodeal/jobpath/parts.py
+++ b/pistachiodeal/jobpath/parts.py
@@ -30,19 +30,21 @@
     ended = [task for task in job.tasks.values() if task.finished_at]
     if not ended:
         return []
-    chain = [max(ended, key=lambda task: task.finished_at)]
+    critical_path = [max(ended, key=lambda task: task.finished_at)]
     while True:
-        ready_at = chain[0].ready_at
+        ready_at = critical_path[0].ready_at
         before = [
             task
             for task in ended
-            if task.step != chain[0].step
+            if task.step != critical_path[0].step
             and task.finished_at <= ready_at + MAX_CLOCK_SKEW_S
         ]
-        before = [task for task in before if task.finished_at < chain[0].finished_at]
+        before = [
+            task for task in before if task.finished_at < critical_path[0].finished_at
+        ]
         if not before:
-            return chain
-        chain.insert(0, max(before, key=lambda task: task.finished_at))
+            return critical_path
+        critical_path.insert(0, max(before, key=lambda task: task.finished_at))
 
 
 def measure_parts(job: JobTrace, paces: PaceTimeline) -> Mapping[str, float]:
@@ -50,12 +52,12 @@
     parts: defaultdict[str, float] = defaultdict(float)
     if job.accepted_at and job.known_at:
         parts[HEARD] = max(0.0, job.known_at - job.accepted_at)
-    chain = find_critical_path(job)
-    for task in chain:
+    critical_path = find_critical_path(job)
+    for task in critical_path:
         for run in _order_runs(task):
             _add_run(job, task, run, paces, parts)
-    if chain:
-        parts[SHOWN] = max(0.0, job.shown_at - chain[-1].finished_at)
+    if critical_path:
+        parts[SHOWN] = max(0.0, job.shown_at - critical_path[-1].finished_at)
     accounted_s = sum(parts.values())
     if job.age_s > accounted_s:
         parts[OTHER] = job.age_s - accounted_s
--- a/pistachiodeal/jobpath/summary.py
+++ b/pistachiodeal/jobpath/summary.py
@@ -68,12 +68,12 @@
     for job, times in zip(jobs, job_parts, strict=True):
         for part, seconds in times.items():
             late[part] += seconds if job.late else 0.0
-    whole = sum(late.values())
+    total_late_s = sum(late.values())
     parts = [
         PartSummary(
             part,
             *_measure([times.get(part, 0.0) for times in job_parts]),
-            late[part] / whole if whole else 0.0,
+            late[part] / total_late_s if total_late_s else 0.0,
         )
         for part in {part for times in job_parts for part in times}
     ]
--- a/pistachiodeal/jobs/runtime.py
+++ b/pistachiodeal/jobs/runtime.py
@@ -104,11 +104,16 @@
         """Limit a run to a percentage of its full speed."""
 
     async def renew(
-        self, worker: str, token: int, noted: int, lease_end_ms: int, wait_ms: int
+        self,
+        worker: str,
+        token: int,
+        acknowledged: int,
+        lease_end_ms: int,
+        wait_ms: int,
     ) -> Listing:
         """Renew the lease, acknowledge ended runs, and list running and ended runs.
 
-        :param noted: number of the last end that is acknowledged.
+        :param acknowledged: number of the last acknowledged end.
         :param lease_end_ms: on the runner's clock, milliseconds; 0 leaves the lease
             unchanged.
         :param wait_ms: how long the runner may delay its answer until a run ends,
--- a/pistachiodeal/leader/workers.py
+++ b/pistachiodeal/leader/workers.py
@@ -44,7 +44,7 @@
 
     @property
     def empty(self) -> bool:
-        """Tell whether nothing has to be sent now; presses can wait."""
+        """Tell whether nothing has to be sent now; interference can wait."""
         return not (self.starts or self.stops or self.known)
 
 
--- a/pistachiodeal/learning/interference.py
+++ b/pistachiodeal/learning/interference.py
@@ -126,8 +126,8 @@
         }
         return sorted(harm, key=lambda kind: (-harm[kind], kind))
 
-    def take_evidence(self) -> tuple[PairEvidence, ...]:
-        """Return the evidence since the last call that is large enough to send."""
+    def drain_measurements(self) -> tuple[PairEvidence, ...]:
+        """Return the measurements since the last call that are large enough to send."""
         taken = []
         for key, (excess_sum, weight) in list(self._pending.items()):
             weight_milli = round(weight * _MILLI)
--- a/pistachiodeal/learning/timeline.py
+++ b/pistachiodeal/learning/timeline.py
@@ -16,7 +16,7 @@
         self._times: list[float] = []
         self._steps: list[dict[str, float]] = []
 
-    def note(self, now: float, kinds: Mapping[str, float]) -> None:
+    def record(self, now: float, kinds: Mapping[str, float]) -> None:
         """Record what runs from ``now`` on; a time before the latest one is ignored.
 
         :param kinds: kind of task to the share of the worker that it uses.
--- a/pistachiodeal/platform/runner.py
+++ b/pistachiodeal/platform/runner.py
@@ -94,12 +94,17 @@
         return await self._send_order("/api/pace", worker, document)
 
     async def renew(
-        self, worker: str, token: int, noted: int, lease_end_ms: int, wait_ms: int
+        self,
+        worker: str,
+        token: int,
+        acknowledged: int,
+        lease_end_ms: int,
+        wait_ms: int,
     ) -> Listing:
         """Renew the lease; list the running tasks and those that have ended."""
         # "last_seen" acknowledges ends: the runner drops them for good, so only ends
         # that are stored durably may be acknowledged.
-        document = {"fencing_token": token, "last_seen": noted}
+        document = {"fencing_token": token, "last_seen": acknowledged}
         if lease_end_ms:
             document["until_ms"] = lease_end_ms
         if wait_ms:
--- a/tests/standins/job_runner.py
+++ b/tests/standins/job_runner.py
@@ -199,7 +199,12 @@
         return self._admit(worker, token)
 
     async def renew(
-        self, worker: str, token: int, noted: int, lease_end_ms: int, wait_ms: int
+        self,
+        worker: str,
+        token: int,
+        acknowledged: int,
+        lease_end_ms: int,
+        wait_ms: int,
     ) -> Listing:
         """See ``Runtime``."""
         deadline = time.monotonic() + wait_ms / 1000
@@ -214,7 +219,7 @@
             result = self._admit(worker, token)
             if result is not CallResult.DONE:
                 return Listing(result)
-            self._note(noted)
+            self._note(acknowledged)
             if lease_end_ms:
                 self._until_ms = max(self._until_ms, lease_end_ms)
             if self._ends or time.monotonic() >= deadline:
@@ -334,11 +339,11 @@
         self._ends.append(EndedTask(self._number, work.task, work.run, how, ""))
         self._witness.see_end(work.task, work.run, how)
 
-    def _note(self, noted: int) -> None:
+    def _note(self, acknowledged: int) -> None:
         for end in self._ends:
-            if end.number <= noted:
+            if end.number <= acknowledged:
                 self._witness.see_noted(end.task, end.how)
-        self._ends = [end for end in self._ends if end.number > noted]
+        self._ends = [end for end in self._ends if end.number > acknowledged]
 
     def _list(self) -> Listing:
         now = time.monotonic()
--- a/tests/unit/test_agent_app.py
+++ b/tests/unit/test_agent_app.py
@@ -158,7 +158,7 @@
         return len(sent) > 1
 
     async def main() -> None:
-        model = cast(Any, SimpleNamespace(take_evidence=lambda: news.pop(0)))
+        model = cast(Any, SimpleNamespace(drain_measurements=lambda: news.pop(0)))
         exchange = InterferenceExchange(model, send)
         for _ in range(3):
             await exchange.send()
--- a/tests/unit/test_control_guard.py
+++ b/tests/unit/test_control_guard.py
@@ -53,7 +53,7 @@
         shares = {}
         for run in self.runs.values():
             shares[run.kind] = shares.get(run.kind, 0.0) + 0.25 * run.share
-        self.timeline.note(now, shares)
+        self.timeline.record(now, shares)
         latency = self.law(shares) if latency is None else latency
         at = now if at is None else at
         reading = ServiceReading("desk", at, latency, 1.0, True, True)
--- a/tests/unit/test_jobagent_renewal.py
+++ b/tests/unit/test_jobagent_renewal.py
@@ -24,7 +24,12 @@
     tokens: list[int] = field(default_factory=list)
 
     async def renew(
-        self, worker: str, token: int, noted: int, lease_end_ms: int, wait_ms: int
+        self,
+        worker: str,
+        token: int,
+        acknowledged: int,
+        lease_end_ms: int,
+        wait_ms: int,
     ) -> Listing:
         self.tokens.append(token)
         await curio.sleep(0.01)
--- a/tests/unit/test_learning.py
+++ b/tests/unit/test_learning.py
@@ -15,7 +15,7 @@
 def test_timeline_returns_past_shares():
     timeline = create_timeline(limit=2)
     for now in range(10):
-        timeline.note(float(now), {"scan": now / 10})
+        timeline.record(float(now), {"scan": now / 10})
     assert timeline.at(8.5) == {"scan": 0.8}
     assert timeline.at(0.5) == {} and not timeline.covers(0.5)
     assert abs(timeline.mean(7.5, 9.5)["scan"] - 0.8) < 1e-9
@@ -102,10 +102,10 @@
     for step in range(40):
         share = step % 2
         agents[0].observe("desk", {"scan": share}, 1 + 2.0 * share, 1.0, step / 2)
-    agents[1].merge(agents[0].take_evidence(), 20.0)
+    agents[1].merge(agents[0].drain_measurements(), 20.0)
     learnt = agents[1].estimate("desk", "scan", 20.0)
     assert learnt.known and abs(learnt.excess - 2.0) < 0.4
-    assert agents[1].take_evidence() == () == agents[0].take_evidence()
+    assert agents[1].drain_measurements() == () == agents[0].drain_measurements()
 
 
 @settings(derandomize=True, deadline=None, max_examples=50)
