--- a/pistachiodeal/leader/reconcile.py
+++ b/pistachiodeal/leader/reconcile.py
@@ -68,16 +68,16 @@
         worker = self._fleet.get(attachment.node)
         attachment.beat, attachment.last_report_at = report.beat, now
         worker.generation += 1
-        listed = index_report(report)
+        report_index = index_report(report)
         place = build_place(worker.node, report.worker) if report.worker else ""
         earlier_places = self._list_earlier_places(worker, place)
         if place and report.listed:
-            self._move_runs(earlier_places, place, listed)
+            self._move_runs(earlier_places, place, report_index)
         for loss in report.losses:
             if loss.worker != report.worker:
                 self._apply_loss(worker, loss, now)
                 why = f"its agent saw it end: {loss.cause}"
-                self._requeue_all_lost(earlier_places, why, listed.outcomes)
+                self._requeue_all_lost(earlier_places, why, report_index.outcomes)
         if not report.worker:
             worker.listed = False
             return
@@ -91,9 +91,9 @@
         # The agent has reached the current worker of the node, so all earlier
         # incarnations are gone.
         self._requeue_all_lost(earlier_places, "a new incarnation is at its address")
-        self._apply_runs(worker, attachment, listed, now)
+        self._apply_runs(worker, attachment, report_index, now)
         self._apply_ends(worker, attachment, report)
-        self._stop_orphans(worker, attachment, listed)
+        self._stop_orphans(worker, attachment, report_index)
         self._interference_monitor.update(worker, attachment, now)
 
     def stop(self, task: Task, why: str) -> None:
@@ -193,7 +193,7 @@
             self.requeue_lost_runs(place, why, kept)
 
     def _move_runs(
-        self, earlier_places: list[str], place: str, listed: ReportIndex
+        self, earlier_places: list[str], place: str, report_index: ReportIndex
     ) -> None:
         """Move runs that were ordered for earlier incarnations and started on this one.
 
@@ -201,7 +201,7 @@
         """
         for other in earlier_places:
             for name, task in list(self._registry.get_runs(other).items()):
-                if listed.contains((name, task.run)):
+                if report_index.contains((name, task.run)):
                     self._events.emit(
                         "run.moved", task=name, run=task.run, place=place, was=other
                     )
@@ -211,20 +211,20 @@
         self,
         worker: WorkerState,
         attachment: Attachment,
-        listed: ReportIndex,
+        report_index: ReportIndex,
         now: float,
     ) -> None:
         for name, task in list(self._registry.get_runs(worker.place).items()):
             key = (name, task.run)
-            if key in listed.running:
-                self._update_running(task, listed.running[key], now)
+            if key in report_index.running:
+                self._update_running(task, report_index.running[key], now)
                 attachment.describe(build_order(task))
                 if task.stopping or self._is_over(task):
                     attachment.order_stop(name, task.run)
-            elif key in listed.ends:
+            elif key in report_index.ends:
                 continue
-            elif key in listed.outcomes:
-                self._apply_outcome(worker, task, listed.outcomes[key], now)
+            elif key in report_index.outcomes:
+                self._apply_outcome(worker, task, report_index.outcomes[key], now)
             elif key not in attachment.ordered and self._is_durable(task):
                 # The run was ordered by an earlier leader or on an earlier link. Its
                 # order may still be in flight. The runner's answer to a stop makes the
@@ -337,11 +337,11 @@
             self.stop(other, "the job has failed")
 
     def _stop_orphans(
-        self, worker: WorkerState, attachment: Attachment, listed: ReportIndex
+        self, worker: WorkerState, attachment: Attachment, report_index: ReportIndex
     ) -> None:
         worker.orphans = {}
         runs = self._registry.get_runs(worker.place)
-        for name, run in listed.running:
+        for name, run in report_index.running:
             task = runs.get(name)
             if task is not None and task.run == run:
                 continue
