--- a/bench/simulation.py
+++ b/bench/simulation.py
@@ -111,7 +111,7 @@
         """Pass delayed readings to the decider, and carry out its actions."""
         end = self._now + STEP_S
         controller = self._controllers[worker.name]
-        controller.timeline.note(self._now, _compute_kind_shares(worker))
+        controller.timeline.record(self._now, _compute_kind_shares(worker))
         delayed = self._delayed_readings[worker.name]
         delayed.append(self._read_services(worker, end))
         is_available = len(delayed) * STEP_S > READING_LAG_S
@@ -139,7 +139,7 @@
     def _exchange_evidence(self) -> None:
         alive = [worker.name for worker in self._workers if worker.alive]
         for name in alive:
-            pairs = self._controllers[name].model.take_evidence()
+            pairs = self._controllers[name].model.drain_measurements()
             if pairs:
                 self._relay.accept(name, Evidence(pairs))
         for name in alive:
--- a/tests/standins/job_runner.py
+++ b/tests/standins/job_runner.py
@@ -210,7 +210,12 @@
         return self._admit(worker, token)
 
     async def renew(
-        self, worker: str, token: int, noted: int, lease_end_ms: int, wait_ms: int
+        self,
+        worker: str,
+        token: int,
+        acknowledged: int,
+        lease_end_ms: int,
+        wait_ms: int,
     ) -> Listing:
         """See ``Runtime``."""
         deadline = time.monotonic() + wait_ms / 1000
@@ -225,7 +230,7 @@
             result = self._admit(worker, token)
             if result is not CallResult.DONE:
                 return Listing(result)
-            self._acknowledge(noted)
+            self._acknowledge(acknowledged)
             if lease_end_ms:
                 self._until_ms = max(self._until_ms, lease_end_ms)
             if self._ends or time.monotonic() >= deadline:
@@ -355,11 +360,11 @@
         self._ends.append(EndedTask(self._number, work.task, work.run, how, ""))
         self._checker.record_end(work.task, work.run, how)
 
-    def _acknowledge(self, noted: int) -> None:
+    def _acknowledge(self, acknowledged: int) -> None:
         for end in self._ends:
-            if end.number <= noted:
+            if end.number <= acknowledged:
                 self._checker.record_acknowledged(end.task, end.how)
-        self._ends = [end for end in self._ends if end.number > noted]
+        self._ends = [end for end in self._ends if end.number > acknowledged]
 
     def _list(self) -> Listing:
         now = time.monotonic()
