--- a/pistachiodeal/jobs/record.py
+++ b/pistachiodeal/jobs/record.py
@@ -14,6 +14,9 @@
 from pistachiodeal.jobs.model import Job, JobState, Step, compute_critical_path_s
 from pistachiodeal.jobs.names import TaskName
 
+# Messages carry the number of a run in 32 bits; half of them are left for new runs.
+MAX_COUNT = 2**31
+
 
 @dataclass(slots=True, eq=False)
 class Task:
@@ -286,7 +289,9 @@
         document = orjson.loads(value)
         record.state = record.durable_state = JobState(document["state"])
         record.begun = bool(document["begun"])
-        record.completed = {int(number) for number in document["completed"]}
+        for number in document["completed"]:
+            _check_occurrence(record.job, number)
+            record.completed.add(number)
         record.row_version = version
         for key, fields in document["tasks"].items():
             _apply_task(record, key, fields)
@@ -316,7 +321,8 @@
 
 def _find_task(record: JobRecord, key: str) -> Task:
     occurrence, step, index = (int(part) for part in key.split("."))
-    if min(occurrence, step, index) < 0:
+    _check_occurrence(record.job, occurrence)
+    if min(step, index) < 0:
         raise ValueError("a task key has a negative number")
     if occurrence not in record.occurrences:
         record.occurrences[occurrence] = _build_steps(record.job, occurrence)
@@ -348,5 +354,12 @@
 
 def _check_counts(task: Task) -> None:
     check_fields(task)
-    if min(task.run, task.failures, task.crashes, task.blames) < 0:
-        raise ValueError("a task has a negative count")
+    for count in (task.run, task.failures, task.crashes, task.blames):
+        if not 0 <= count <= MAX_COUNT:
+            raise ValueError(f"{count} is not a valid count of a task")
+
+
+def _check_occurrence(job: Job, number: object) -> None:
+    # Compares exact types: a bool is an instance of int, but not a valid number.
+    if type(number) is not int or not 0 <= number < max(job.repeats, 1):
+        raise ValueError(f"the job has no occurrence {number!r}")
--- a/tests/unit/test_foreign_writers.py
+++ b/tests/unit/test_foreign_writers.py
@@ -303,3 +303,26 @@
     document = {**build_progress(), "completed": [2.0**64]}
     with pytest.raises(ProtocolError):
         read_progress_row(orjson.dumps(document))
+
+
+@pytest.mark.parametrize("number", [1, -1, 0.0, "0", True])
+def test_a_progress_row_with_an_occurrence_that_the_job_lacks_is_refused(number):
+    """Guards against a job that completes without having run all its occurrences."""
+    document = {**build_progress(), "completed": [number]}
+    with pytest.raises(ProtocolError):
+        read_progress_row(orjson.dumps(document))
+
+
+def test_a_progress_row_with_a_task_of_an_occurrence_that_the_job_lacks_is_refused():
+    """Guards against running tasks that the job never asked for."""
+    document = {**build_progress(), "tasks": {"1.0.0": [1, "node/w1", 0, 0, ""]}}
+    with pytest.raises(ProtocolError):
+        read_progress_row(orjson.dumps(document))
+
+
+@pytest.mark.parametrize("fields", [[2**32, "", 0, 0, ""], [1, "", 0, 2**63, ""]])
+def test_a_progress_row_with_a_count_that_no_message_can_carry_is_refused(fields):
+    """Guards against a leader that fails at each order for the task."""
+    document = {**build_progress(), "tasks": {"0.0.0": fields}}
+    with pytest.raises(ProtocolError):
+        read_progress_row(orjson.dumps(document))
