--- a/pistachiodeal/leader/crashes.py
+++ b/pistachiodeal/leader/crashes.py
@@ -14,11 +14,13 @@
 from pistachiodeal.leader.workers import Fleet, WorkerState, build_place
 from pistachiodeal.scheduling.crash_attribution import (
     CRASH_RESET_S,
+    OBSERVATION_S,
     RACK_FAILURE_WINDOW_S,
     STARTUP_S,
     CrashedRun,
     attribute_crash,
     is_suspect,
+    needs_observation,
 )
 from pistachiodeal.wire.job_messages import WorkerLoss
 
@@ -65,6 +67,8 @@
         self._fleet = fleet
         self._events = events
         self._recent: list[_Crash] = []
+        # Held tasks that one more crash would fail, with the time of their last crash.
+        self._observed: dict[Task, float] = {}
         # Agents report a crash until it is answered, and again on each new link.
         self._reported_at: dict[str, float] = {}
 
@@ -108,6 +112,8 @@
             explained=attribution.explained,
             blames=blames,
         )
+        if not attribution.blames:
+            self._pardon_observed(crash)
         for run in active_runs:
             if run.task not in attribution.involved:
                 continue
@@ -120,6 +126,9 @@
                 # leaves it empty, which would make it the first choice again.
                 task.avoid |= {worker.node}
                 task.held_until = max(task.held_until, crash.at + RACK_CHECK_DELAY_S)
+            if needs_observation(task):
+                task.held_until = max(task.held_until, crash.at + OBSERVATION_S)
+                self._observed[task] = crash.at
             self._log_suspect(task, run.age_s)
         self._recent.append(crash)
 
@@ -143,12 +152,29 @@
             if crash.counted_tasks and self._did_rack_fail(crash):
                 self._revert_counts(crash)
         self._recent = [one for one in self._recent if now - one.at < RECOVERY_WINDOW_S]
+        self._observed = {
+            task: at
+            for task, at in self._observed.items()
+            if now - at < OBSERVATION_S and needs_observation(task)
+        }
         self._reported_at = {
             place: at
             for place, at in self._reported_at.items()
             if now - at < DEDUP_WINDOW_S
         }
 
+    def _pardon_observed(self, crash: _Crash) -> None:
+        """Take one crash off the held tasks, which can't have caused this one."""
+        for task, crashed_at in list(self._observed.items()):
+            if task.place or crash.at - crashed_at <= RACK_FAILURE_WINDOW_S:
+                continue
+            if self._registry.find_task(str(task.name)) is not task:
+                continue
+            del self._observed[task]
+            task.crashes -= 1
+            self._registry.mark_unsaved(task)
+            self._log_pardon(task, crash)
+
     def count_unrecovered(self) -> int:
         """Return how many workers crashed under a suspect and have not restarted."""
         return len(
@@ -182,14 +208,17 @@
             blames = crash.blames.get(str(task.name), 0)
             task.blames = max(0, task.blames - blames)
             self._registry.mark_unsaved(task)
-            self._events.emit(
-                "task.pardoned",
-                task=str(task.name),
-                node=crash.worker.node,
-                rack=crash.worker.rack,
-                crashes=task.crashes,
-                blames=task.blames,
-            )
+            self._log_pardon(task, crash)
+
+    def _log_pardon(self, task: Task, crash: _Crash) -> None:
+        self._events.emit(
+            "task.pardoned",
+            task=str(task.name),
+            node=crash.worker.node,
+            rack=crash.worker.rack,
+            crashes=task.crashes,
+            blames=task.blames,
+        )
 
     def _log_suspect(self, task: Task, age_s: float | None) -> None:
         self._events.emit(
--- a/pistachiodeal/scheduling/crash_attribution.py
+++ b/pistachiodeal/scheduling/crash_attribution.py
@@ -37,6 +37,10 @@
 # by themselves, most counted tasks are not at fault, and serving tasks would queue for
 # isolated workers.
 CRASHES_TO_GIVE_UP = 5
+# A task that one more crash would fail is held for this long. A crash of another worker
+# meanwhile shows that workers crash by themselves: those that crash in turns, a second
+# apart, can hit a short task each time.
+OBSERVATION_S = 2.0
 # Running for this long resets the counts: a task that runs for days sees many crashes.
 CRASH_RESET_S = 10.0
 # Crashes of all workers of a rack within this time are attributed to the rack.
@@ -114,6 +118,11 @@
     return task.blames >= BLAME_TO_GIVE_UP or task.crashes >= CRASHES_TO_GIVE_UP
 
 
+def needs_observation(task: CrashCounts) -> bool:
+    """Tell whether one more crash, without any blame, would fail the task's job."""
+    return task.crashes == CRASHES_TO_GIVE_UP - 1
+
+
 def compute_isolation_limit(workers: int) -> int:
     """Return how many workers may run, or have crashed under, suspect tasks."""
     return max(1, int(workers * MAX_ISOLATION_SHARE))
