--- a/bench/floor_programs.py
+++ b/bench/floor_programs.py
@@ -21,7 +21,7 @@
 from curio.io import Socket
 
 import pistachiodeal
-from pistachiodeal.web.server import bind_listener
+from pistachiodeal.web.listener import bind_listener
 
 READ_BYTES = 65_536
 LENGTH_BYTES = 4
--- a/bench/request_cost.py
+++ b/bench/request_cost.py
@@ -31,7 +31,7 @@
 )
 from pistachiodeal.config.agent import AgentSettings
 from pistachiodeal.config.entry import EntrySettings
-from pistachiodeal.web.server import bind_listener
+from pistachiodeal.web.listener import bind_listener
 from tests.harness import Cluster, run_cluster
 from tests.harness.cluster import Peer, get_address
 from tests.harness.processes import Process
--- a/pistachiodeal/entry/composition.py
+++ b/pistachiodeal/entry/composition.py
@@ -34,8 +34,9 @@
 from pistachiodeal.store.http_objects import create_object_store
 from pistachiodeal.store.http_table import create_table
 from pistachiodeal.supervisor import Supervisor
+from pistachiodeal.web.listener import bind_listener
 from pistachiodeal.web.messages import WebLimits, WebRequest, WebResponse
-from pistachiodeal.web.server import WebServer, bind_listener, create_server
+from pistachiodeal.web.server import WebServer, create_server
 from pistachiodeal.wire.identity import ENTRY_ROLE, Identity
 from pistachiodeal.wire.link import LinkTimings
 
--- a/pistachiodeal/entry/links.py
+++ b/pistachiodeal/entry/links.py
@@ -26,6 +26,7 @@
 )
 from pistachiodeal.metrics import Metrics
 from pistachiodeal.profiles.manager import ProfileManager
+from pistachiodeal.web.listener import accept_connection
 from pistachiodeal.wire.identity import AGENT_ROLE, Identity
 from pistachiodeal.wire.link import Link, LinkTimings
 from pistachiodeal.wire.messages import (
@@ -45,7 +46,6 @@
 log = Logger("entry")
 
 LINK_LIMIT = 4096
-ACCEPT_PAUSE_S = 0.1
 GOODBYE_TIMEOUT_S = 0.2
 ANSWERS = (Response, Refusal, Failure)
 TASK_MESSAGES = (StartRefused, TaskEnded)
@@ -110,14 +110,7 @@
                 await curio.ignore_after(GOODBYE_TIMEOUT_S, session.send, goodbye)
 
     async def _accept(self, listener: Socket) -> None:
-        try:
-            sock, _ = await listener.accept()
-        except OSError as error:
-            # For example, no file descriptors are left. Without the pause this loop
-            # would use a whole core and starve the tasks that could free some.
-            log.error("entry: accept failed: {!r}", error)
-            await curio.sleep(ACCEPT_PAUSE_S)
-            return
+        sock, _ = await accept_connection(listener)
         if len(self._tasks) >= LINK_LIMIT:
             self._metrics.count("entry.links_rejected")
             await sock.close()
--- a/pistachiodeal/jobentry/peer_server.py
+++ b/pistachiodeal/jobentry/peer_server.py
@@ -24,7 +24,7 @@
 from pistachiodeal.leader.leadership import Leadership
 from pistachiodeal.peers import PeerContext
 from pistachiodeal.store.row_store import RowStore
-from pistachiodeal.web.server import bind_listener
+from pistachiodeal.web.listener import accept_connection, bind_listener
 from pistachiodeal.wire.identity import AGENT_ROLE
 from pistachiodeal.wire.job_messages import (
     Appointment,
@@ -139,7 +139,7 @@
         listener = Socket(bind_listener(host, port))
         async with listener:
             while True:
-                sock, _ = await listener.accept()
+                sock, _ = await accept_connection(listener)
                 await curio.spawn(self._serve, sock, daemon=True)
 
     async def _serve(self, sock: Socket) -> None:
--- a/pistachiodeal/web/server.py
+++ b/pistachiodeal/web/server.py
@@ -13,6 +13,7 @@
 
 from pistachiodeal.exceptions import Outcome, RequestError
 from pistachiodeal.web.connection import Connection
+from pistachiodeal.web.listener import accept_connection, bind_listener
 from pistachiodeal.web.messages import (
     WebCounters,
     WebLimits,
@@ -25,7 +26,6 @@
 
 Handler = Callable[[WebRequest], Awaitable[WebResponse]]
 
-BACKLOG = 1024
 # Share of the drain time in which idle connections may still send a request. With a
 # drain of a few seconds, the rest is enough to answer it, even if one answer of the
 # store is lost.
@@ -119,7 +119,7 @@
     async def _accept(self) -> None:
         listener = Socket(self._listener)
         while not self._draining:
-            sock, address = await listener.accept()
+            sock, address = await accept_connection(listener)
             await self._open(sock, address)
 
     async def _accept_backlog(self) -> None:
@@ -207,13 +207,3 @@
     """Return a server with a bound socket; :meth:`WebServer.run` starts accepting."""
     listener = bind_listener(host, port)
     return WebServer(listener, handler, limits)
-
-
-def bind_listener(host: str, port: int, backlog: int = BACKLOG) -> stdlib_socket.socket:
-    """Return a non-blocking listening TCP socket."""
-    listener = stdlib_socket.socket(stdlib_socket.AF_INET, stdlib_socket.SOCK_STREAM)
-    listener.setsockopt(stdlib_socket.SOL_SOCKET, stdlib_socket.SO_REUSEADDR, 1)
-    listener.setblocking(False)
-    listener.bind((host, port))
-    listener.listen(backlog)
-    return listener
--- a/tests/soak/deployment.py
+++ b/tests/soak/deployment.py
@@ -9,7 +9,7 @@
 import curio
 from curio.io import Socket
 
-from pistachiodeal.web.server import bind_listener
+from pistachiodeal.web.listener import bind_listener
 from tests.harness.ports import reserve_port
 from tests.harness.processes import Process
 from tests.soak.platform import RunnerServer, StoreServer, TimedInvariantChecker
--- a/tests/unit/test_entry_links.py
+++ b/tests/unit/test_entry_links.py
@@ -11,7 +11,7 @@
 from pistachiodeal.entry.targets import create_target_table
 from pistachiodeal.metrics import MemoryMetrics
 from pistachiodeal.model.resources import Resources
-from pistachiodeal.web.server import bind_listener
+from pistachiodeal.web.listener import bind_listener
 from pistachiodeal.wire.identity import Identity
 from pistachiodeal.wire.link import LinkTimings
 from pistachiodeal.wire.messages import (
--- a/tests/unit/test_leader_election.py
+++ b/tests/unit/test_leader_election.py
@@ -22,7 +22,7 @@
 from pistachiodeal.leader.election import Election
 from pistachiodeal.leader.fitness import compute_fitness
 from pistachiodeal.peers import PeerContext
-from pistachiodeal.web.server import bind_listener
+from pistachiodeal.web.listener import bind_listener
 from pistachiodeal.wire.identity import ENTRY_ROLE, Identity
 from pistachiodeal.wire.job_messages import (
     Directive,
--- a/tests/unit/test_web.py
+++ b/tests/unit/test_web.py
@@ -1,6 +1,8 @@
 """HTTP client and server: limits, broken connections, draining."""
 
 import contextlib
+import errno
+import socket as stdlib_socket
 
 import curio
 import pytest
@@ -8,8 +10,9 @@
 
 from pistachiodeal.exceptions import Outcome, RequestError
 from pistachiodeal.web.client import CallError, UnsendableError, create_client
+from pistachiodeal.web.listener import bind_listener
 from pistachiodeal.web.messages import WebLimits, WebRequest, WebResponse
-from pistachiodeal.web.server import bind_listener, create_server
+from pistachiodeal.web.server import WebServer, create_server
 
 LIMITS = WebLimits(head_bytes=1024, body_bytes=100, head_s=0.2, body_s=0.2)
 
@@ -189,6 +192,43 @@
     curio.run(main)
 
 
+class RefusingListener(stdlib_socket.socket):
+    """A listening socket whose first calls of accept() fail."""
+
+    refusals = 2
+
+    def accept(self):
+        if self.refusals:
+            self.refusals -= 1
+            raise OSError(errno.EMFILE, "too many open files")
+        return super().accept()
+
+
+def test_a_server_accepts_again_after_the_system_refused():
+    """Guards against a server that is deaf for good after it ran out of descriptors.
+
+    The task that accepts ended with the error of accept(); the process stayed, and no
+    caller that connected from then on got an answer.
+    """
+
+    async def main():
+        listener = RefusingListener()
+        listener.setblocking(False)
+        listener.bind(("127.0.0.1", 0))
+        listener.listen()
+        server = WebServer(listener, echo, LIMITS)
+        task = await curio.spawn(server.run)
+        client = create_client(f"127.0.0.1:{server.port}")
+        response = await client.call("POST", "/", body=b"x", timeout=2.0)
+        assert response.body == b"x"
+        assert listener.refusals == 0
+        await client.close()
+        await server.drain(0.5)
+        await task.join()
+
+    curio.run(main)
+
+
 def test_connection_closed_while_idle_is_not_used_again():
     """Guards against the outcome `unknown` for a request that no peer can have run.
 
--- a/tests/unit/test_wire.py
+++ b/tests/unit/test_wire.py
@@ -19,7 +19,7 @@
     ProtocolError,
 )
 from pistachiodeal.model.resources import Resources
-from pistachiodeal.web.server import bind_listener
+from pistachiodeal.web.listener import bind_listener
 from pistachiodeal.wire import handshake
 from pistachiodeal.wire.codec import (
     LENGTH_BYTES,
