--- a/pistachiodeal/platform/rows.py
+++ b/pistachiodeal/platform/rows.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 from base64 import b64decode, b64encode
-from typing import Any
+from collections.abc import Callable
+from typing import Any, TypeVar
 from urllib.parse import urlencode
 
 import orjson
@@ -32,9 +33,12 @@
 HISTORY_GONE = 410
 # 429: rate limit exceeded, 503: refused; neither has any effect.
 REFUSALS = (429, 503)
+SERVER_ERROR = 500
 CONNECTIONS = 12
 JSON_TYPE = (("content-type", "application/json"),)
 
+Decoded = TypeVar("Decoded")
+
 
 class PlatformRows:
     """A ``RowStore`` over HTTP.
@@ -50,18 +54,16 @@
 
     async def commit(self, transaction: Transaction) -> TransactionResult:
         """Apply a transaction; see ``RowStore``."""
-        response = await self._call(
-            "POST",
-            "/api/rows-tx",
-            self._encode_transaction(transaction),
-            "store.commit",
-        )
-        document = self._parse(response, "store.commit")
+        step = "store.commit"
+        body = self._encode_transaction(transaction)
+        response = await self._call("POST", "/api/rows-tx", body, step)
         if response.status == CONDITION_FAILED:
-            rows = document.get("rows", [])
-            found = {(row["table"], row["key"]): _decode_row(row) for row in rows}
-            return TransactionResult(False, 0, found)
-        return TransactionResult(True, document["schema_version"])
+            return self._parse(response, step, _decode_conflict)
+        if response.status >= SERVER_ERROR:
+            # The store may have applied the transaction before it failed.
+            detail = f"status {response.status}"
+            raise StoreUncertainError(detail, step=step, peer=self._client.address)
+        return self._decode(response, step, _decode_committed)
 
     async def read(
         self,
@@ -82,7 +84,7 @@
             query["limit"] = limit
         target = "/api/rows-get?" + urlencode(query)
         response = await self._call("GET", target, b"", "store.read")
-        return _decode_page(self._parse(response, "store.read"))
+        return self._decode(response, "store.read", _decode_page)
 
     async def follow(self, table: str, after: int, wait_s: float) -> RowPage:
         """Return the changes after a version; see ``RowStore``."""
@@ -91,12 +93,12 @@
         response = await self._call("GET", target, b"", "store.follow", wait_s)
         if response.status == HISTORY_GONE:
             raise HistoryLostError(step="store.follow", peer=self._client.address)
-        return _decode_page(self._parse(response, "store.follow"))
+        return self._decode(response, "store.follow", _decode_page)
 
     async def _call(
         self, method: str, target: str, body: bytes, step: str, wait_s: float = 0.0
     ) -> WebResponse:
-        """Make one call.
+        """Make one call; return the answer, unless the store refused the call.
 
         :param wait_s: time for which the store may delay the answer (long poll),
             seconds.
@@ -122,8 +124,6 @@
         if response.status in REFUSALS:
             detail = f"refused with status {response.status}"
             raise StoreUnavailableError(detail, step=step, peer=peer)
-        if response.status not in (OK, CONDITION_FAILED, HISTORY_GONE):
-            raise StoreError(f"status {response.status}", step=step, peer=peer)
         return response
 
     def _encode_transaction(self, transaction: Transaction) -> bytes:
@@ -158,11 +158,26 @@
         document = {"expected_rev": conditions, "writes": writes, "remove": removals}
         return orjson.dumps(document)
 
-    def _parse(self, response: WebResponse, step: str) -> dict[str, Any]:
+    def _decode(
+        self,
+        response: WebResponse,
+        step: str,
+        decode: Callable[[dict[str, Any]], Decoded],
+    ) -> Decoded:
+        if response.status != OK:
+            detail = f"status {response.status}"
+            raise StoreError(detail, step=step, peer=self._client.address)
+        return self._parse(response, step, decode)
+
+    def _parse(
+        self,
+        response: WebResponse,
+        step: str,
+        decode: Callable[[dict[str, Any]], Decoded],
+    ) -> Decoded:
         try:
-            document: dict[str, Any] = orjson.loads(response.body)
-            return document
-        except ValueError as error:
+            return decode(orjson.loads(response.body))
+        except (ValueError, KeyError, TypeError, AttributeError) as error:
             raise StoreUncertainError(
                 repr(error), step=step, peer=self._client.address
             ) from None
@@ -176,9 +191,26 @@
     return PlatformRows(create_client(address, connections=CONNECTIONS), find_partition)
 
 
+def _decode_committed(document: dict[str, Any]) -> TransactionResult:
+    return TransactionResult(True, _decode_version(document))
+
+
+def _decode_conflict(document: dict[str, Any]) -> TransactionResult:
+    rows = document.get("rows", [])
+    found = {(row["table"], row["key"]): _decode_row(row) for row in rows}
+    return TransactionResult(False, 0, found)
+
+
 def _decode_page(document: dict[str, Any]) -> RowPage:
     rows = tuple(_decode_row(row) for row in document["rows"])
-    return RowPage(rows, document["schema_version"], bool(document.get("truncated")))
+    return RowPage(rows, _decode_version(document), bool(document.get("truncated")))
+
+
+def _decode_version(document: dict[str, Any]) -> int:
+    version = document["schema_version"]
+    if not isinstance(version, int):
+        raise TypeError(f"schema_version is {version!r}, and no whole number")
+    return version
 
 
 def _decode_row(row: dict[str, Any]) -> StoredRow:
@@ -191,7 +223,7 @@
     return StoredRow(
         row["key"],
         value,
-        row["schema_version"],
+        _decode_version(row),
         bool(row.get("removed")),
         row.get("part", ""),
     )
