--- a/pistachiodeal/jobs/names.py
+++ b/pistachiodeal/jobs/names.py
@@ -4,6 +4,9 @@
 
 from dataclasses import dataclass
 
+# Far more than a name has; int() refuses a text of some thousand digits.
+MAX_NAME_LENGTH = 256
+
 
 @dataclass(frozen=True, slots=True)
 class TaskName:
@@ -21,6 +24,9 @@
 def parse_task_name(text: str) -> TaskName | None:
     """Return the parts of a task name, or None if the text is not a task name."""
     parts = text.split(".")
-    if len(parts) != 4 or not all(part.isdigit() for part in parts[1:]):
+    if len(text) > MAX_NAME_LENGTH or len(parts) != 4:
+        return None
+    # isdigit() is also true for digits of other scripts, and for a superscript two.
+    if not text.isascii() or not all(part.isdigit() for part in parts[1:]):
         return None
     return TaskName(parts[0], int(parts[1]), int(parts[2]), int(parts[3]))
--- a/pistachiodeal/platform/callers.py
+++ b/pistachiodeal/platform/callers.py
@@ -17,13 +17,14 @@
 READY_PATH = "/api/ready"
 DEADLINE_HEADER = "deadline-ms"
 DEFAULT_DEADLINE_S = 3.0
+DEADLINE_MS = re.compile(r"[0-9]{1,9}")
 JOB_ID = re.compile(r"[0-9a-f]{16}\Z")
 
 
 def read_budget_s(request: WebRequest) -> float:
     """Return the time for which the caller waits for the response, seconds."""
     text = request.header(DEADLINE_HEADER)
-    return int(text) / 1000 if text.isdigit() else DEFAULT_DEADLINE_S
+    return int(text) / 1000 if DEADLINE_MS.fullmatch(text) else DEFAULT_DEADLINE_S
 
 
 def read_host(request: WebRequest) -> str:
