--- a/pistachiodeal/jobs/model.py
+++ b/pistachiodeal/jobs/model.py
@@ -38,6 +38,18 @@
     ALONE = "alone"  # the other members of its gang did not start
 
 
+def parse_end_kind(text: str) -> EndKind:
+    """Return the kind of end that a runner names.
+
+    An unknown one, of a runner of another version, is no failure: only a known failure
+    counts as an attempt.
+    """
+    try:
+        return EndKind(text)
+    except ValueError:
+        return EndKind.LAPSED
+
+
 class OrderState(StrEnum):
     """What an agent reports about a start order whose run its worker doesn't list."""
 
--- a/pistachiodeal/leader/reconcile.py
+++ b/pistachiodeal/leader/reconcile.py
@@ -6,7 +6,7 @@
 
 from pistachiodeal.clock import read_boot_clock
 from pistachiodeal.events import EventLog
-from pistachiodeal.jobs.model import EndKind, LossCause, OrderState
+from pistachiodeal.jobs.model import EndKind, LossCause, OrderState, parse_end_kind
 from pistachiodeal.jobs.record import Task
 from pistachiodeal.jobs.runtime import CallResult
 from pistachiodeal.leader.advice import AdviceCache
@@ -301,7 +301,7 @@
         worker.advance_ends_noted(report.ends)
 
     def _apply_end(self, worker: WorkerState, task: Task, end: EndedTask) -> None:
-        kind = EndKind(end.how)
+        kind = parse_end_kind(end.how)
         now = read_boot_clock()
         self._events.emit(
             "run.end",
--- a/tests/unit/test_leader_reconcile.py
+++ b/tests/unit/test_leader_reconcile.py
@@ -357,6 +357,21 @@
 LOSS = WorkerLoss("w1", "crashed", 100, ())
 
 
+def test_an_end_of_an_unknown_kind_queues_the_task_again():
+    """Guards against a task that stays placed for ever after its run has ended.
+
+    A runner of another version names an end that the leader doesn't know. The error
+    ended the agent's link, and the end was taken for applied when it was listed again.
+    """
+    harness = LeaderHarness()
+    harness.report(ends=[EndedTask(1, TASK, 1, "evaporated", "")])
+    assert harness.task.waits
+    assert not harness.task.failures
+    harness.write()
+    harness.report(ends=[EndedTask(1, TASK, 1, "evaporated", "")])
+    assert harness.fleet.get("node").ends_noted == 1
+
+
 def test_a_run_started_by_the_next_incarnation_continues_there():
     """Guards against requeueing a run that the next incarnation has started."""
     harness = LeaderHarness()
