--- a/pistachiodeal/commands/job.py
+++ b/pistachiodeal/commands/job.py
@@ -24,7 +24,8 @@
 from pistachiodeal.exceptions import ProtocolError, StoreError
 from pistachiodeal.jobs.explain import explain_job, report_steps
 from pistachiodeal.jobs.model import JobState
-from pistachiodeal.jobs.record import JobRecord, apply_progress, build_record
+from pistachiodeal.jobs.progress import apply_progress
+from pistachiodeal.jobs.record import JobRecord, build_record
 from pistachiodeal.jobs.rows import (
     PROGRESS_TABLE,
     build_cancel_key,
--- a/pistachiodeal/jobentry/states.py
+++ b/pistachiodeal/jobentry/states.py
@@ -9,7 +9,7 @@
 from pistachiodeal.exceptions import LinkClosedError, RequestError, StoreError
 from pistachiodeal.jobentry.peer_server import PeerServer
 from pistachiodeal.jobs.model import JobState, Queue
-from pistachiodeal.jobs.record import read_state
+from pistachiodeal.jobs.progress import read_state
 from pistachiodeal.jobs.rows import PROGRESS_TABLE, build_cancel_key
 from pistachiodeal.jobs.tables import read_submission
 from pistachiodeal.leader.election import Election
--- a/pistachiodeal/jobs/record.py
+++ b/pistachiodeal/jobs/record.py
@@ -4,19 +4,10 @@
 
 from collections.abc import Iterator
 from dataclasses import dataclass, field
-from typing import Any
 
-import orjson
-
-from pistachiodeal.clock import read_boot_clock
-from pistachiodeal.exceptions import ProtocolError
-from pistachiodeal.jobs.checks import check_fields
 from pistachiodeal.jobs.model import Job, JobState, Step, compute_critical_path_s
 from pistachiodeal.jobs.names import TaskName
 
-# Messages carry the number of a run in 32 bits; half of them are left for new runs.
-MAX_COUNT = 2**31
-
 
 @dataclass(slots=True, eq=False)
 class Task:
@@ -193,10 +184,14 @@
         for number in range(self._count_due(time_of_day_s)):
             if number in self.occurrences or number in self.completed:
                 continue
-            self.occurrences[number] = _build_steps(self.job, number)
+            self.open_occurrence(number)
             opened = True
         return opened
 
+    def open_occurrence(self, number: int) -> None:
+        """Open an occurrence, with all tasks waiting."""
+        self.occurrences[number] = _build_steps(self.job, number)
+
     def list_ready(self) -> list[StepRecord]:
         """Return the steps that have waiting tasks and whose dependencies are done."""
         ready = []
@@ -249,96 +244,6 @@
     return JobRecord(job, critical_path_s=compute_critical_path_s(job.steps, declared))
 
 
-def encode_progress(record: JobRecord) -> bytes:
-    """Return the value of a job's progress row."""
-    tasks: dict[str, list[Any]] = {}
-    crashes: dict[str, list[int]] = {}
-    if not record.state.final:
-        for task in record.iterate_tasks():
-            if task.crashes:
-                crashes[_build_key(task)] = [task.crashes, task.blames]
-            if task.run:
-                tasks[_build_key(task)] = [
-                    task.run,
-                    task.place,
-                    int(task.done),
-                    task.failures,
-                    task.checkpoint,
-                ]
-    else:
-        # The next leader may still have to stop the runs of a final job.
-        for task in record.iterate_tasks():
-            if task.place:
-                tasks[_build_key(task)] = [task.run, task.place, int(task.done), 0, ""]
-    document = {
-        "state": record.state.value,
-        "begun": record.begun,
-        "completed": sorted(record.completed),
-        "tasks": tasks,
-        "crashes": crashes,
-    }
-    return orjson.dumps(document)
-
-
-def apply_progress(record: JobRecord, value: bytes, version: int) -> None:
-    """Restore a new record from its progress row.
-
-    :raises ProtocolError: the value is not a valid progress row.
-    """
-    try:
-        document = orjson.loads(value)
-        record.state = record.durable_state = JobState(document["state"])
-        record.begun = bool(document["begun"])
-        for number in document["completed"]:
-            _check_occurrence(record.job, number)
-            record.completed.add(number)
-        record.row_version = version
-        for key, fields in document["tasks"].items():
-            _apply_task(record, key, fields)
-        for key, counts in document.get("crashes", {}).items():
-            task = _find_task(record, key)
-            task.crashes, task.blames = counts
-            _check_counts(task)
-    except (ValueError, KeyError, TypeError, IndexError, AttributeError) as error:
-        raise ProtocolError(repr(error), step="jobs.decode_progress") from error
-
-
-def read_state(value: bytes) -> JobState:
-    """Return the state in a progress row.
-
-    :raises ProtocolError: the value is not a valid progress row.
-    """
-    try:
-        return JobState(orjson.loads(value)["state"])
-    except (ValueError, KeyError, TypeError) as error:
-        raise ProtocolError(repr(error), step="jobs.decode_progress") from error
-
-
-def _build_key(task: Task) -> str:
-    name = task.name
-    return f"{name.occurrence}.{name.step}.{name.index}"
-
-
-def _find_task(record: JobRecord, key: str) -> Task:
-    occurrence, step, index = (int(part) for part in key.split("."))
-    _check_occurrence(record.job, occurrence)
-    if min(step, index) < 0:
-        raise ValueError("a task key has a negative number")
-    if occurrence not in record.occurrences:
-        record.occurrences[occurrence] = _build_steps(record.job, occurrence)
-    return record.occurrences[occurrence][step].tasks[index]
-
-
-def _apply_task(record: JobRecord, key: str, fields: list[Any]) -> None:
-    task = _find_task(record, key)
-    task.run, task.place, done, task.failures, task.checkpoint = fields
-    _check_counts(task)
-    task.fully_observed = False
-    if done:
-        record.find_step(task.name).mark_done(task)
-    task.progressed_at = task.placed_at = read_boot_clock()
-
-
 def _build_steps(job: Job, occurrence: int) -> list[StepRecord]:
     records = []
     for number, step in enumerate(job.steps):
@@ -350,16 +255,3 @@
             StepRecord(number, occurrence, step, tasks, len(tasks), step.estimate_s)
         )
     return records
-
-
-def _check_counts(task: Task) -> None:
-    check_fields(task)
-    for count in (task.run, task.failures, task.crashes, task.blames):
-        if not 0 <= count <= MAX_COUNT:
-            raise ValueError(f"{count} is not a valid count of a task")
-
-
-def _check_occurrence(job: Job, number: object) -> None:
-    # Compares exact types: a bool is an instance of int, but not a valid number.
-    if type(number) is not int or not 0 <= number < max(job.repeats, 1):
-        raise ValueError(f"the job has no occurrence {number!r}")
--- a/pistachiodeal/leader/commits.py
+++ b/pistachiodeal/leader/commits.py
@@ -17,7 +17,8 @@
 from pistachiodeal.clock import read_boot_clock
 from pistachiodeal.events import EventLog
 from pistachiodeal.exceptions import FencedError, StoreError
-from pistachiodeal.jobs.record import JobRecord, encode_progress
+from pistachiodeal.jobs.progress import encode_progress
+from pistachiodeal.jobs.record import JobRecord
 from pistachiodeal.jobs.rows import (
     JOBS_TABLE,
     PROGRESS_TABLE,
--- a/pistachiodeal/leader/leadership.py
+++ b/pistachiodeal/leader/leadership.py
@@ -15,7 +15,8 @@
 from pistachiodeal.exceptions import FencedError, ProtocolError, StoreError
 from pistachiodeal.jobs.advice import Adviser
 from pistachiodeal.jobs.model import JobState, Queue
-from pistachiodeal.jobs.record import apply_progress, build_record
+from pistachiodeal.jobs.progress import apply_progress
+from pistachiodeal.jobs.record import build_record
 from pistachiodeal.jobs.rows import (
     JOBS_TABLE,
     UNDIVIDED_PARTITION,
--- a/tests/unit/test_commands_job.py
+++ b/tests/unit/test_commands_job.py
@@ -10,7 +10,8 @@
 from pistachiodeal import exit_codes
 from pistachiodeal.commands import job as command
 from pistachiodeal.commands.cli import main
-from pistachiodeal.jobs.record import build_record, encode_progress
+from pistachiodeal.jobs.progress import encode_progress
+from pistachiodeal.jobs.record import build_record
 from pistachiodeal.jobs.rows import CANCEL_VALUE, build_cancel_key, encode_job
 from pistachiodeal.store.row_store import StoredRow
 from tests.standins.job_cluster import build_job, close_data_centre
--- a/tests/unit/test_foreign_writers.py
+++ b/tests/unit/test_foreign_writers.py
@@ -13,7 +13,8 @@
 from pistachiodeal.exceptions import ProtocolError
 from pistachiodeal.jobagent.ledger import AgentLedger
 from pistachiodeal.jobs.checks import check_job
-from pistachiodeal.jobs.record import apply_progress, build_record, encode_progress
+from pistachiodeal.jobs.progress import apply_progress, encode_progress
+from pistachiodeal.jobs.record import build_record
 from pistachiodeal.jobs.rows import decode_job, encode_job
 from pistachiodeal.jobs.runtime import CallResult, WorkerHeartbeat
 from pistachiodeal.leader.commits import CONTROL_TABLE, LEADER_KEY, LeaderTerm
--- a/tests/unit/test_leader_commits.py
+++ b/tests/unit/test_leader_commits.py
@@ -9,7 +9,7 @@
 from pistachiodeal.config.deployment import LimitSettings
 from pistachiodeal.exceptions import FencedError
 from pistachiodeal.jobs.model import EndKind, JobState
-from pistachiodeal.jobs.record import read_state
+from pistachiodeal.jobs.progress import read_state
 from pistachiodeal.jobs.rows import UNDIVIDED_PARTITION
 from pistachiodeal.leader.commits import FencedWriter, LeaderTerm
 from pistachiodeal.leader.leadership import WRITERS, Leadership
--- a/tests/unit/test_leader_crashes.py
+++ b/tests/unit/test_leader_crashes.py
@@ -10,7 +10,8 @@
 from pistachiodeal.clock import read_boot_clock
 from pistachiodeal.config.deployment import LimitSettings
 from pistachiodeal.jobs.model import Job, JobState, LossCause, Queue, Step
-from pistachiodeal.jobs.record import apply_progress, build_record, encode_progress
+from pistachiodeal.jobs.progress import apply_progress, encode_progress
+from pistachiodeal.jobs.record import build_record
 from pistachiodeal.leader.crashes import RACK_CHECK_DELAY_S
 from pistachiodeal.leader.planner import Planner
 from pistachiodeal.leader.reconcile import Reconciler
