--- a/pistachiodeal/entry/links.py
+++ b/pistachiodeal/entry/links.py
@@ -47,6 +47,8 @@
 
 LINK_LIMIT = 4096
 GOODBYE_TIMEOUT_S = 0.2
+# An error that persists would else use a whole core and flood the log.
+HELPER_RETRY_S = 0.1
 ANSWERS = (Response, Refusal, Failure)
 TASK_MESSAGES = (StartRefused, TaskEnded)
 
@@ -184,6 +186,7 @@
                 return
             except Exception:
                 log.exception("entry: helper task of a link failed")
+                await curio.sleep(HELPER_RETRY_S)
 
     async def _open(self, link: Link) -> Session:
         session, earlier = await self._sessions.open(link)
--- a/tests/unit/test_entry_links.py
+++ b/tests/unit/test_entry_links.py
@@ -5,7 +5,11 @@
 import curio
 
 from pistachiodeal.entry.interference import create_interference_relay
-from pistachiodeal.entry.links import LinkServer, LinkServerComponents
+from pistachiodeal.entry.links import (
+    HELPER_RETRY_S,
+    LinkServer,
+    LinkServerComponents,
+)
 from pistachiodeal.entry.pushing import Pusher
 from pistachiodeal.entry.sessions import create_session_table
 from pistachiodeal.entry.targets import create_target_table
@@ -281,3 +285,22 @@
     assert relay.build_for("a1") is None
     assert relay.build_initial("a4", 1).pairs[0].weight_milli == 4000
     assert relay.build_initial("a4", 1) is None
+
+
+def test_a_helper_that_keeps_failing_uses_no_whole_core():
+    """Guards against one link's error that starves all other tasks of the entry."""
+    calls = 0
+
+    async def fail():
+        nonlocal calls
+        calls += 1
+        raise RuntimeError("again")
+
+    async def main():
+        async with run_harness() as harness:
+            helper = await curio.spawn(harness.server._run_helper, fail)
+            await curio.sleep(2.5 * HELPER_RETRY_S)
+            await helper.cancel()
+
+    curio.run(main)
+    assert 2 <= calls <= 4
