--- a/pistachiodeal/batch/forwarder.py
+++ b/pistachiodeal/batch/forwarder.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import time
 from contextlib import suppress
 from dataclasses import dataclass, field
 
@@ -74,21 +75,23 @@
     async def call(self, request: WebRequest, timeout: float) -> WebResponse:
         """Forward a request to the peer and return its response.
 
-        :param timeout: seconds to wait for the response, after waiting at most half as
-            long for the link.
+        :param timeout: seconds to wait for the response, of which at most half are
+            spent on waiting for the link.
         :raises RequestError: its outcome is ``not_run`` only if the peer cannot have
             received the request.
         """
         self._recently_used = True
         if len(self._pending) >= MAX_PENDING_REQUESTS:
             raise self._build_error("overloaded", "too many open requests to this peer")
+        deadline = time.monotonic() + timeout
         link = await self._wait_for_link(timeout)
+        left = max(0.0, deadline - time.monotonic())
         request_id = self._next_id
         self._next_id += 1
         pending = self._pending[request_id] = _Pending()
         try:
-            await link.send(_build_request(request_id, request, timeout))
-            await curio.ignore_after(timeout, pending.done.wait)
+            await link.send(_build_request(request_id, request, left))
+            await curio.ignore_after(left, pending.done.wait)
         except LinkClosedError:
             raise self._build_error("owner_unreachable", "link closed") from None
         finally:
--- a/tests/unit/test_batch_forwarder.py
+++ b/tests/unit/test_batch_forwarder.py
@@ -71,3 +71,35 @@
     """
     got = curio.run(call_peer, lambda request: None)
     assert got.outcome is Outcome.UNKNOWN
+
+
+def test_the_wait_for_a_link_counts_for_the_time_limit():
+    """Guards against an answer after the caller has given up.
+
+    The owner's link comes up late. The whole time limit then began anew, and the owner
+    was told that it had all of it.
+    """
+    budgets_ms = []
+
+    def answer(request: Request) -> Response:
+        budgets_ms.append(request.budget_ms)
+        return Response(request.request_id, 200, (), b"")
+
+    async def main() -> None:
+        listener = sockets.socket()
+        listener.bind(("127.0.0.1", 0))
+        listener.listen(5)
+        address = f"127.0.0.1:{listener.getsockname()[1]}"
+        forwarder = Forwarder(Identity("entry", "a", 1, "dc"), SECRET, TIMINGS)
+        forwarder_task = await curio.spawn(forwarder.run)
+        request = WebRequest("POST", "/tasks", (), b"body")
+        call = await curio.spawn(forwarder.call, address, request, 4.0)
+        await curio.sleep(1.0)
+        server = await curio.spawn(serve, listener, answer)
+        assert (await call.join()).status == 200
+        await forwarder_task.cancel()
+        await server.cancel()
+        await listener.close()
+
+    curio.run(main)
+    assert budgets_ms[0] <= 3_000
