--- a/pistachiodeal/control/services.py
+++ b/pistachiodeal/control/services.py
@@ -62,7 +62,7 @@
             self.baseline_s = baseline_s
         self.baseline_s += _BASELINE_GAIN * (baseline_s - self.baseline_s)
 
-    def note_agreement(self, predicted: float, measured: float) -> None:
+    def record_agreement(self, predicted: float, measured: float) -> None:
         """Update the smoothed ratio of the measured to the predicted slow-down.
 
         Kinds that are throttled together cannot be distinguished, and an estimate from
@@ -118,7 +118,7 @@
         baseline = self._model.min_baseline(reading.service)
         state.slowdown = max(1.0, state.signal_s / baseline)
         state.smooth_baseline(reading.latency_s / state.slowdown)
-        state.note_agreement(predicted, state.signal_s / baseline - 1.0)
+        state.record_agreement(predicted, state.signal_s / baseline - 1.0)
 
     def drop_stale(self, now: float) -> None:
         """Remove services whose readings stopped.
--- a/pistachiodeal/jobs/record.py
+++ b/pistachiodeal/jobs/record.py
@@ -21,7 +21,7 @@
     :param place: where that run is, or may still be; empty while the task waits.
     :param checkpoint: state from which the next run resumes.
     :param crashes: number of worker crashes that the task may have caused.
-    :param blames: accumulated weight of the evidence that the task caused them.
+    :param blames: accumulated weight of the crashes that the task probably caused.
     :param running: whether a worker has listed the run.
     :param percent: share of its work that is done, as last listed.
     :param progressed_at: when ``percent`` last changed, seconds of the boot clock.
--- a/pistachiodeal/leader/descheduler.py
+++ b/pistachiodeal/leader/descheduler.py
@@ -78,7 +78,7 @@
             for task in list(self._registry.get_runs(worker.place).values()):
                 if not self._is_stalled(task):
                     continue
-                worker.health.note_stall(now)
+                worker.health.record_stall(now)
                 task.avoid |= {worker.node}
                 self._reconciler.stop(task, "it stands still")
 
--- a/pistachiodeal/leader/directory.py
+++ b/pistachiodeal/leader/directory.py
@@ -73,7 +73,7 @@
         self._store_seen_at = max(self._store_seen_at, seen_at)
         self._heard_at = max(self._heard_at, now - notice.heard_ms / 1000)
 
-    def note_unreachable(self, address: str) -> None:
+    def mark_unreachable(self, address: str) -> None:
         """Record that an address gave no handshake; if it leads, it is not heard."""
         if address == self._leader:
             self._heard_at = 0.0
--- a/pistachiodeal/leader/election.py
+++ b/pistachiodeal/leader/election.py
@@ -209,7 +209,7 @@
                 await self._process_messages(link)
         except (PistachiodealError, OSError) as error:
             if self._link is None:
-                self._directory.note_unreachable(row.address)
+                self._directory.mark_unreachable(row.address)
                 refused = isinstance(error, LinkRefusedError)
             self._events.emit("leader.unheard", epoch=row.epoch, cause=str(error))
         finally:
--- a/pistachiodeal/leader/failed_placements.py
+++ b/pistachiodeal/leader/failed_placements.py
@@ -79,7 +79,7 @@
         since = self._failed[request.key].round
         return [view for view in views if view.built_round > since]
 
-    def note_failure(self, request: PlacementRequest, this_round: int) -> None:
+    def record_failure(self, request: PlacementRequest, this_round: int) -> None:
         """Record that no worker in this round's views fits a task of a step."""
         failure = self._failed.get(request.key)
         if failure is None:
@@ -90,6 +90,6 @@
         failure.round = this_round
         failure.urgent, failure.may_interfere = request.urgent, request.may_interfere
 
-    def note_full_check(self, request: PlacementRequest, now: float) -> None:
+    def record_full_check(self, request: PlacementRequest, now: float) -> None:
         """Record that a step was checked against all workers."""
         self._failed[request.key].fully_checked_at = now
--- a/pistachiodeal/leader/planner.py
+++ b/pistachiodeal/leader/planner.py
@@ -182,9 +182,9 @@
             view = candidates.reserve(task.avoid)
             if view is None:
                 self._request_advice(request, queue, views)
-                self._failed_placements.note_failure(request, self._views.round)
+                self._failed_placements.record_failure(request, self._views.round)
                 if full_check:
-                    self._failed_placements.note_full_check(request, now)
+                    self._failed_placements.record_full_check(request, now)
                     self._explain_wait(request, candidates.obstacles)
                 self._preemptor.make_room(task, queue, views)
                 return
--- a/pistachiodeal/leader/reconcile.py
+++ b/pistachiodeal/leader/reconcile.py
@@ -316,7 +316,7 @@
             took_ms=int((now - task.placed_at) * 1000),
         )
         if kind is EndKind.DONE:
-            worker.health.note_success()
+            worker.health.record_success()
             if task.fully_observed and not task.step.lasts:
                 self._add_work(task, task.worked if task.seen_at else 1.0, now)
                 record = self._registry.records[task.name.job_id]
@@ -325,7 +325,7 @@
             # Only a task's first failure counts against its worker, since a task that
             # fails everywhere says nothing about the worker.
             if not task.failures:
-                worker.health.note_failure(now)
+                worker.health.record_failure(now)
             task.avoid |= {worker.node}
         incarnation = worker.worker
 
--- a/pistachiodeal/scheduling/crash_attribution.py
+++ b/pistachiodeal/scheduling/crash_attribution.py
@@ -7,8 +7,8 @@
 Other tasks are cleared as soon as they have run in isolation for a moment.
 
 Only crashes without another explanation count. A worker that had announced its
-departure, that only lost its connection, or that failed together with its rack is no
-evidence against a task.
+departure, that only lost its connection, or that failed together with its rack does not
+count against a task.
 """
 
 from __future__ import annotations
--- a/pistachiodeal/scheduling/durations.py
+++ b/pistachiodeal/scheduling/durations.py
@@ -20,7 +20,7 @@
 # Weight of the prior, in tasks: until tasks have completed, declarations are used as
 # they are.
 PRIOR_TASKS = 1.0
-# Prior weight of a zero slope. A slope needs more evidence than an offset: as much as
+# Prior weight of a zero slope. A slope needs more data than an offset: as much as
 # five tasks whose declared durations differ by a factor of 1.65 (0.5 in natural
 # logarithm).
 PRIOR_SPREAD = 5.0 * 0.5**2
--- a/pistachiodeal/scheduling/health.py
+++ b/pistachiodeal/scheduling/health.py
@@ -40,12 +40,12 @@
         """Tell whether no task has succeeded there since it became suspect."""
         return self.failures >= FAILURES_TO_SUSPECT
 
-    def note_success(self) -> None:
+    def record_success(self) -> None:
         """Record a successful task."""
         self.failures = 0
         self.suspect_until = 0.0
 
-    def note_failure(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Record the failure of a task that had not failed elsewhere before."""
         self.failures += 1
         doubled = self.failures - FAILURES_TO_SUSPECT
@@ -53,7 +53,7 @@
             wait_s = min(MIN_SUSPECT_S * 2**doubled, MAX_SUSPECT_S)
             self.suspect_until = now + wait_s
 
-    def note_stall(self, now: float) -> None:
+    def record_stall(self, now: float) -> None:
         """Record a task that made no progress."""
         self.suspect_until = now + MAX_SUSPECT_S
 
--- a/pistachiodeal/scheduling/interference.py
+++ b/pistachiodeal/scheduling/interference.py
@@ -4,7 +4,7 @@
 which have a tail latency objective. The interference depends on the pair of images: a
 filling image may multiply the tail latency of one serving image and not affect another,
 and nothing that is declared says which. A serving task's own load varies as much as a
-neighbour disturbs it, so a high tail latency alone is no evidence.
+neighbour disturbs it, so a high tail latency alone proves nothing.
 
 Two properties make the pairs distinguishable. A tail latency grows as 1 / (1 - load),
 so the effects of neighbours add up in its inverse, the slack. And the load of all tasks
--- a/tests/unit/test_control_guard.py
+++ b/tests/unit/test_control_guard.py
@@ -224,8 +224,8 @@
     """
     state = ServiceState(ServiceReading("desk", 0.0, 1.0, 1.0, True, True))
     for _ in range(200):
-        state.note_agreement(0.2, 0.1)
+        state.record_agreement(0.2, 0.1)
     assert abs(state.agreement - 0.5) < 0.01
     for _ in range(200):
-        state.note_agreement(0.0, 0.5)
+        state.record_agreement(0.0, 0.5)
     assert abs(state.agreement - 0.5) < 0.01
--- a/tests/unit/test_leader_fleet_views.py
+++ b/tests/unit/test_leader_fleet_views.py
@@ -18,8 +18,8 @@
         worker.worker, worker.service, worker.listed = f"w{number}", "svc", True
         worker.attachment = Attachment(worker.node, number)
         if number < suspects:
-            worker.health.note_failure(now)
-            worker.health.note_failure(now)
+            worker.health.record_failure(now)
+            worker.health.record_failure(now)
     return fleet
 
 
--- a/tests/unit/test_scheduling_load.py
+++ b/tests/unit/test_scheduling_load.py
@@ -282,9 +282,9 @@
     last did not help, since on a full deployment it is the only choice.
     """
     health = WorkerHealth()
-    health.note_failure(10.0)
+    health.record_failure(10.0)
     assert not health.is_excluded(10.0, at_work=0)
-    health.note_failure(10.1)
+    health.record_failure(10.1)
     small = Step(1, Resources(1_000, 1_000, 0), 1.0)
     model = InterferenceModel()
     view = build_view("hole")
@@ -296,9 +296,9 @@
     view.probing = health.suspect
     assert place(small, [view], model) == "hole"
     assert place(small, [view], model) is None
-    health.note_failure(after)
+    health.record_failure(after)
     assert health.is_excluded(after + MIN_SUSPECT_S, at_work=0)
-    health.note_success()
+    health.record_success()
     assert not health.is_excluded(after, at_work=5)
 
 
