--- a/pistachiodeal/leader/leadership.py
+++ b/pistachiodeal/leader/leadership.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import time
 from collections.abc import Callable
 from functools import partial
 
@@ -12,23 +11,15 @@
 from pistachiodeal.clock import read_boot_clock
 from pistachiodeal.config.deployment import LimitSettings
 from pistachiodeal.events import EventLog
-from pistachiodeal.exceptions import FencedError, ProtocolError, StoreError
+from pistachiodeal.exceptions import FencedError, StoreError
 from pistachiodeal.jobs.advice import Adviser
 from pistachiodeal.jobs.model import JobState, Queue
-from pistachiodeal.jobs.progress import apply_progress
-from pistachiodeal.jobs.record import build_record
-from pistachiodeal.jobs.rows import (
-    JOBS_TABLE,
-    UNDIVIDED_PARTITION,
-    decode_job,
-    split_key,
-)
-from pistachiodeal.jobs.tables import read_tables
 from pistachiodeal.leader.advice import AdviceCache
 from pistachiodeal.leader.closures import ClosureWatch
 from pistachiodeal.leader.commits import MAX_REMOVALS, FencedWriter, LeaderTerm
 from pistachiodeal.leader.feed import JobFeed
 from pistachiodeal.leader.learned_state import LearnedStatePersister
+from pistachiodeal.leader.loader import JobLoader
 from pistachiodeal.leader.planner import Planner
 from pistachiodeal.leader.reconcile import Reconciler
 from pistachiodeal.leader.registry import JobRegistry
@@ -36,7 +27,7 @@
 from pistachiodeal.leader.startup_wait import StartupWait
 from pistachiodeal.leader.workers import Fleet, split_place
 from pistachiodeal.scheduling.interference import InterferenceModel
-from pistachiodeal.store.row_store import RowStore, StoredRow
+from pistachiodeal.store.row_store import RowStore
 from pistachiodeal.task_groups import Child, gather, run_until_first_exit
 
 log = Logger("leader")
@@ -88,6 +79,9 @@
         self._feed = JobFeed(
             store, self._registry, events, self._cancel, self._notify_changed
         )
+        self._loader = JobLoader(
+            store, self._registry, self._feed, self._cancel, events
+        )
         self._writer = FencedWriter(store, term, events)
         interference = InterferenceModel()
         self._advice = None
@@ -223,7 +217,7 @@
     async def _load(self) -> None:
         while not self._loaded:
             try:
-                await gather(self._closures.refresh, self._read_jobs)
+                await gather(self._closures.refresh, self._loader.load)
                 self._loaded = True
                 await self._notify_changed()
             except StoreError as error:
@@ -240,46 +234,6 @@
             took_ms=int((self._loaded_at - self._acquired_by) * 1000),
         )
 
-    async def _read_jobs(self) -> None:
-        jobs, progress = await read_tables(self._store)
-        values = {row.key: row for row in progress.rows}
-        cancelled = []
-        for row in jobs.rows:
-            job_id, cancels = split_key(row.key)
-            if cancels:
-                cancelled.append(job_id)
-            else:
-                self._restore(row, values.get(job_id))
-        for job_id in cancelled:
-            self._cancel(job_id)
-        self._feed.start_after(jobs.version)
-
-    def _restore(self, row: StoredRow, progress: StoredRow | None) -> None:
-        known = self._registry.records.get(row.key)
-        undivided = row.partition == UNDIVIDED_PARTITION
-        if known is not None:
-            if known.undivided != undivided:
-                # Submitted once before and once after submissions were partitioned; it
-                # is one job.
-                known.undivided = True
-                self._events.emit("row.twofold", key=row.key, partition=row.partition)
-            return
-        try:
-            record = build_record(decode_job(row.key, row.value))
-            if progress is not None:
-                apply_progress(record, progress.value, progress.version)
-        except ProtocolError as error:
-            self._events.emit(
-                "row.unreadable", table=JOBS_TABLE, key=row.key, cause=str(error)
-            )
-            return
-        record.undivided = undivided
-        if record.state.final:
-            record.finished_at = read_boot_clock()
-        self._registry.restore(record)
-        if not record.state.final:
-            self._registry.open_due(record, time.time())
-
     def _cancel(self, job_id: str) -> None:
         for task in self._registry.cancel(job_id):
             self._reconciler.stop(task, "its job is cancelled")
