--- a/bench/slopes/agent.py
+++ b/bench/slopes/agent.py
@@ -42,7 +42,7 @@
 ANNOUNCE_S = 1.0
 JOIN_TIMEOUT_S = 30.0
 SIZE = Resources(100, 100, 0)
-TIMINGS = {
+TIMINGS: dict[str, Any] = {
     "report_s": 0.5,
     "link": LINK,
     "entry_links": 16,
--- a/bench/slopes/entry_tasks.py
+++ b/bench/slopes/entry_tasks.py
@@ -50,9 +50,7 @@
             entry = _start_entry(bench)
             driver = bench.start_agents(entry, AGENTS, "--hold")
             submit_tasks(entry, size)
-            _wait(
-                lambda d=driver, s=size, b=bench: b.read_stats(d).get("Start", 0) >= s
-            )
+            _wait_for_messages(bench, driver, "Start", size)
             time.sleep(SETTLE_S)
             first = bench.read_stats(driver)
             usage = measure_process(entry.pid, WINDOW_S)
@@ -83,9 +81,7 @@
             before, table_before = read_cpu_s(entry.pid), read_cpu_s(table.pid)
             started = time.monotonic()
             submit_tasks(entry, size)
-            _wait(
-                lambda d=driver, s=size, b=bench: b.read_stats(d).get("TaskAck", 0) >= s
-            )
+            _wait_for_messages(bench, driver, "TaskAck", size)
             wall = time.monotonic() - started
             spent = read_cpu_s(entry.pid) - before - idle.cpu_s / idle.wall_s * wall
             commits = bench.cluster.record(table)["commits"] - commits
@@ -106,6 +102,11 @@
     return entry
 
 
+def _wait_for_messages(bench: Bench, driver: Process, kind: str, count: int) -> None:
+    """Wait until a driver has received so many messages of a kind."""
+    _wait(lambda: bench.read_stats(driver).get(kind, 0) >= count)
+
+
 def _wait(is_done: Callable[[], bool]) -> None:
     limit = time.monotonic() + WAIT_TIMEOUT_S
     while not is_done():
--- a/bench/slopes/leader.py
+++ b/bench/slopes/leader.py
@@ -73,7 +73,7 @@
                 report = decode_message(frame, packed=True)
                 assert isinstance(report, WorkerReport)
                 reconciler.apply(attachment, report)
-                encode_message(attachment.build_directive(1, "w", 0, 10_000))
+                encode_message(attachment.build_directive(1, "w", 0, 10_000, 5_000))
         points.append((float(runs), 1000 * spent.cpu_s / REPORTS))
     return [fit_line("cpu of the leader for a report", "run", "ms", points)]
 
