--- a/pistachiodeal/agent/runners.py
+++ b/pistachiodeal/agent/runners.py
@@ -158,12 +158,12 @@
         """Remove the runners whose announcement has expired."""
         now = self._clock()
         self._discount_suspension(now)
-        for runner in list(self._runners.values()):
-            if now - runner.announced_at > self._expiry_s:
-                log.warning(
-                    "agent: announcement of runner {} expired", runner.announcement.name
-                )
-                await self.remove(runner.announcement.name)
+        for name, runner in list(self._runners.items()):
+            # Removing a runner waits for others, which may replace this one meanwhile.
+            replaced = self._runners.get(name) is not runner
+            if not replaced and now - runner.announced_at > self._expiry_s:
+                log.warning("agent: announcement of runner {} expired", name)
+                await self.remove(name)
 
     async def retire_if_idle(self, runner: Runner) -> None:
         """Release the reservation of a removed runner once it has no open requests."""
--- a/tests/unit/test_agent_runners.py
+++ b/tests/unit/test_agent_runners.py
@@ -10,7 +10,7 @@
 
 from pistachiodeal.agent.announce import AnnounceApi
 from pistachiodeal.agent.ledger import create_ledger
-from pistachiodeal.agent.runners import Runner, RunnerTable
+from pistachiodeal.agent.runners import AnnouncedRunner, Runner, RunnerTable
 from pistachiodeal.exceptions import RequestError
 from pistachiodeal.model.resources import Resources
 from pistachiodeal.web.messages import WebRequest, WebResponse
@@ -141,6 +141,29 @@
     assert bench.changed[-1].gone
 
 
+def test_a_runner_that_was_replaced_during_a_sweep_stays() -> None:
+    """Guards against a runner that gets no requests until it announces itself again.
+
+    Two announcements have expired. While the first is being removed, the second runner
+    announces itself with another address.
+    """
+    bench = Bench()
+    bench.open()
+    bench.announce("a", cpu_milli=1000)
+    bench.announce("b", cpu_milli=1000)
+    moved = AnnouncedRunner("b", "orders", "127.0.0.1:9001", 8, Resources(1000, 1000))
+
+    async def replace_second(runner: Runner) -> None:
+        if runner.gone and runner.announcement.name == "a":
+            await bench.table.announce(moved)
+
+    bench.table.on_change = replace_second
+    for _ in range(8):
+        bench.now += 0.5
+        curio.run(bench.table.sweep)
+    assert [one.announcement for one in bench.table.list_runners("orders")] == [moved]
+
+
 @pytest.mark.parametrize(
     ("name", "body", "words"),
     [
