--- a/pistachiodeal/scheduling/interference.py
+++ b/pistachiodeal/scheduling/interference.py
@@ -175,10 +175,10 @@
     def observe(self, sample: ServingSample) -> None:
         """Update the estimates with one sample."""
         samples = self._steps.setdefault(sample.step, _StepSamples())
-        if sample.latency_ratio > STALLED_LATENCY_RATIO or not samples.add(sample):
-            return
         while len(self._steps) > MAX_STEPS:
             del self._steps[next(iter(self._steps))]
+        if sample.latency_ratio > STALLED_LATENCY_RATIO or not samples.add(sample):
+            return
         references = samples.list_references(sample)
         if not references:
             return
--- a/tests/unit/test_scheduling_load.py
+++ b/tests/unit/test_scheduling_load.py
@@ -12,6 +12,8 @@
 from pistachiodeal.scheduling.durations import DurationModel
 from pistachiodeal.scheduling.health import MIN_SUSPECT_S, WorkerHealth
 from pistachiodeal.scheduling.interference import (
+    MAX_STEPS,
+    STALLED_LATENCY_RATIO,
     InterferenceModel,
     ServingSample,
     compute_intensity,
@@ -563,3 +565,13 @@
         view.solo_slack = {"s": slack}
     assert place(build_filling("light"), [peak], model) is None
     assert place(build_filling("light"), [low], model) == "low"
+
+
+def test_samples_of_stalled_tasks_fill_no_memory():
+    """Guards against a leader that grows with each step whose tasks stand still."""
+    model = InterferenceModel()
+    for number in range(MAX_STEPS + 50):
+        step = (f"{number:016x}", 0, 0)
+        stalled = 2 * STALLED_LATENCY_RATIO
+        model.observe(ServingSample(step, "t", "s", stalled, {"f": 1.0}, float(number)))
+    assert len(model._steps) <= MAX_STEPS
