--- a/pistachiodeal/wire/handshake.py
+++ b/pistachiodeal/wire/handshake.py
@@ -26,6 +26,7 @@
 NONCE_BYTES = 16
 ROLES = (AGENT_ROLE, ENTRY_ROLE)
 STEP = "link.handshake"
+SEPARATOR = "\0"
 
 
 class MessageStream(Protocol):
@@ -67,6 +68,7 @@
     welcome = await stream.receive()
     if not isinstance(welcome, Welcome):
         raise ProtocolError("expected a Welcome message", step=STEP)
+    _check_names(welcome.node, welcome.data_centre)
     expected = _compute_proof(secret, nonce, welcome.node)
     if not hmac.compare_digest(expected, welcome.proof):
         raise AuthenticationError("the peer does not hold the secret", step=STEP)
@@ -87,6 +89,7 @@
     if not isinstance(hello, Hello):
         raise ProtocolError("expected a Hello message", step=STEP)
     _check_version(hello.version)
+    _check_names(hello.node, hello.worker, hello.data_centre, hello.rack)
     expected = _compute_proof(secret, nonce, _build_signed_text(hello))
     if not hmac.compare_digest(expected, hello.proof):
         raise AuthenticationError("the peer does not hold the secret", step=STEP)
@@ -111,9 +114,16 @@
         raise ProtocolError(detail, step=STEP)
 
 
+def _check_names(*names: str) -> None:
+    # Without a separator in any name, a proof fits only one identity, and that of a
+    # dialling side, which covers several names, is none of an accepting side.
+    if any(SEPARATOR in name for name in names):
+        raise AuthenticationError("a name holds a separator", step=STEP)
+
+
 def _build_signed_text(hello: Hello) -> str:
     parts = (hello.role, hello.node, str(hello.incarnation), hello.worker)
-    return "\0".join((*parts, hello.data_centre, hello.rack))
+    return SEPARATOR.join((*parts, hello.data_centre, hello.rack))
 
 
 def _compute_proof(secret: str, nonce: bytes, text: str) -> bytes:
