--- a/pistachiodeal/leader/leader_row.py
+++ b/pistachiodeal/leader/leader_row.py
@@ -29,6 +29,8 @@
 # The version of a row that other processes reported and that was not read: no
 # conditional write against it succeeds.
 UNREAD_VERSION = -1
+# Fencing tokens are 64-bit numbers, with the epoch above the lowest 30 bits.
+MAX_EPOCH = 2**32
 
 
 @dataclass(frozen=True, slots=True)
@@ -186,6 +188,8 @@
             document.get("fitness", 0.0),
         )
         check_fields(found)
+        if found.nonce < 0 or not 0 <= found.epoch <= MAX_EPOCH:
+            raise ValueError("a number is out of bounds")
     except (ValueError, KeyError, TypeError, AttributeError) as error:
         raise ProtocolError(repr(error), step="leader.decode_row") from error
     return found
--- a/tests/unit/test_foreign_writers.py
+++ b/tests/unit/test_foreign_writers.py
@@ -327,3 +327,14 @@
     document = {**build_progress(), "tasks": {"0.0.0": fields}}
     with pytest.raises(ProtocolError):
         read_progress_row(orjson.dumps(document))
+
+
+@pytest.mark.parametrize("change", [{"epoch": -1}, {"epoch": 2**63}, {"nonce": -1}])
+def test_a_leader_row_with_a_number_that_no_message_can_carry_is_refused(change):
+    """Guards against a system without a leader for ever.
+
+    Whoever followed the row, or replaced it under the next epoch, failed to encode it.
+    """
+    row = StoredRow("leader", orjson.dumps({**LEADER, **change}), 1)
+    with pytest.raises(ProtocolError):
+        decode_leader_row(row)
