--- a/pistachiodeal/leader/election.py
+++ b/pistachiodeal/leader/election.py
@@ -161,21 +161,7 @@
         :return: its epoch; 0 if the write failed, or if it got no answer and a read of
             the row doesn't show it.
         """
-        epoch = self._rows.row.epoch + 1
-        try:
-            result = await self._rows.set_leader(candidate)
-        except StoreUncertainError as error:
-            log.debug("election: no answer to the write of a hand-over: {}", error)
-            row = await self._rows.read()
-            named = row is not None and (row.nonce, row.epoch) == (
-                candidate.nonce,
-                epoch,
-            )
-            return epoch if named else 0
-        except StoreError as error:
-            log.info("election: cannot write the hand-over: {}", error)
-            return 0
-        return epoch if result.committed else 0
+        return await self._rows.transfer(candidate)
 
     async def resign(self) -> None:
         """Clear the leader's row, so that followers needn't wait for a timeout."""
--- a/pistachiodeal/leader/leader_row.py
+++ b/pistachiodeal/leader/leader_row.py
@@ -9,7 +9,11 @@
 
 from pistachiodeal.clock import read_boot_clock
 from pistachiodeal.events import EventLog
-from pistachiodeal.exceptions import ProtocolError, StoreError
+from pistachiodeal.exceptions import (
+    ProtocolError,
+    StoreError,
+    StoreUncertainError,
+)
 from pistachiodeal.jobs.checks import check_fields
 from pistachiodeal.leader.commits import CONTROL_TABLE, LEADER_KEY
 from pistachiodeal.leader.directory import Directory
@@ -130,6 +134,28 @@
             )
         return result
 
+    async def transfer(self, candidate: LeaderCandidate) -> int:
+        """Write a successor under the next epoch, and find out whether that worked.
+
+        :return: its epoch; 0 if the write failed, or if it got no answer and a read of
+            the row doesn't show it.
+        """
+        epoch = self.row.epoch + 1
+        try:
+            result = await self.set_leader(candidate)
+        except StoreUncertainError as error:
+            log.debug("leader_row: no answer to the write of a hand-over: {}", error)
+            row = await self.read()
+            named = row is not None and (row.nonce, row.epoch) == (
+                candidate.nonce,
+                epoch,
+            )
+            return epoch if named else 0
+        except StoreError as error:
+            log.info("leader_row: cannot write the hand-over: {}", error)
+            return 0
+        return epoch if result.committed else 0
+
     async def clear_leader(self) -> None:
         """Write a row without a leader, so that followers needn't wait for a timeout.
 
