--- a/pistachiodeal/leader/preemptor.py
+++ b/pistachiodeal/leader/preemptor.py
@@ -20,6 +20,8 @@
 # Limits the cost per round: a moved task has to start again, and a preempted task loses
 # its work since the last checkpoint.
 MAX_PREEMPTIONS_PER_ROUND = 16
+# The reason for which a run is stopped begins so; preempted runs are found again by it.
+PREEMPTED_FOR = "gives way to"
 
 QueueLookup = Callable[[Queue], Queue]
 
@@ -86,7 +88,7 @@
             run = self._registry.find_task(victim.task)
             if run is not None:
                 self._preempted += 1
-                self._reconciler.stop(run, f"gives way to {task.name}")
+                self._reconciler.stop(run, f"{PREEMPTED_FOR} {task.name}")
 
     def _is_room_pending(self, service: str) -> bool:
         """Tell whether a service has runs that are being stopped for an urgent task."""
@@ -94,7 +96,7 @@
             if not worker.schedulable or worker.service != service:
                 continue
             runs = self._registry.get_runs(worker.place).values()
-            if any(run.stopping.startswith("gives way") for run in runs):
+            if any(run.stopping.startswith(PREEMPTED_FOR) for run in runs):
                 return True
         return False
 
